--- a/coord/alarms.go
+++ b/coord/alarms.go
@@ -13,7 +13,7 @@
 // raise tells the links that a daemon has fallen silent, or is heard again.
 func (m *Members) raise(now time.Time, mem *member, silent bool) {
 	m.counts++
-	alarm := proto.Alarm{About: mem.alive.VM, Incarnation: mem.alive.Incarnation, By: m.self.VM, Count: m.counts, Silent: silent}
+	alarm := proto.Alarm{Subject: mem.alive.VM, Incarnation: mem.alive.Incarnation, Reporter: m.self.VM, Sequence: m.counts, Silent: silent}
 	mem.alarms[m.self.VM] = alarm
 	if silent {
 		m.alarms++
@@ -22,35 +22,35 @@
 	m.judge(now, mem)
 }
 
-// Alarm takes in another daemon's word on a silent link and passes it on if it is news.
-func (m *Members) Alarm(now time.Time, a proto.Alarm, from proto.VM) {
+// HandleAlarm takes in another daemon's word on a silent link and passes it on if it is news.
+func (m *Members) HandleAlarm(now time.Time, a proto.Alarm, from proto.VM) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.alarm(now, a, from)
 }
 
 func (m *Members) alarm(now time.Time, a proto.Alarm, from proto.VM) {
-	if a.About == m.self.VM {
+	if a.Subject == m.self.VM {
 		if a.Silent && a.Incarnation == m.self.Incarnation {
 			m.deny(now, from)
 		}
 		return
 	}
-	mem := m.members[a.About]
+	mem := m.members[a.Subject]
 	if mem == nil || a.Incarnation != mem.alive.Incarnation {
 		return
 	}
-	if old, ok := mem.alarms[a.By]; ok && old.Count >= a.Count {
+	if old, ok := mem.alarms[a.Reporter]; ok && old.Sequence >= a.Sequence {
 		return
 	}
-	mem.alarms[a.By] = a
+	mem.alarms[a.Reporter] = a
 	m.passAlarm(now, a, from)
 	m.judge(now, mem)
 }
 
 // deny announces this daemon, which another holds to be silent or dead; many may at once.
 func (m *Members) deny(now time.Time, to proto.VM) {
-	if now.Sub(m.deniedAt) >= m.timing.Heartbeat {
+	if now.Sub(m.deniedAt) >= m.timing.HeartbeatInterval {
 		m.deniedAt = now
 		m.announce()
 	}
@@ -114,7 +114,7 @@
 	if mem.lastSeen.IsZero() {
 		mem.lastSeen = now
 	}
-	if now.Sub(m.expectedSince(mem)) > m.timing.Silence {
+	if now.Sub(m.expectedSince(mem)) > m.timing.SilenceTimeout {
 		mem.alarming = true
 		m.raise(now, mem, true)
 	}
@@ -170,7 +170,7 @@
 		*a = agreement{differs: now, theirs: theirs}
 		return
 	}
-	if now.Sub(a.differs) < compareAfter*m.timing.Heartbeat<<a.told {
+	if now.Sub(a.differs) < compareAfter*m.timing.HeartbeatInterval<<a.told {
 		return
 	}
 	a.differs, a.told = now, min(compareMost, a.told+1)
@@ -182,16 +182,16 @@
 	var d proto.Deaths
 	for vm, mem := range m.members {
 		if mem.dead {
-			d.Runs = append(d.Runs, proto.Run{VM: vm, Incarnation: mem.alive.Incarnation})
+			d.Runs = append(d.Runs, proto.DaemonRun{VM: vm, Incarnation: mem.alive.Incarnation})
 		}
 	}
-	slices.SortFunc(d.Runs, func(a, b proto.Run) int { return cmp.Compare(a.VM, b.VM) })
+	slices.SortFunc(d.Runs, func(a, b proto.DaemonRun) int { return cmp.Compare(a.VM, b.VM) })
 	return d
 }
 
-// Deaths takes over whom another daemon holds to be dead, unless this one hears it, and passes on what is news. A view
+// HandleDeaths takes over whom another daemon holds to be dead, unless this one hears it, and passes on what is news. A view
 // that is wrong is put right by the daemon that it is wrong about, which is asked again and again.
-func (m *Members) Deaths(now time.Time, d proto.Deaths, from proto.VM) {
+func (m *Members) HandleDeaths(now time.Time, d proto.Deaths, from proto.VM) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	links := m.links()
@@ -201,7 +201,7 @@
 		if run.VM == m.self.VM || mem == nil || mem.dead || mem.alive.Incarnation != run.Incarnation {
 			continue
 		}
-		if slices.Contains(links, run.VM) && now.Sub(mem.lastSeen) < m.timing.Silence {
+		if slices.Contains(links, run.VM) && now.Sub(mem.lastSeen) < m.timing.SilenceTimeout {
 			continue
 		}
 		m.bury(now, mem)
@@ -237,5 +237,5 @@
 	// Each daemon begins at another, so that together they ask all of them soon.
 	run := dead[(m.beats/probeEvery+xxhash.Sum64String(string(m.self.VM)))%uint64(len(dead))]
 	m.counts++
-	m.peers.Send(run.VM, proto.Alarm{About: run.VM, Incarnation: run.Incarnation, By: m.self.VM, Count: m.counts, Silent: true})
+	m.peers.Send(run.VM, proto.Alarm{Subject: run.VM, Incarnation: run.Incarnation, Reporter: m.self.VM, Sequence: m.counts, Silent: true})
 }
--- a/coord/alarms_test.go
+++ b/coord/alarms_test.go
@@ -11,8 +11,8 @@
 // quickTiming is that of daemons on the users' platform, which take work over from each other within a second.
 func quickTiming() MemberTiming {
 	return MemberTiming{
-		Heartbeat: 300 * time.Millisecond, Silence: 900 * time.Millisecond, Pause: 600 * time.Millisecond,
-		Lag: 2 * time.Minute, Forget: 2 * time.Minute,
+		HeartbeatInterval: 300 * time.Millisecond, SilenceTimeout: 900 * time.Millisecond, PauseThreshold: 600 * time.Millisecond,
+		MaxListLag: 2 * time.Minute, ForgetAfter: 2 * time.Minute,
 	}
 }
 
@@ -79,7 +79,7 @@
 	for i := range daemons / 3 {
 		s.dead[s.order[i*3]] = true
 	}
-	s.run(2*s.timing.Silence + 2*s.timing.Heartbeat/gatherPart)
+	s.run(2*s.timing.SilenceTimeout + 2*s.timing.HeartbeatInterval/gatherPart)
 	unknowing, pairs := 0, 0
 	for vm := range s.dead {
 		dead, live := s.holdDead(vm)
@@ -121,7 +121,7 @@
 	s.run(time.Second)
 	s.order = append(s.order, "new")
 	s.start("new", 1)
-	s.members["new"].Alive(s.now, proto.Alive{VM: "old", Zone: "r/z", Incarnation: 1, Count: 10}, "")
+	s.members["new"].HandleAlive(s.now, proto.Alive{VM: "old", Zone: "r/z", Incarnation: 1, Sequence: 10}, "")
 	s.run(600 * time.Millisecond)
 	for _, vm := range s.order {
 		if live := len(s.members[vm].Live()); live != 2 {
@@ -163,7 +163,7 @@
 	for _, vm := range s.order {
 		s.start(vm, 2)
 		for _, seed := range s.order[:3] {
-			s.members[vm].Alive(s.now, proto.Alive{VM: seed, Zone: s.zone[seed], Incarnation: 2, Count: 1}, "")
+			s.members[vm].HandleAlive(s.now, proto.Alive{VM: seed, Zone: s.zone[seed], Incarnation: 2, Sequence: 1}, "")
 		}
 	}
 	s.sent = 0
--- a/coord/apply.go
+++ b/coord/apply.go
@@ -30,19 +30,19 @@
 	Generation proto.Generation `json:"generation"`
 }
 
-// Store reads and writes the accepted configuration in the platform.
-type Store struct {
+// ConfigStore reads and writes the accepted configuration in the platform.
+type ConfigStore struct {
 	platform Platform
 	clock    clockwork.Clock
 }
 
-// NewStore returns the accepted configuration as the platform holds it.
-func NewStore(platform Platform, clock clockwork.Clock) *Store {
-	return &Store{platform: platform, clock: clock}
+// NewConfigStore returns the accepted configuration as the platform holds it.
+func NewConfigStore(platform Platform, clock clockwork.Clock) *ConfigStore {
+	return &ConfigStore{platform: platform, clock: clock}
 }
 
 // Head returns the accepted generation; it fails with KindUnavailable.
-func (s *Store) Head(ctx context.Context) (proto.Generation, uint64, error) {
+func (s *ConfigStore) Head(ctx context.Context) (proto.Generation, uint64, error) {
 	row, err := s.platform.Read(ctx, rowHead)
 	if err != nil || row.Version == 0 {
 		return 0, 0, err
@@ -55,7 +55,7 @@
 }
 
 // CatchUp brings a copy up to the accepted generation; it fails with KindUnavailable.
-func (s *Store) CatchUp(ctx context.Context, c *Changes) error {
+func (s *ConfigStore) CatchUp(ctx context.Context, c *ConfigState) error {
 	head, _, err := s.Head(ctx)
 	if err != nil {
 		return err
@@ -71,7 +71,7 @@
 }
 
 // follow reads the log from the copy's generation on; it returns false if the log has a gap there.
-func (s *Store) follow(ctx context.Context, c *Changes) bool {
+func (s *ConfigStore) follow(ctx context.Context, c *ConfigState) bool {
 	for {
 		list, err := s.platform.List(ctx, rowLog, logRow(c.Generation()), listPage)
 		if err != nil {
@@ -87,7 +87,7 @@
 	}
 }
 
-func (s *Store) bodies(ctx context.Context, rows []proto.Row) ([]proto.Change, error) {
+func (s *ConfigStore) bodies(ctx context.Context, rows []proto.Row) ([]proto.Change, error) {
 	changes := make([]proto.Change, 0, len(rows))
 	for _, row := range rows {
 		var change proto.Change
@@ -107,7 +107,7 @@
 }
 
 // whole reads the state between two equal reads of the head, so that it is of one generation.
-func (s *Store) whole(ctx context.Context, c *Changes) error {
+func (s *ConfigStore) whole(ctx context.Context, c *ConfigState) error {
 	for range applyTries {
 		before, version, err := s.Head(ctx)
 		if err != nil {
@@ -123,15 +123,15 @@
 		}
 		if version == after {
 			if !c.TakeWhole(before, changes) {
-				return fault("read configuration", proto.KindInvalid, "generation %d in the store cannot be read", before)
+				return newError("read configuration", proto.KindInvalid, "generation %d in the store cannot be read", before)
 			}
 			return nil
 		}
 	}
-	return fault("read configuration", proto.KindUnavailable, "it changed at each of %d reads", applyTries)
+	return newError("read configuration", proto.KindUnavailable, "it changed at each of %d reads", applyTries)
 }
 
-func (s *Store) all(ctx context.Context) ([]proto.Change, error) {
+func (s *ConfigStore) all(ctx context.Context) ([]proto.Change, error) {
 	var all []proto.Change
 	for _, prefix := range []string{rowFile, rowStop} {
 		after := ""
@@ -156,15 +156,15 @@
 
 // Conflict says that another change came first.
 type Conflict struct {
-	Name string           `json:"name"`
-	Base proto.Generation `json:"base"`
-	Now  proto.Generation `json:"now"`
-	By   string           `json:"by"`
-	Diff []string         `json:"diff"`
+	Name    string           `json:"name"`
+	Base    proto.Generation `json:"base"`
+	Current proto.Generation `json:"now"`
+	By      string           `json:"by"`
+	Diff    []string         `json:"diff"`
 }
 
-// Applied is the result of a change.
-type Applied struct {
+// ApplyResult is the result of a change.
+type ApplyResult struct {
 	Generation proto.Generation `json:"generation"`
 	ApplyID    string           `json:"applyId"`
 	Unchanged  bool             `json:"unchanged,omitempty"`
@@ -183,27 +183,27 @@
 
 // Apply puts a file in force as a whole, or nothing of it. It fails with KindUnavailable if
 // nothing was written and with KindUnknown if that could not be found out.
-func (s *Store) Apply(ctx context.Context, c *Changes, req ApplyRequest) (Applied, error) {
+func (s *ConfigStore) Apply(ctx context.Context, c *ConfigState, req ApplyRequest) (ApplyResult, error) {
 	file, faults := proto.ReadFile(req.Body)
 	if len(faults) > 0 {
-		return Applied{Faults: faults}, nil
+		return ApplyResult{Faults: faults}, nil
 	}
 	change := proto.Change{
 		Kind: proto.ChangeFile, Name: file.Name, Hash: HashOf(req.Body),
 		ApplyID: cmpOr(req.ApplyID, uuid.NewString()), By: req.By, At: s.clock.Now(), Body: req.Body,
 	}
 	if err := s.platform.Put(ctx, change.Hash, req.Body); err != nil {
-		return Applied{}, &Error{Op: "apply", Kind: proto.KindUnavailable, Err: err}
+		return ApplyResult{}, &Error{Op: "apply", Kind: proto.KindUnavailable, Err: err}
 	}
-	return s.change(ctx, c, change, rowFile+file.Name, func(row *proto.Change, snapshot *proto.Snapshot) *Applied {
+	return s.change(ctx, c, change, rowFile+file.Name, func(row *proto.Change, snapshot *proto.Snapshot) *ApplyResult {
 		if conflict := conflictOf(c, row, req.Base, &change); conflict != nil {
-			return &Applied{Conflict: conflict}
+			return &ApplyResult{Conflict: conflict}
 		}
 		if row != nil && row.Hash == change.Hash {
-			return &Applied{Generation: row.Generation, ApplyID: row.ApplyID, Unchanged: true}
+			return &ApplyResult{Generation: row.Generation, ApplyID: row.ApplyID, Unchanged: true}
 		}
 		if faults := snapshot.CheckFile(file); len(faults) > 0 {
-			return &Applied{Faults: faults}
+			return &ApplyResult{Faults: faults}
 		}
 		return nil
 	})
@@ -216,7 +216,7 @@
 	return b
 }
 
-func conflictOf(c *Changes, row *proto.Change, base *proto.Generation, change *proto.Change) *Conflict {
+func conflictOf(c *ConfigState, row *proto.Change, base *proto.Generation, change *proto.Change) *Conflict {
 	current := proto.Generation(0)
 	by := ""
 	if row != nil {
@@ -226,41 +226,41 @@
 		return nil
 	}
 	old, _ := c.File(change.Name)
-	return &Conflict{Name: change.Name, Base: *base, Now: current, By: by, Diff: diffLines(old.Body, change.Body)}
+	return &Conflict{Name: change.Name, Base: *base, Current: current, By: by, Diff: diffLines(old.Body, change.Body)}
 }
 
 // PlanStop plans or cancels a stop; pools that it would leave without a target are faults unless the plan is forced.
-func (s *Store) PlanStop(ctx context.Context, c *Changes, plan proto.StopPlan, by string) (Applied, error) {
+func (s *ConfigStore) PlanStop(ctx context.Context, c *ConfigState, plan proto.StopPlan, by string) (ApplyResult, error) {
 	change := proto.Change{
 		Kind: proto.ChangeStop, Name: string(plan.VM), ApplyID: cmpOr(plan.ID, uuid.NewString()),
 		By: by, At: s.clock.Now(), Stop: &plan,
 	}
-	return s.change(ctx, c, change, rowStop+string(plan.VM), func(row *proto.Change, snapshot *proto.Snapshot) *Applied {
+	return s.change(ctx, c, change, rowStop+string(plan.VM), func(row *proto.Change, snapshot *proto.Snapshot) *ApplyResult {
 		if plan.At.IsZero() {
 			if row == nil {
-				return &Applied{Faults: []proto.Fault{{Path: "vm", Reason: fmt.Sprintf("%q has no planned stop", plan.VM)}}}
+				return &ApplyResult{Faults: []proto.Fault{{Path: "vm", Reason: fmt.Sprintf("%q has no planned stop", plan.VM)}}}
 			}
 			return nil
 		}
 		if longest := snapshot.LongestDeadline(plan.VM); plan.At.Before(s.clock.Now().Add(longest)) && !plan.Force {
-			return &Applied{Faults: []proto.Fault{{Path: "at", Reason: fmt.Sprintf("is sooner than %s from now, the longest deadline of requests that may be in progress there", longest)}}}
+			return &ApplyResult{Faults: []proto.Fault{{Path: "at", Reason: fmt.Sprintf("is sooner than %s from now, the longest deadline of requests that may be in progress there", longest)}}}
 		}
 		if empty := snapshot.CheckStop(plan); len(empty) > 0 && !plan.Force {
-			return &Applied{Faults: []proto.Fault{{Path: "vm", Reason: "the stop would leave no target in pools " + strings.Join(empty, ", ")}}}
+			return &ApplyResult{Faults: []proto.Fault{{Path: "vm", Reason: "the stop would leave no target in pools " + strings.Join(empty, ", ")}}}
 		}
 		return nil
 	})
 }
 
 // change writes one change; check sees the newest state and can end the change before it is written.
-func (s *Store) change(ctx context.Context, c *Changes, change proto.Change, key string, check func(*proto.Change, *proto.Snapshot) *Applied) (Applied, error) {
+func (s *ConfigStore) change(ctx context.Context, c *ConfigState, change proto.Change, key string, check func(*proto.Change, *proto.Snapshot) *ApplyResult) (ApplyResult, error) {
 	for range applyTries {
 		if err := s.CatchUp(ctx, c); err != nil {
-			return Applied{}, &Error{Op: "apply", Kind: proto.KindUnavailable, Err: err}
+			return ApplyResult{}, &Error{Op: "apply", Kind: proto.KindUnavailable, Err: err}
 		}
 		head, headVersion, err := s.Head(ctx)
 		if err != nil {
-			return Applied{}, &Error{Op: "apply", Kind: proto.KindUnavailable, Err: err}
+			return ApplyResult{}, &Error{Op: "apply", Kind: proto.KindUnavailable, Err: err}
 		}
 		snapshot := c.Snapshot()
 		if snapshot.Generation != head {
@@ -268,10 +268,10 @@
 		}
 		row, rowVersion, err := s.changeAt(ctx, key)
 		if err != nil {
-			return Applied{}, &Error{Op: "apply", Kind: proto.KindUnavailable, Err: err}
+			return ApplyResult{}, &Error{Op: "apply", Kind: proto.KindUnavailable, Err: err}
 		}
 		if row != nil && row.ApplyID == change.ApplyID {
-			return Applied{Generation: row.Generation, ApplyID: row.ApplyID}, nil
+			return ApplyResult{Generation: row.Generation, ApplyID: row.ApplyID}, nil
 		}
 		if ended := check(row, snapshot); ended != nil {
 			return *ended, nil
@@ -281,18 +281,18 @@
 		switch proto.KindOf(err) {
 		case "":
 			c.Take([]proto.Change{change})
-			return Applied{Generation: change.Generation, ApplyID: change.ApplyID}, nil
+			return ApplyResult{Generation: change.Generation, ApplyID: change.ApplyID}, nil
 		case proto.KindConflict:
 			continue
 		case proto.KindUnknown:
 			return s.settle(ctx, c, change, headVersion)
 		}
-		return Applied{}, &Error{Op: "apply", Kind: proto.KindUnavailable, Err: err}
+		return ApplyResult{}, &Error{Op: "apply", Kind: proto.KindUnavailable, Err: err}
 	}
-	return Applied{}, fault("apply", proto.KindUnavailable, "others changed the configuration at each of %d tries", applyTries)
+	return ApplyResult{}, newError("apply", proto.KindUnavailable, "others changed the configuration at each of %d tries", applyTries)
 }
 
-func (s *Store) changeAt(ctx context.Context, key string) (*proto.Change, uint64, error) {
+func (s *ConfigStore) changeAt(ctx context.Context, key string) (*proto.Change, uint64, error) {
 	row, err := s.platform.Read(ctx, key)
 	if err != nil || row.Version == 0 {
 		return nil, 0, err
--- a/coord/beats.go
+++ b/coord/beats.go
@@ -7,8 +7,8 @@
 	"emberlead/proto"
 )
 
-// Heartbeat takes in a sign of life that came over a link.
-func (m *Members) Heartbeat(now time.Time, from proto.VM, beat proto.Heartbeat) {
+// HandleHeartbeat takes in a sign of life that came over a link.
+func (m *Members) HandleHeartbeat(now time.Time, from proto.VM, beat proto.Heartbeat) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	mem := m.members[from]
@@ -22,7 +22,7 @@
 	if beat.Incarnation > mem.alive.Incarnation {
 		// The announcement was lost, or went out before this daemon listened.
 		fresh := mem.alive
-		fresh.Incarnation, fresh.Count, fresh.Stopping = beat.Incarnation, 0, beat.Stopping
+		fresh.Incarnation, fresh.Sequence, fresh.Stopping = beat.Incarnation, 0, beat.Stopping
 		m.alive(now, fresh, from)
 	}
 	mem.lastSeen = now
@@ -30,7 +30,7 @@
 		mem.alarming = false
 		m.raise(now, mem, false)
 	}
-	m.compare(now, mem, beat.Dead)
+	m.compare(now, mem, beat.DeadDigest)
 }
 
 func (m *Members) links() []proto.VM {
@@ -41,7 +41,7 @@
 	m.lastBeat = now
 	beat := m.beat()
 	beat.Incarnation = m.self.Incarnation
-	beat.Dead = m.digest
+	beat.DeadDigest = m.digest
 	m.beats++
 	if m.beats%probeEvery == 0 {
 		m.probe()
@@ -54,8 +54,8 @@
 	}
 }
 
-// Beat sends heartbeats at once, because there is news in them.
-func (m *Members) Beat(now time.Time) {
+// SendHeartbeats sends heartbeats at once, because there is news in them.
+func (m *Members) SendHeartbeats(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.sendBeats(now)
@@ -68,11 +68,11 @@
 	if m.started.IsZero() {
 		m.started = now
 	}
-	if !m.lastTick.IsZero() && now.Sub(m.lastTick) > m.timing.Pause {
+	if !m.lastTick.IsZero() && now.Sub(m.lastTick) > m.timing.PauseThreshold {
 		m.forgive(now)
 	}
 	m.lastTick = now
-	if now.Sub(m.lastBeat) >= m.timing.Heartbeat {
+	if now.Sub(m.lastBeat) >= m.timing.HeartbeatInterval {
 		m.sendBeats(now)
 	}
 	m.viewChanged(now)
@@ -136,7 +136,7 @@
 
 func (m *Members) forget(now time.Time) {
 	for vm, mem := range m.members {
-		if _, listed := m.entries[vm]; mem.dead && !listed && now.Sub(mem.deadAt) > m.timing.Forget {
+		if _, listed := m.entries[vm]; mem.dead && !listed && now.Sub(mem.deadAt) > m.timing.ForgetAfter {
 			delete(m.members, vm)
 			m.changed()
 			delete(m.lastListed, vm)
--- a/coord/bench_test.go
+++ b/coord/bench_test.go
@@ -41,9 +41,9 @@
 	}
 	s.start("entry-0", 1)
 	m := s.members["entry-0"]
-	m.Polled(s.now, list)
+	m.HandleVMList(s.now, list)
 	for vm, zone := range s.zone {
-		m.Alive(s.now, proto.Alive{VM: vm, Zone: zone, Incarnation: 1_700_000_000_000, Count: 1}, vm)
+		m.HandleAlive(s.now, proto.Alive{VM: vm, Zone: zone, Incarnation: 1_700_000_000_000, Sequence: 1}, vm)
 	}
 	return m, s
 }
@@ -62,7 +62,7 @@
 					m.Tick(now)
 				}
 				for _, vm := range links {
-					m.Heartbeat(now, vm, beat)
+					m.HandleHeartbeat(now, vm, beat)
 				}
 				s.queue = s.queue[:0]
 			}
@@ -103,7 +103,7 @@
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{5, 60, 600, 6600} {
 		b.Run(fmt.Sprintf("files=%d", n), func(b *testing.B) {
-			c := NewChanges(nil)
+			c := NewConfigState(nil)
 			take := func(g int, name string) {
 				body := fileBody(name, g%100)
 				c.Take([]proto.Change{{Generation: proto.Generation(g), Kind: proto.ChangeFile, Name: name, Hash: HashOf(body), Body: body}})
@@ -132,7 +132,7 @@
 		b.Run(fmt.Sprintf("files=%d", n), func(b *testing.B) {
 			for b.Loop() {
 				b.ReportMetric(heapOf(func() any {
-					c := NewChanges(nil)
+					c := NewConfigState(nil)
 					var whole []proto.Change
 					for i := range n {
 						name := fmt.Sprintf("f%d", i)
--- a/coord/census.go
+++ b/coord/census.go
@@ -9,23 +9,23 @@
 	"emberlead/state"
 )
 
-// CensusTiming holds the times by which a census counts.
-type CensusTiming struct {
+// ShareTiming holds the times by which a census counts.
+type ShareTiming struct {
 	// Window is the span over which the common limits are counted.
 	Window time.Duration
 	// Lease is how long a daemon may use its share after the last write of its row that the platform has acknowledged.
 	Lease time.Duration
 	// View is how old the last read of the rows may be for this daemon to use its share. A daemon whose VM is new waits
 	// for as long before it uses one, so that all others have read its row by then or use none themselves.
-	View time.Duration
+	MaxReadAge time.Duration
 }
 
-// Census counts the VMs that may be using a share of a limit that all daemons keep together. It never counts too few:
+// ShareTracker counts the VMs that may be using a share of a limit that all daemons keep together. It never counts too few:
 // silence proves nothing, since a daemon that is not heard may go on using its share, so a VM is counted until a read
 // of the platform's rows shows that its lease is over, and its use of the last window with it.
-type Census struct {
+type ShareTracker struct {
 	mu     sync.Mutex
-	timing CensusTiming
+	timing ShareTiming
 	self   proto.VM
 	seen   map[proto.VM]*sharer
 	// row is when the own row that the platform acknowledged last was sent, read when the rows that were read last were
@@ -49,13 +49,13 @@
 	since   time.Time
 }
 
-// NewCensus returns a census that counts only the own VM, which has no share yet.
-func NewCensus(self proto.VM, timing CensusTiming) *Census {
-	return &Census{self: self, timing: timing, seen: map[proto.VM]*sharer{}, first: map[string]bool{}}
+// NewShareTracker returns a census that counts only the own VM, which has no share yet.
+func NewShareTracker(self proto.VM, timing ShareTiming) *ShareTracker {
+	return &ShareTracker{self: self, timing: timing, seen: map[proto.VM]*sharer{}, first: map[string]bool{}}
 }
 
-// Met notes VMs whose daemons have announced themselves.
-func (c *Census) Met(now time.Time, vms ...proto.VM) {
+// ObserveVMs notes VMs whose daemons have announced themselves.
+func (c *ShareTracker) ObserveVMs(now time.Time, vms ...proto.VM) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, vm := range vms {
@@ -63,7 +63,7 @@
 	}
 }
 
-func (c *Census) meet(now time.Time, vm proto.VM) *sharer {
+func (c *ShareTracker) meet(now time.Time, vm proto.VM) *sharer {
 	s := c.seen[vm]
 	if s == nil && vm != c.self {
 		s = &sharer{since: now}
@@ -73,10 +73,10 @@
 	return s
 }
 
-// Begin says since when this run could have a share. A daemon that has just started knows nothing of what its last run
+// Start says since when this run could have a share. A daemon that has just started knows nothing of what its last run
 // used, so it has none until that is out of the window; on a VM that the others may not know, it also waits until all of
 // them have read of it.
-func (c *Census) Begin(now time.Time, known bool) {
+func (c *ShareTracker) Start(now time.Time, known bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.sure.IsZero() {
@@ -85,18 +85,18 @@
 	c.sure = now
 	c.listed = now
 	if !known {
-		c.sure = now.Add(c.timing.View)
+		c.sure = now.Add(c.timing.MaxReadAge)
 	}
 }
 
-// RowAge returns how old the row of a VM may be for its next run to count as known to the others: they count the VM for
+// MaxRowAge returns how old the row of a VM may be for its next run to count as known to the others: they count the VM for
 // as long again.
-func (t CensusTiming) RowAge() time.Duration { return t.Lease / 2 }
+func (t ShareTiming) MaxRowAge() time.Duration { return t.Lease / 2 }
 
-// Restored notes that the platform's store is in a newer era: it was restored from a copy. Rows that were written since the copy
+// StoreRestored notes that the platform's store is in a newer era: it was restored from a copy. Rows that were written since the copy
 // are gone, the own one and those of VMs that were never read here among them, and not all daemons know that yet. So this one has no
 // share until its row was written anew, and until all that rely on rows of the earlier era have read none for too long.
-func (c *Census) Restored(now time.Time, era uint64) {
+func (c *ShareTracker) StoreRestored(now time.Time, era uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if era <= c.era {
@@ -105,20 +105,20 @@
 	c.era = era
 	c.row, c.read, c.listed = time.Time{}, time.Time{}, time.Time{}
 	if !c.sure.IsZero() {
-		c.sure = later(c.sure, now.Add(c.timing.View))
+		c.sure = later(c.sure, now.Add(c.timing.MaxReadAge))
 	}
 }
 
-// Wrote notes that the platform acknowledged the own row in an era of its store; the row was sent at a time.
-func (c *Census) Wrote(sent time.Time, era uint64) {
+// RowWritten notes that the platform acknowledged the own row in an era of its store; the row was sent at a time.
+func (c *ShareTracker) RowWritten(sent time.Time, era uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if era < c.era {
 		return
 	}
-	if sent.Sub(c.listed) > c.timing.RowAge() {
+	if sent.Sub(c.listed) > c.timing.MaxRowAge() {
 		// Others may have ceased to count this VM, and have to read of it first.
-		c.sure = later(c.sure, sent.Add(c.timing.View))
+		c.sure = later(c.sure, sent.Add(c.timing.MaxReadAge))
 	}
 	c.row, c.listed = sent, sent
 }
@@ -130,9 +130,9 @@
 	return a
 }
 
-// Read takes in all rows, with their versions, as of a moment after asked in an era of the store, and returns the VMs that are counted no more:
+// ObserveRows takes in all rows, with their versions, as of a moment after asked in an era of the store, and returns the VMs that are counted no more:
 // their rows have not changed for so long that their leases are over.
-func (c *Census) Read(asked, now time.Time, era uint64, rows map[proto.VM]proto.Revision) (over []proto.VM) {
+func (c *ShareTracker) ObserveRows(asked, now time.Time, era uint64, rows map[proto.VM]proto.Revision) (over []proto.VM) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if era < c.era {
@@ -161,7 +161,7 @@
 // Share is a daemon's part of a limit that all daemons keep together.
 type Share struct {
 	// Counted is the number of VMs that are counted, the own one included.
-	Counted int
+	VMCount int
 	// Usable says that this daemon may use its part, one of Counted equal ones; Reason says why not.
 	Usable bool
 	Reason ShareReason
@@ -185,22 +185,22 @@
 )
 
 // Share returns the own part of a common limit.
-func (c *Census) Share(now time.Time) Share {
+func (c *ShareTracker) Share(now time.Time) Share {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := Share{Counted: len(c.seen) + 1, RowAge: now.Sub(c.row), ReadAge: now.Sub(c.read), Reason: c.reason(now, c.timing.Window)}
+	s := Share{VMCount: len(c.seen) + 1, RowAge: now.Sub(c.row), ReadAge: now.Sub(c.read), Reason: c.reason(now, c.timing.Window)}
 	s.Usable = s.Reason == ShareFull
 	return s
 }
 
 // reason tells why this daemon may not use now what is counted over a window.
-func (c *Census) reason(now time.Time, window time.Duration) ShareReason {
+func (c *ShareTracker) reason(now time.Time, window time.Duration) ShareReason {
 	switch {
 	case c.sure.IsZero() || now.Before(c.sure.Add(window)):
 		return ShareStarting
 	case c.row.IsZero() || now.Sub(c.row) > c.timing.Lease:
 		return ShareUnlisted
-	case c.read.IsZero() || now.Sub(c.read) > c.timing.View:
+	case c.read.IsZero() || now.Sub(c.read) > c.timing.MaxReadAge:
 		return ShareUnread
 	}
 	return ShareFull
@@ -209,11 +209,11 @@
 // tasksKept bounds for how many tasks it is remembered whether the own VM comes first; a task is named for each cold target.
 const tasksKept = 20_000
 
-// Sole tells whether this daemon may do now what only one of all daemons may do at a time, in touch with the others or not: its
+// OwnsExclusively tells whether this daemon may do now what only one of all daemons may do at a time, in touch with the others or not: its
 // VM comes first for the task of all that are counted. Each daemon that may use anything is counted by all others that may, so
 // two never hold this at once; and after another one held it, at least the settling time passes. A VM that has died for good keeps
 // its tasks until its lease is over, and nobody does them until then.
-func (c *Census) Sole(now time.Time, task string, settle time.Duration) bool {
+func (c *ShareTracker) OwnsExclusively(now time.Time, task string, settle time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.reason(now, settle) != ShareFull {
@@ -230,11 +230,11 @@
 	return first
 }
 
-func (c *Census) comesFirst(task string) bool {
+func (c *ShareTracker) comesFirst(task string) bool {
 	hash := state.Hash(task)
-	own := state.Rank(hash, state.Hash(string(c.self)))
+	own := state.RendezvousScore(hash, state.Hash(string(c.self)))
 	for vm := range c.seen {
-		other := state.Rank(hash, state.Hash(string(vm)))
+		other := state.RendezvousScore(hash, state.Hash(string(vm)))
 		if other > own || other == own && vm < c.self {
 			return false
 		}
--- a/coord/census_test.go
+++ b/coord/census_test.go
@@ -15,7 +15,7 @@
 )
 
 var (
-	censusTiming = CensusTiming{Window: 11 * time.Second, Lease: 10 * time.Minute, View: 45 * time.Second}
+	censusTiming = ShareTiming{Window: 11 * time.Second, Lease: 10 * time.Minute, MaxReadAge: 45 * time.Second}
 	censusStart  = time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC)
 )
 
@@ -29,63 +29,63 @@
 }
 
 // settledCensus is that of a daemon which has run for long among others.
-func settledCensus(self proto.VM, others ...proto.VM) *Census {
-	c := NewCensus(self, censusTiming)
+func settledCensus(self proto.VM, others ...proto.VM) *ShareTracker {
+	c := NewShareTracker(self, censusTiming)
 	early := censusStart.Add(-time.Hour)
-	c.Begin(early, true)
+	c.Start(early, true)
 	for at := early; !at.After(censusStart); at = at.Add(time.Minute) {
 		rows := map[proto.VM]uint64{self: uint64(at.Unix())}
 		for _, vm := range others {
 			rows[vm] = uint64(at.Unix())
 		}
-		c.Wrote(at, 0)
-		c.Read(at, at, 0, revisions(rows))
+		c.RowWritten(at, 0)
+		c.ObserveRows(at, at, 0, revisions(rows))
 	}
 	return c
 }
 
-func wantShare(t *testing.T, c *Census, at time.Time, counted int, reason ShareReason) {
+func wantShare(t *testing.T, c *ShareTracker, at time.Time, counted int, reason ShareReason) {
 	t.Helper()
-	if s := c.Share(at); s.Counted != counted || s.Reason != reason || s.Usable != (reason == ShareFull) {
+	if s := c.Share(at); s.VMCount != counted || s.Reason != reason || s.Usable != (reason == ShareFull) {
 		t.Errorf("share %+v, want %d counted and reason %q", s, counted, reason)
 	}
 }
 
 func TestAStartedDaemonHasNoShareUntilWhatItSpentIsOver(t *testing.T) {
-	c := NewCensus("a", censusTiming)
-	c.Begin(censusStart, true)
-	c.Wrote(censusStart, 0)
-	c.Read(censusStart, censusStart, 0, revisions(map[proto.VM]uint64{"a": 1, "b": 2}))
+	c := NewShareTracker("a", censusTiming)
+	c.Start(censusStart, true)
+	c.RowWritten(censusStart, 0)
+	c.ObserveRows(censusStart, censusStart, 0, revisions(map[proto.VM]uint64{"a": 1, "b": 2}))
 	wantShare(t, c, censusStart, 2, ShareStarting)
 	wantShare(t, c, censusStart.Add(10*time.Second), 2, ShareStarting)
 	wantShare(t, c, censusStart.Add(11*time.Second), 2, ShareFull)
 }
 
 func TestADaemonThatNobodyKnowsWaitsUntilAllHaveReadOfIt(t *testing.T) {
-	c := NewCensus("a", censusTiming)
-	c.Begin(censusStart, false)
-	c.Wrote(censusStart, 0)
+	c := NewShareTracker("a", censusTiming)
+	c.Start(censusStart, false)
+	c.RowWritten(censusStart, 0)
 	for _, at := range []time.Duration{0, 20 * time.Second, 40 * time.Second} {
-		c.Read(censusStart.Add(at), censusStart.Add(at), 0, revisions(map[proto.VM]uint64{"a": 1}))
+		c.ObserveRows(censusStart.Add(at), censusStart.Add(at), 0, revisions(map[proto.VM]uint64{"a": 1}))
 	}
 	wantShare(t, c, censusStart.Add(55*time.Second), 1, ShareStarting)
 	wantShare(t, c, censusStart.Add(56*time.Second), 1, ShareFull)
 }
 
 func TestADaemonThatHasMetNobodyHasNoShare(t *testing.T) {
-	c := NewCensus("a", censusTiming)
+	c := NewShareTracker("a", censusTiming)
 	wantShare(t, c, censusStart.Add(time.Hour), 1, ShareStarting)
-	c.Begin(censusStart, true)
+	c.Start(censusStart, true)
 	wantShare(t, c, censusStart.Add(time.Hour), 1, ShareUnlisted)
-	c.Wrote(censusStart.Add(time.Second), 0)
+	c.RowWritten(censusStart.Add(time.Second), 0)
 	wantShare(t, c, censusStart.Add(20*time.Second), 1, ShareUnread)
 }
 
 func TestSilenceDoesNotGiveTheShareOfTheDead(t *testing.T) {
 	c := settledCensus("a", "b", "c")
 	for at := censusStart; at.Before(censusStart.Add(10 * time.Minute)); at = at.Add(20 * time.Second) {
-		c.Wrote(at, 0)
-		c.Read(at, at, 0, revisions(map[proto.VM]uint64{"a": 1, "b": uint64(at.Unix()), "c": uint64(censusStart.Unix())}))
+		c.RowWritten(at, 0)
+		c.ObserveRows(at, at, 0, revisions(map[proto.VM]uint64{"a": 1, "b": uint64(at.Unix()), "c": uint64(censusStart.Unix())}))
 		wantShare(t, c, at, 3, ShareFull)
 	}
 }
@@ -93,9 +93,9 @@
 func TestAVMWhoseLeaseIsOverIsNotCounted(t *testing.T) {
 	c := settledCensus("a", "b", "c")
 	after := censusStart.Add(censusTiming.Lease + censusTiming.Window + time.Second)
-	c.Wrote(censusStart.Add(censusTiming.Lease/3), 0)
-	c.Wrote(censusStart.Add(censusTiming.Lease*2/3), 0)
-	over := c.Read(after, after, 0, revisions(map[proto.VM]uint64{"a": 1, "b": 7, "c": uint64(censusStart.Unix())}))
+	c.RowWritten(censusStart.Add(censusTiming.Lease/3), 0)
+	c.RowWritten(censusStart.Add(censusTiming.Lease*2/3), 0)
+	over := c.ObserveRows(after, after, 0, revisions(map[proto.VM]uint64{"a": 1, "b": 7, "c": uint64(censusStart.Unix())}))
 	if len(over) != 1 || over[0] != "c" {
 		t.Errorf("over: %v", over)
 	}
@@ -107,20 +107,20 @@
 	wantShare(t, c, censusStart.Add(45*time.Second), 2, ShareFull)
 	wantShare(t, c, censusStart.Add(46*time.Second), 2, ShareUnread)
 	at := censusStart.Add(10*time.Minute + time.Second)
-	c.Read(at, at, 0, revisions(map[proto.VM]uint64{"a": 1, "b": 2}))
+	c.ObserveRows(at, at, 0, revisions(map[proto.VM]uint64{"a": 1, "b": 2}))
 	wantShare(t, c, at, 2, ShareUnlisted)
 	// The others may have ceased to count it, so it starts like a new one.
-	c.Wrote(at, 0)
+	c.RowWritten(at, 0)
 	wantShare(t, c, at, 2, ShareStarting)
 	late := at.Add(56 * time.Second)
-	c.Read(late, late, 0, revisions(map[proto.VM]uint64{"a": 1, "b": 3}))
+	c.ObserveRows(late, late, 0, revisions(map[proto.VM]uint64{"a": 1, "b": 3}))
 	wantShare(t, c, late, 2, ShareFull)
 }
 
 func TestAShareShrinksAtOnceWhenSomebodyIsMet(t *testing.T) {
 	c := settledCensus("a", "b")
 	wantShare(t, c, censusStart, 2, ShareFull)
-	c.Met(censusStart, "d")
+	c.ObserveVMs(censusStart, "d")
 	wantShare(t, c, censusStart, 3, ShareFull)
 }
 
@@ -184,7 +184,7 @@
 	for i := range 6 {
 		task := fmt.Sprint("task-", i)
 		for vm, d := range w.alive {
-			if w.now.Before(d.pausing) || !d.census.Sole(w.now, task, taskSettle) {
+			if w.now.Before(d.pausing) || !d.census.OwnsExclusively(w.now, task, taskSettle) {
 				continue
 			}
 			if last, done := w.sole[task]; done && last.vm != vm && w.now.Sub(last.at) < taskSettle {
@@ -198,7 +198,7 @@
 }
 
 type censusDaemon struct {
-	census          *Census
+	census          *ShareTracker
 	read, wrote     time.Time
 	era             uint64
 	marked          bool
@@ -224,7 +224,7 @@
 func vmName(i int) proto.VM { return proto.VM(fmt.Sprintf("vm-%02d", i)) }
 
 func (w *censusWorld) start(vm proto.VM) {
-	w.alive[vm] = &censusDaemon{census: NewCensus(vm, censusTiming)}
+	w.alive[vm] = &censusDaemon{census: NewShareTracker(vm, censusTiming)}
 }
 
 // list does what a daemon does with the rows when it reaches the store.
@@ -235,12 +235,12 @@
 	if d.read.IsZero() || w.now.Sub(d.read) >= 20*time.Second {
 		w.seesEra(d)
 		_, listed := w.rows[vm]
-		d.census.Begin(w.now, listed && w.marked[vm] == w.era && w.now.Sub(w.wrote[vm]) < censusTiming.RowAge())
+		d.census.Start(w.now, listed && w.marked[vm] == w.era && w.now.Sub(w.wrote[vm]) < censusTiming.MaxRowAge())
 		rows := map[proto.VM]uint64{}
 		for other, version := range w.rows {
 			rows[other] = version
 		}
-		for _, gone := range d.census.Read(w.now, w.now, w.era, revisions(rows)) {
+		for _, gone := range d.census.ObserveRows(w.now, w.now, w.era, revisions(rows)) {
 			delete(w.rows, gone)
 		}
 		d.read = w.now
@@ -255,7 +255,7 @@
 			w.marked[vm] = w.era
 		}
 		d.wrote, d.marked = w.now, usable
-		d.census.Wrote(w.now, w.era)
+		d.census.RowWritten(w.now, w.era)
 	}
 }
 
@@ -265,7 +265,7 @@
 		return
 	}
 	d.era = w.era
-	d.census.Restored(w.now, w.era)
+	d.census.StoreRestored(w.now, w.era)
 	d.wrote, d.marked = time.Time{}, false
 }
 
@@ -294,7 +294,7 @@
 func (w *censusWorld) share() float64 {
 	for vm, d := range w.alive {
 		if s := d.census.Share(w.now); s.Usable && !w.now.Before(d.pausing) {
-			w.used[vm] = append(w.used[vm], usedPart{w.now, 1 / float64(s.Counted)})
+			w.used[vm] = append(w.used[vm], usedPart{w.now, 1 / float64(s.VMCount)})
 		}
 	}
 	sum := 0.0
@@ -378,7 +378,7 @@
 		task := fmt.Sprint("task-", i)
 		doing := 0
 		for _, vm := range vms {
-			if settledCensus(vm, vms...).Sole(censusStart, task, taskSettle) {
+			if settledCensus(vm, vms...).OwnsExclusively(censusStart, task, taskSettle) {
 				doing++
 				counts[vm]++
 			}
@@ -399,27 +399,27 @@
 func TestARestoredStoreProvesNothingOfBefore(t *testing.T) {
 	c := settledCensus("a", "b")
 	wantShare(t, c, censusStart, 2, ShareFull)
-	c.Restored(censusStart, 2)
+	c.StoreRestored(censusStart, 2)
 	wantShare(t, c, censusStart, 2, ShareStarting)
-	c.Wrote(censusStart.Add(-time.Second), 1)
-	c.Read(censusStart, censusStart, 1, revisions(map[proto.VM]uint64{"a": 1}))
-	past := censusStart.Add(censusTiming.View + censusTiming.Window)
+	c.RowWritten(censusStart.Add(-time.Second), 1)
+	c.ObserveRows(censusStart, censusStart, 1, revisions(map[proto.VM]uint64{"a": 1}))
+	past := censusStart.Add(censusTiming.MaxReadAge + censusTiming.Window)
 	wantShare(t, c, past, 2, ShareUnlisted)
 	rewritten := censusStart.Add(10 * time.Second)
-	c.Wrote(rewritten, 2)
-	c.Read(rewritten, rewritten, 2, revisions(map[proto.VM]uint64{"a": 9}))
+	c.RowWritten(rewritten, 2)
+	c.ObserveRows(rewritten, rewritten, 2, revisions(map[proto.VM]uint64{"a": 9}))
 	wantShare(t, c, past, 2, ShareStarting)
-	usable := rewritten.Add(censusTiming.View + censusTiming.Window)
-	c.Read(usable, usable, 2, revisions(map[proto.VM]uint64{"a": 9}))
+	usable := rewritten.Add(censusTiming.MaxReadAge + censusTiming.Window)
+	c.ObserveRows(usable, usable, 2, revisions(map[proto.VM]uint64{"a": 9}))
 	wantShare(t, c, usable, 2, ShareFull)
-	c.Restored(usable, 2)
+	c.StoreRestored(usable, 2)
 	wantShare(t, c, usable, 2, ShareFull)
 	// A row may have been on its way when the store came back.
-	c.Restored(usable, 3)
-	c.Wrote(usable.Add(-time.Second), 3)
-	c.Read(usable, usable, 3, revisions(map[proto.VM]uint64{"a": 9}))
-	next := usable.Add(censusTiming.View + censusTiming.Window)
-	c.Read(next, next, 3, revisions(map[proto.VM]uint64{"a": 9}))
+	c.StoreRestored(usable, 3)
+	c.RowWritten(usable.Add(-time.Second), 3)
+	c.ObserveRows(usable, usable, 3, revisions(map[proto.VM]uint64{"a": 9}))
+	next := usable.Add(censusTiming.MaxReadAge + censusTiming.Window)
+	c.ObserveRows(next, next, 3, revisions(map[proto.VM]uint64{"a": 9}))
 	wantShare(t, c, next.Add(-time.Millisecond), 2, ShareStarting)
 	wantShare(t, c, next, 2, ShareFull)
 }
--- a/coord/changes.go
+++ b/coord/changes.go
@@ -20,8 +20,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Changes is one daemon's copy of the accepted configuration. Its generation never goes down.
-type Changes struct {
+// ConfigState is one daemon's copy of the accepted configuration. Its generation never goes down.
+type ConfigState struct {
 	mu       sync.Mutex
 	snapshot *proto.Snapshot
 	files    map[string]proto.Change // the newest change of each file, with its body
@@ -32,9 +32,9 @@
 	refused  int64
 }
 
-// NewChanges returns a copy of generation 0 that does not know yet what was accepted.
-func NewChanges(adopted func(*proto.Snapshot)) *Changes {
-	return &Changes{
+// NewConfigState returns a copy of generation 0 that does not know yet what was accepted.
+func NewConfigState(adopted func(*proto.Snapshot)) *ConfigState {
+	return &ConfigState{
 		snapshot: proto.EmptySnapshot(),
 		files:    map[string]proto.Change{},
 		stops:    map[proto.VM]proto.Change{},
@@ -43,24 +43,24 @@
 }
 
 // Snapshot returns what is in force here.
-func (c *Changes) Snapshot() *proto.Snapshot {
+func (c *ConfigState) Snapshot() *proto.Snapshot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.snapshot
 }
 
 // Generation returns the generation in force here.
-func (c *Changes) Generation() proto.Generation { return c.Snapshot().Generation }
+func (c *ConfigState) Generation() proto.Generation { return c.Snapshot().Generation }
 
-// Known tells whether the daemon has learnt what was accepted, from the store or from a peer that knew.
-func (c *Changes) Known() bool {
+// Synced tells whether the daemon has learnt what was accepted, from the store or from a peer that knew.
+func (c *ConfigState) Synced() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.known
 }
 
 // Learnt marks that the store or a peer has told this daemon the accepted generation and it has it.
-func (c *Changes) Learnt(generation proto.Generation) {
+func (c *ConfigState) Learnt(generation proto.Generation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.snapshot.Generation >= generation {
@@ -69,7 +69,7 @@
 }
 
 // File returns the newest change of a file, with its body.
-func (c *Changes) File(name string) (proto.Change, bool) {
+func (c *ConfigState) File(name string) (proto.Change, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	change, ok := c.files[name]
@@ -77,7 +77,7 @@
 }
 
 // Files returns the newest change of every file.
-func (c *Changes) Files() map[string]proto.Change {
+func (c *ConfigState) Files() map[string]proto.Change {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	copied := make(map[string]proto.Change, len(c.files))
@@ -88,7 +88,7 @@
 }
 
 // Take adopts the changes that follow the own generation in order; it returns false if one is missing or does not match its hash.
-func (c *Changes) Take(changes []proto.Change) bool {
+func (c *ConfigState) Take(changes []proto.Change) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	next := c.snapshot
@@ -113,7 +113,7 @@
 	return true
 }
 
-func (c *Changes) publish(next *proto.Snapshot) {
+func (c *ConfigState) publish(next *proto.Snapshot) {
 	if next == c.snapshot {
 		return
 	}
@@ -123,7 +123,7 @@
 	}
 }
 
-func (c *Changes) step(from *proto.Snapshot, change proto.Change) (*proto.Snapshot, bool) {
+func (c *ConfigState) step(from *proto.Snapshot, change proto.Change) (*proto.Snapshot, bool) {
 	switch change.Kind {
 	case proto.ChangeFile:
 		if HashOf(change.Body) != change.Hash {
@@ -147,7 +147,7 @@
 	return nil, false
 }
 
-func (c *Changes) noteStop(change proto.Change) {
+func (c *ConfigState) noteStop(change proto.Change) {
 	if change.Stop.At.IsZero() {
 		delete(c.stops, change.Stop.VM)
 		return
@@ -155,7 +155,7 @@
 	c.stops[change.Stop.VM] = change
 }
 
-func (c *Changes) remember(change proto.Change) {
+func (c *ConfigState) remember(change proto.Change) {
 	c.recent = append(c.recent, change)
 	if len(c.recent) > keptChanges {
 		c.recent = append([]proto.Change(nil), c.recent[len(c.recent)-keptChanges/2:]...)
@@ -163,14 +163,14 @@
 }
 
 // TakeWhole adopts a whole state; one that is not newer is ignored.
-func (c *Changes) TakeWhole(generation proto.Generation, changes []proto.Change) bool {
+func (c *ConfigState) TakeWhole(generation proto.Generation, changes []proto.Change) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if generation <= c.snapshot.Generation {
 		return true
 	}
 	snapshot := proto.EmptySnapshot()
-	fresh := &Changes{files: map[string]proto.Change{}, stops: map[proto.VM]proto.Change{}}
+	fresh := &ConfigState{files: map[string]proto.Change{}, stops: map[proto.VM]proto.Change{}}
 	for _, change := range changes {
 		stepped, ok := fresh.step(snapshot, change)
 		if !ok {
@@ -187,7 +187,7 @@
 }
 
 // After answers a daemon that has a lower generation, with the changes if they are still kept and else with the whole state.
-func (c *Changes) After(generation proto.Generation) proto.ChangesAnswer {
+func (c *ConfigState) After(generation proto.Generation) proto.ChangesAnswer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	answer := proto.ChangesAnswer{Generation: c.snapshot.Generation}
@@ -202,7 +202,7 @@
 		}
 		return answer
 	}
-	answer.Whole = true
+	answer.Full = true
 	for _, change := range c.files {
 		answer.Changes = append(answer.Changes, change)
 	}
--- a/coord/changes_test.go
+++ b/coord/changes_test.go
@@ -29,8 +29,8 @@
 	random   *rand.Rand
 	clock    *clockwork.FakeClock
 	fake     *fakes.Store
-	stores   []*Store
-	copies   []*Changes
+	stores   []*ConfigStore
+	copies   []*ConfigState
 	highest  []proto.Generation
 	accepted map[proto.Generation]string // by apply id
 	content  map[string]string           // hash by file, as of the last accepted change
@@ -44,7 +44,7 @@
 		accepted: map[proto.Generation]string{}, content: map[string]string{}, contentG: map[string]proto.Generation{},
 	}
 	for i := range 3 {
-		s.stores = append(s.stores, NewStore(s.fake.For(fmt.Sprint(i)), s.clock))
+		s.stores = append(s.stores, NewConfigStore(s.fake.For(fmt.Sprint(i)), s.clock))
 		s.copies = append(s.copies, nil)
 		s.highest = append(s.highest, 0)
 		s.restart(i)
@@ -54,7 +54,7 @@
 
 func (s *configSim) restart(i int) {
 	s.highest[i] = 0
-	s.copies[i] = NewChanges(func(snapshot *proto.Snapshot) {
+	s.copies[i] = NewConfigState(func(snapshot *proto.Snapshot) {
 		if snapshot.Generation <= s.highest[i] {
 			s.bad = append(s.bad, fmt.Sprintf("generation %d came into force after %d", snapshot.Generation, s.highest[i]))
 		}
@@ -113,7 +113,7 @@
 	case 5, 6:
 		// A peer's answer, sometimes of long ago.
 		answer := s.copies[j].After(s.copies[i].Generation() / proto.Generation(1+s.random.IntN(2)))
-		if answer.Whole {
+		if answer.Full {
 			s.copies[i].TakeWhole(answer.Generation, answer.Changes)
 		} else {
 			s.copies[i].Take(answer.Changes)
@@ -171,8 +171,8 @@
 func TestConflictNamesTheDifference(t *testing.T) {
 	fake := fakes.NewStore()
 	clock := clockwork.NewFakeClock()
-	one, two := NewStore(fake.For("1"), clock), NewStore(fake.For("2"), clock)
-	c1, c2 := NewChanges(nil), NewChanges(nil)
+	one, two := NewConfigStore(fake.For("1"), clock), NewConfigStore(fake.For("2"), clock)
+	c1, c2 := NewConfigState(nil), NewConfigState(nil)
 	ctx := context.Background()
 	first, err := one.Apply(ctx, c1, ApplyRequest{Body: fileBody("a", 1), By: "ada"})
 	if err != nil || first.Generation != 1 {
@@ -185,7 +185,7 @@
 	if err != nil || lost.Conflict == nil {
 		t.Fatalf("%+v %v", lost, err)
 	}
-	if c := lost.Conflict; c.By != "ada" || c.Now != 2 || len(c.Diff) != 2 {
+	if c := lost.Conflict; c.By != "ada" || c.Current != 2 || len(c.Diff) != 2 {
 		t.Fatalf("%+v", c)
 	}
 }
@@ -193,8 +193,8 @@
 // A write whose answer was lost must not take effect after the operator was told that it did not.
 func TestLateWriteIsFenced(t *testing.T) {
 	fake := fakes.NewStore()
-	store := NewStore(&delayed{Client: fake.For("1")}, clockwork.NewFakeClock())
-	c := NewChanges(nil)
+	store := NewConfigStore(&delayed{Client: fake.For("1")}, clockwork.NewFakeClock())
+	c := NewConfigState(nil)
 	_, err := store.Apply(context.Background(), c, ApplyRequest{Body: fileBody("a", 1)})
 	if proto.KindOf(err) != proto.KindUnavailable {
 		t.Fatalf("told %v", err)
@@ -215,7 +215,7 @@
 func (d *delayed) Transact(ctx context.Context, tx proto.Transaction) error {
 	if !d.taken {
 		d.held, d.taken = tx, true
-		return fault("transact", proto.KindUnknown, "the answer was lost")
+		return newError("transact", proto.KindUnknown, "the answer was lost")
 	}
 	return d.Client.Transact(ctx, tx)
 }
@@ -226,7 +226,7 @@
 		body := fileBody("a", int(g))
 		return proto.Change{Generation: g, Kind: proto.ChangeFile, Name: "a", Hash: HashOf(body), Body: body}
 	}
-	c := NewChanges(nil)
+	c := NewConfigState(nil)
 	if c.Take([]proto.Change{change(2)}) || c.Generation() != 0 {
 		t.Fatalf("generation %d after a gap", c.Generation())
 	}
--- a/coord/claim.go
+++ b/coord/claim.go
@@ -224,7 +224,7 @@
 		return held.claim
 	}
 	c.tries++
-	return proto.ClaimID{Holder: c.self.VM, Incarnation: c.self.Incarnation, Request: request, Try: c.tries}
+	return proto.ClaimID{Holder: c.self.VM, Incarnation: c.self.Incarnation, Request: request, Attempt: c.tries}
 }
 
 func (c *Claimer) ask(ctx context.Context, member proto.RosterMember, ask proto.ClaimAsk, replies chan<- reply) {
@@ -233,13 +233,13 @@
 		return
 	}
 	if c.dead(member.VM, member.Incarnation) {
-		replies <- reply{from: member.VM, err: fault("claim", proto.KindUnavailable, "%s looks dead", member.VM)}
+		replies <- reply{from: member.VM, err: newError("claim", proto.KindUnavailable, "%s looks dead", member.VM)}
 		return
 	}
 	m, err := c.peers.Call(ctx, member.VM, ask)
 	answer, ok := m.(proto.ClaimAnswer)
 	if err == nil && !ok {
-		err = fault("claim", proto.KindInvalid, "%s answered with another message", member.VM)
+		err = newError("claim", proto.KindInvalid, "%s answered with another message", member.VM)
 	}
 	replies <- reply{from: member.VM, answer: answer, err: err}
 }
--- a/coord/claims_test.go
+++ b/coord/claims_test.go
@@ -214,7 +214,7 @@
 	key := s.keys[s.random.IntN(len(s.keys))]
 	index := SlotOf(key, len(roster.Slots))
 	c := &simClaim{holder: v, key: key, index: index, slot: roster.Slots[index]}
-	c.id = proto.ClaimID{Holder: v.self.VM, Incarnation: v.self.Incarnation, Try: s.request}
+	c.id = proto.ClaimID{Holder: v.self.VM, Incarnation: v.self.Incarnation, Attempt: s.request}
 	c.round = NewRound(len(c.slot.Group))
 	if s.without == withoutMajority {
 		c.round = NewRound(1)
@@ -434,12 +434,12 @@
 	group := []proto.RosterMember{member("a"), member("b"), member("c")}
 	a.Adopt(proto.Roster{Epoch: 1, Slots: []proto.Slot{{Group: group, Since: 1, Forced: true}}})
 	ask := func(n byte) proto.ClaimAsk {
-		return proto.ClaimAsk{Since: 1, Key: proto.KeyAt(now, [10]byte{n}), Claim: proto.ClaimID{Holder: "e", Try: int(n)}}
+		return proto.ClaimAsk{Since: 1, Key: proto.KeyAt(now, [10]byte{n}), Claim: proto.ClaimID{Holder: "e", Attempt: int(n)}}
 	}
 	if got := a.Claim(now, ask(1)).Result; got != proto.ClaimGranted {
 		t.Fatalf("before: %d", got)
 	}
-	handed := a.Transfer(proto.TransferAsk{Since: 2, Old: 1})
+	handed := a.Transfer(proto.TransferAsk{Since: 2, PreviousSince: 1})
 	if !handed.Ready || len(handed.Records) != 1 {
 		t.Fatalf("handed over %+v", handed)
 	}
@@ -457,10 +457,10 @@
 	a.Adopt(proto.Roster{Epoch: 2, Slots: []proto.Slot{{Group: group, Since: 2, Previous: before, PreviousSince: 1}}})
 	next := []proto.RosterMember{member("a"), member("b"), member("d")}
 	a.Adopt(proto.Roster{Epoch: 3, Slots: []proto.Slot{{Group: next, Since: 3, Previous: group, PreviousSince: 2}}})
-	if got := a.Transfer(proto.TransferAsk{Since: 3, Old: 2}); got.Ready {
+	if got := a.Transfer(proto.TransferAsk{Since: 3, PreviousSince: 2}); got.Ready {
 		t.Fatal("a slot that was never read was handed over")
 	}
-	ask := proto.TransferAsk{Since: 3, Old: 2}
+	ask := proto.TransferAsk{Since: 3, PreviousSince: 2}
 	if a.TakeTransfer(ask, member("b"), proto.TransferAnswer{Ready: true}) {
 		t.Fatal("one of three is no majority, since its own claims do not count")
 	}
--- a/coord/collect.go
+++ b/coord/collect.go
@@ -23,8 +23,8 @@
 	return vms
 }
 
-// CollectorOf returns the daemon that reads a target's load: one of its zone, else of its region, else any.
-func CollectorOf(target *proto.Target, live []proto.Alive) (proto.VM, bool) {
+// LoadCollector returns the daemon that reads a target's load: one of its zone, else of its region, else any.
+func LoadCollector(target *proto.Target, live []proto.Alive) (proto.VM, bool) {
 	near := []func(proto.Alive) bool{
 		func(a proto.Alive) bool { return a.Zone == target.Zone },
 		func(a proto.Alive) bool { return a.Zone.Region() == target.Zone.Region() },
@@ -76,8 +76,8 @@
 	return 2
 }
 
-// UsageCollectorOf returns the daemon of a region that sums up what is spent for a workspace.
-func UsageCollectorOf(workspace, region string, live []proto.Alive) (proto.VM, bool) {
+// UsageCollector returns the daemon of a region that sums up what is spent for a workspace.
+func UsageCollector(workspace, region string, live []proto.Alive) (proto.VM, bool) {
 	vms := vmsOf(live, func(a proto.Alive) bool { return a.Zone.Region() == region })
 	buckets := max(1, len(vms)/2)
 	bucket := xxhash.Sum64String(workspace) % uint64(buckets)
--- a/coord/growth_test.go
+++ b/coord/growth_test.go
@@ -42,7 +42,7 @@
 	s.start(vm, run)
 	for _, seed := range s.order[:3] {
 		if seed != vm {
-			s.members[vm].Alive(s.now, proto.Alive{VM: seed, Zone: s.zone[seed], Incarnation: 1, Count: 1}, "")
+			s.members[vm].HandleAlive(s.now, proto.Alive{VM: seed, Zone: s.zone[seed], Incarnation: 1, Sequence: 1}, "")
 		}
 	}
 }
--- a/coord/listed.go
+++ b/coord/listed.go
@@ -13,14 +13,14 @@
 	if mem := m.members[vm]; mem != nil && mem.alive.Incarnation > incarnation {
 		return true
 	}
-	if m.firstList.IsZero() || now.Sub(m.lastList) > m.timing.Lag {
+	if m.firstList.IsZero() || now.Sub(m.lastList) > m.timing.MaxListLag {
 		return false
 	}
 	since := m.firstList
 	if seen := m.lastListed[vm]; seen.After(since) {
 		since = seen
 	}
-	return now.Sub(since) > m.timing.Lag
+	return now.Sub(since) > m.timing.MaxListLag
 }
 
 // IsListed tells whether the platform lists the VM, as far as this daemon knows.
@@ -42,8 +42,8 @@
 // more than others, and their readers must not contradict each other in turn.
 const holdFor = 10 * time.Second
 
-// Polled takes in an own read of the platform's list, and passes on what changed.
-func (m *Members) Polled(now time.Time, list proto.VMList) {
+// HandleVMList takes in an own read of the platform's list, and passes on what changed.
+func (m *Members) HandleVMList(now time.Time, list proto.VMList) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.lastList = now
@@ -64,8 +64,8 @@
 	m.takeListed(now, change, m.self.VM, true)
 }
 
-// Listed takes in what another daemon read, and passes on what was news here.
-func (m *Members) Listed(now time.Time, change proto.Listed, from proto.VM) {
+// HandleListed takes in what another daemon read, and passes on what was news here.
+func (m *Members) HandleListed(now time.Time, change proto.Listed, from proto.VM) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.takeListed(now, change, from, false)
--- a/coord/members.go
+++ b/coord/members.go
@@ -10,20 +10,20 @@
 
 // MemberTiming holds the intervals of membership.
 type MemberTiming struct {
-	Heartbeat time.Duration
+	HeartbeatInterval time.Duration
 	// Silence is how long a link may be silent before its daemon raises an alarm.
-	Silence time.Duration
+	SilenceTimeout time.Duration
 	// Pause is how late its own tick may be before a daemon takes itself to have been paused.
-	Pause time.Duration
+	PauseThreshold time.Duration
 	// Lag bounds how late the platform's list is: a VM that no list has shown for so long is gone.
-	Lag time.Duration
+	MaxListLag time.Duration
 	// Forget is how long a dead daemon stays known once the platform no longer lists it.
-	Forget time.Duration
+	ForgetAfter time.Duration
 }
 
 // DefaultMemberTiming returns timing that notices a dead daemon within four seconds.
 func DefaultMemberTiming() MemberTiming {
-	return MemberTiming{Heartbeat: time.Second, Silence: 3 * time.Second, Pause: 1500 * time.Millisecond, Lag: 30 * time.Second, Forget: 10 * time.Minute}
+	return MemberTiming{HeartbeatInterval: time.Second, SilenceTimeout: 3 * time.Second, PauseThreshold: 1500 * time.Millisecond, MaxListLag: 30 * time.Second, ForgetAfter: 10 * time.Minute}
 }
 
 // announceEvery is after how many heartbeats a daemon announces itself again, in case that was lost.
@@ -78,9 +78,9 @@
 // MembersOption changes a view at construction.
 type MembersOption func(*Members)
 
-// WithRenumbering lets a daemon take a higher number for its run when others know of one that is not below its own, as
+// WithIncarnationBump lets a daemon take a higher number for its run when others know of one that is not below its own, as
 // they do after its clock went back. Nothing else may rest on the number of the run then.
-func WithRenumbering() MembersOption { return func(m *Members) { m.renumbers = true } }
+func WithIncarnationBump() MembersOption { return func(m *Members) { m.renumbers = true } }
 
 // NewMembers returns a view that holds only the daemon itself; beat supplies what heartbeats say.
 func NewMembers(self proto.Alive, timing MemberTiming, rings Rings, peers Peers, beat func() proto.Heartbeat, options ...MembersOption) *Members {
@@ -152,8 +152,8 @@
 	return live
 }
 
-// Address returns where to reach a daemon.
-func (m *Members) Address(vm proto.VM) (proto.Alive, bool) {
+// Lookup returns where to reach a daemon.
+func (m *Members) Lookup(vm proto.VM) (proto.Alive, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	mem := m.members[vm]
@@ -163,8 +163,8 @@
 	return mem.alive, true
 }
 
-// Silent tells whether a daemon is dead, or links to this one and has not been heard for a time.
-func (m *Members) Silent(now time.Time, vm proto.VM, since time.Duration) bool {
+// IsSilent tells whether a daemon is dead, or links to this one and has not been heard for a time.
+func (m *Members) IsSilent(now time.Time, vm proto.VM, since time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	mem := m.members[vm]
@@ -174,8 +174,8 @@
 	return slices.Contains(m.links(), vm) && now.Sub(m.expectedSince(mem)) > since
 }
 
-// Alone tells whether there are other live daemons and none has been heard for a time.
-func (m *Members) Alone(now time.Time, since time.Duration) bool {
+// AllSilent tells whether there are other live daemons and none has been heard for a time.
+func (m *Members) AllSilent(now time.Time, since time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	others := false
@@ -199,8 +199,8 @@
 	return mem == nil && !m.started.IsZero() || mem != nil && (mem.dead || mem.alive.Incarnation > incarnation)
 }
 
-// Stop announces that this daemon is stopping.
-func (m *Members) Stop() {
+// AnnounceStop announces that this daemon is stopping.
+func (m *Members) AnnounceStop() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.self.Stopping = true
@@ -215,15 +215,15 @@
 }
 
 func (m *Members) announce() {
-	m.self.Count++
+	m.self.Sequence++
 	m.members[m.self.VM].alive = m.self
 	for _, vm := range m.links() {
 		m.peers.Send(vm, m.self)
 	}
 }
 
-// Alive takes in an announcement and passes it on if it is news.
-func (m *Members) Alive(now time.Time, a proto.Alive, from proto.VM) {
+// HandleAlive takes in an announcement and passes it on if it is news.
+func (m *Members) HandleAlive(now time.Time, a proto.Alive, from proto.VM) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.alive(now, a, from)
@@ -240,7 +240,7 @@
 		mem = &member{alarms: map[proto.VM]proto.Alarm{}, lastSeen: now}
 		m.members[a.VM] = mem
 	}
-	if !isNew && (a.Incarnation < mem.alive.Incarnation || a.Incarnation == mem.alive.Incarnation && a.Count <= mem.alive.Count) {
+	if !isNew && (a.Incarnation < mem.alive.Incarnation || a.Incarnation == mem.alive.Incarnation && a.Sequence <= mem.alive.Sequence) {
 		m.correct(mem, a.Incarnation, from)
 		return
 	}
--- a/coord/members_test.go
+++ b/coord/members_test.go
@@ -50,7 +50,7 @@
 }
 
 func (p meshPeers) Call(context.Context, proto.VM, proto.Message) (proto.Message, error) {
-	return nil, fault("call", proto.KindUnavailable, "not in this test")
+	return nil, newError("call", proto.KindUnavailable, "not in this test")
 }
 
 func newMesh(n, regions, zones int, timing MemberTiming) *meshSim {
@@ -69,12 +69,12 @@
 	for _, vm := range s.order {
 		s.start(vm, 1)
 		// The list is taken in before anyone listens, as a daemon that starts does.
-		s.members[vm].Polled(s.now, list)
+		s.members[vm].HandleVMList(s.now, list)
 	}
 	s.queue = nil
 	for _, vm := range s.order {
 		for _, other := range s.order {
-			s.members[vm].Alive(s.now, proto.Alive{VM: other, Zone: s.zone[other], Incarnation: 1, Count: 9}, vm)
+			s.members[vm].HandleAlive(s.now, proto.Alive{VM: other, Zone: s.zone[other], Incarnation: 1, Sequence: 9}, vm)
 		}
 	}
 	s.queue = nil
@@ -82,10 +82,10 @@
 }
 
 func (s *meshSim) start(vm proto.VM, run proto.Incarnation) {
-	self := proto.Alive{VM: vm, Zone: s.zone[vm], Incarnation: run, Count: 10}
+	self := proto.Alive{VM: vm, Zone: s.zone[vm], Incarnation: run, Sequence: 10}
 	s.members[vm] = NewMembers(self, s.timing, DefaultRings(), meshPeers{s, vm}, func() proto.Heartbeat {
 		return proto.Heartbeat{Incarnation: run}
-	}, WithRenumbering())
+	}, WithIncarnationBump())
 }
 
 func (s *meshSim) gone(vm proto.VM) bool { return s.dead[vm] || s.paused[vm] }
@@ -101,17 +101,17 @@
 		to := s.members[msg.to]
 		switch m := msg.m.(type) {
 		case proto.Heartbeat:
-			to.Heartbeat(s.now, msg.from, m)
+			to.HandleHeartbeat(s.now, msg.from, m)
 		case proto.Alive:
-			to.Alive(s.now, m, msg.from)
+			to.HandleAlive(s.now, m, msg.from)
 		case proto.Alarm:
-			to.Alarm(s.now, m, msg.from)
+			to.HandleAlarm(s.now, m, msg.from)
 		case proto.News:
-			to.News(s.now, m, msg.from)
+			to.HandleNews(s.now, m, msg.from)
 		case proto.Deaths:
-			to.Deaths(s.now, m, msg.from)
+			to.HandleDeaths(s.now, m, msg.from)
 		case proto.Listed:
-			to.Listed(s.now, m, msg.from)
+			to.HandleListed(s.now, m, msg.from)
 		}
 	}
 	for _, vm := range s.order {
@@ -122,7 +122,9 @@
 }
 
 // step is how often daemons tick: a third of the least interval of theirs at most, and five times a second otherwise.
-func (s *meshSim) step() time.Duration { return min(200*time.Millisecond, s.timing.Heartbeat/3) }
+func (s *meshSim) step() time.Duration {
+	return min(200*time.Millisecond, s.timing.HeartbeatInterval/3)
+}
 
 func (s *meshSim) run(length time.Duration) {
 	for end := s.now.Add(length); s.now.Before(end); {
@@ -268,7 +270,7 @@
 	for _, vm := range s.order {
 		list.VMs = append(list.VMs, proto.VMEntry{VM: vm, Zone: s.zone[vm], Entry: true})
 	}
-	s.members["vm-1"].Polled(s.now, list)
+	s.members["vm-1"].HandleVMList(s.now, list)
 	s.queue = nil
 	s.run(3 * time.Second)
 	for _, vm := range s.order {
@@ -295,7 +297,7 @@
 		}
 		return l
 	}
-	s.members["vm-0"].Polled(s.now, list(true))
+	s.members["vm-0"].HandleVMList(s.now, list(true))
 	s.run(2 * time.Second)
 	for _, vm := range s.order {
 		if !s.members[vm].Leaving()["target"] {
@@ -303,13 +305,13 @@
 		}
 	}
 	s.queue = nil
-	s.members["vm-1"].Polled(s.now, list(false))
-	s.members["vm-2"].Polled(s.now, list(true))
+	s.members["vm-1"].HandleVMList(s.now, list(false))
+	s.members["vm-2"].HandleVMList(s.now, list(true))
 	if len(s.queue) > 0 || !s.members["vm-1"].Leaving()["target"] {
 		t.Fatalf("a read that lags, and one without news, sent %d messages", len(s.queue))
 	}
 	s.run(12 * time.Second)
-	s.members["vm-1"].Polled(s.now, list(false))
+	s.members["vm-1"].HandleVMList(s.now, list(false))
 	s.run(2 * time.Second)
 	if s.members["vm-50"].Leaving()["target"] {
 		t.Fatal("a stop that was called off is not known after a while")
@@ -325,7 +327,7 @@
 	}
 	for range 20 {
 		s.now = s.now.Add(2 * time.Second)
-		m.Polled(s.now, without)
+		m.HandleVMList(s.now, without)
 	}
 	if !m.Over(s.now, "vm-1", 1) || m.Over(s.now, "vm-2", 1) {
 		t.Fatal("a VM that left the list 40 s ago must be over, and one on it not")
@@ -338,11 +340,11 @@
 	s := newMesh(8, 1, 4, quickTiming())
 	s.start("vm-3", 5)
 	for _, vm := range s.order {
-		s.members["vm-3"].Alive(s.now, proto.Alive{VM: vm, Zone: s.zone[vm], Incarnation: 1, Count: 9}, "")
+		s.members["vm-3"].HandleAlive(s.now, proto.Alive{VM: vm, Zone: s.zone[vm], Incarnation: 1, Sequence: 9}, "")
 	}
 	s.run(2 * time.Second)
 	s.start("vm-3", 2)
-	s.members["vm-3"].Alive(s.now, proto.Alive{VM: "vm-0", Zone: s.zone["vm-0"], Incarnation: 1, Count: 9}, "")
+	s.members["vm-3"].HandleAlive(s.now, proto.Alive{VM: "vm-0", Zone: s.zone["vm-0"], Incarnation: 1, Sequence: 9}, "")
 	s.run(3 * time.Second)
 	for _, vm := range s.order {
 		live := s.members[vm].Live()
--- a/coord/news.go
+++ b/coord/news.go
@@ -40,7 +40,7 @@
 // passOn sends the links what was gathered, unless that was done a moment ago; Tick comes back to it.
 func (m *Members) passOn(now time.Time) {
 	s := &m.news
-	if len(s.alive)+len(s.alarms) == 0 || now.Sub(s.last) < m.timing.Heartbeat/gatherPart {
+	if len(s.alive)+len(s.alarms) == 0 || now.Sub(s.last) < m.timing.HeartbeatInterval/gatherPart {
 		return
 	}
 	for _, vm := range m.links() {
@@ -60,15 +60,15 @@
 		}
 	}
 	for _, h := range s.alarms {
-		if h.from != vm && h.alarm.By != vm {
+		if h.from != vm && h.alarm.Reporter != vm {
 			news.Alarms = append(news.Alarms, h.alarm)
 		}
 	}
 	return news
 }
 
-// News takes in what another daemon passed on, and passes on what is news here.
-func (m *Members) News(now time.Time, news proto.News, from proto.VM) {
+// HandleNews takes in what another daemon passed on, and passes on what is news here.
+func (m *Members) HandleNews(now time.Time, news proto.News, from proto.VM) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, a := range news.Alive {
--- a/coord/node.go
+++ b/coord/node.go
@@ -15,22 +15,22 @@
 
 // NodeTiming holds the intervals of a node's own work.
 type NodeTiming struct {
-	Tick   time.Duration
-	Poll   time.Duration // of the accepted generation
-	List   time.Duration // of the VM list
-	Revise time.Duration // of the roster
-	Sweep  time.Duration
+	TickInterval   time.Duration
+	PollInterval   time.Duration // of the accepted generation
+	ListInterval   time.Duration // of the VM list
+	RosterInterval time.Duration // of the roster
+	SweepInterval  time.Duration
 	// Alone is how long a daemon serves on that can reach neither the store nor another daemon.
-	Alone time.Duration
+	IsolationTimeout time.Duration
 	// Pollers is the number of daemons in a zone that read the store.
-	Pollers int
+	PollersPerZone int
 }
 
 // DefaultNodeTiming returns the intervals that daemons run with.
 func DefaultNodeTiming() NodeTiming {
 	return NodeTiming{
-		Tick: 200 * time.Millisecond, Poll: time.Second, List: 2 * time.Second, Revise: time.Second,
-		Sweep: 10 * time.Second, Alone: 5 * time.Second, Pollers: 2,
+		TickInterval: 200 * time.Millisecond, PollInterval: time.Second, ListInterval: 2 * time.Second, RosterInterval: time.Second,
+		SweepInterval: 10 * time.Second, IsolationTimeout: 5 * time.Second, PollersPerZone: 2,
 	}
 }
 
@@ -45,15 +45,15 @@
 
 // Node is one daemon's part in acting together with the others.
 type Node struct {
-	deps    Deps
-	timing  NodeTiming
-	Members *Members
-	Changes *Changes
-	Store   *Store
-	Replica *Replica
-	Claimer *Claimer
-	Roster  *RosterKeeper
-	Sums    *UsageSums
+	deps        Deps
+	timing      NodeTiming
+	Members     *Members
+	Config      *ConfigState
+	ConfigStore *ConfigStore
+	Replica     *Replica
+	Claimer     *Claimer
+	Roster      *RosterKeeper
+	Sums        *UsageSums
 
 	started   time.Time
 	storeSeen atomic.Int64 // unix nanoseconds
@@ -96,18 +96,18 @@
 // WithRosterPlan sets the sizes of the roster.
 func WithRosterPlan(p RosterPlan) NodeOption { return func(c *nodeConfig) { c.roster = p } }
 
-// WithAdopted sets what is told of each snapshot that comes into force.
-func WithAdopted(fn func(*proto.Snapshot)) NodeOption {
+// WithSnapshotHandler sets what is told of each snapshot that comes into force.
+func WithSnapshotHandler(fn func(*proto.Snapshot)) NodeOption {
 	return func(c *nodeConfig) { c.adopted = fn }
 }
 
-// WithReports sets what is told of other daemons' usage and of targets' loads.
-func WithReports(usage func([]proto.UsageRow), loads func(proto.Loads)) NodeOption {
+// WithReportHandlers sets what is told of other daemons' usage and of targets' loads.
+func WithReportHandlers(usage func([]proto.UsageRow), loads func(proto.Loads)) NodeOption {
 	return func(c *nodeConfig) { c.usage, c.loads = usage, loads }
 }
 
-// WithDemand sets what is told of other daemons' demand for models.
-func WithDemand(fn func([]proto.DemandRow)) NodeOption {
+// WithDemandHandler sets what is told of other daemons' demand for models.
+func WithDemandHandler(fn func([]proto.DemandRow)) NodeOption {
 	return func(c *nodeConfig) { c.demand = fn }
 }
 
@@ -123,14 +123,14 @@
 	}
 	n := &Node{deps: deps, started: deps.Clock.Now(), timing: c.node, onUsage: c.usage, onLoads: c.loads, onDemand: c.demand, Sums: NewUsageSums()}
 	self := proto.RosterMember{VM: deps.Self.VM, Zone: deps.Self.Zone, Incarnation: deps.Self.Incarnation}
-	n.Changes = NewChanges(func(s *proto.Snapshot) {
+	n.Config = NewConfigState(func(s *proto.Snapshot) {
 		if c.adopted != nil {
 			c.adopted(s)
 		}
 		// The news goes out at once; the lock of the changes is held here.
-		go n.Members.Beat(deps.Clock.Now())
+		go n.Members.SendHeartbeats(deps.Clock.Now())
 	})
-	n.Store = NewStore(deps.Platform, deps.Clock)
+	n.ConfigStore = NewConfigStore(deps.Platform, deps.Clock)
 	n.Members = NewMembers(deps.Self, c.member, c.rings, deps.Peers, n.heartbeat)
 	n.Replica = NewReplica(self, c.claim)
 	n.Roster = NewRosterKeeper(deps.Platform, c.roster, c.claim, n.Members, n.Replica, WithDates(func(time.Time) time.Time { return timeOfDay(deps.Clock) }))
@@ -140,8 +140,8 @@
 
 func (n *Node) heartbeat() proto.Heartbeat {
 	beat := proto.Heartbeat{Incarnation: n.deps.Self.Incarnation, Stopping: n.stopping.Load()}
-	if n.Changes != nil {
-		beat.Generation = n.Changes.Generation()
+	if n.Config != nil {
+		beat.Generation = n.Config.Generation()
 	}
 	if n.Replica != nil {
 		beat.Roster = n.Replica.Epoch()
@@ -154,7 +154,7 @@
 	now := n.deps.Clock.Now()
 	for _, seed := range seeds {
 		if seed.VM != n.deps.Self.VM {
-			n.Members.Alive(now, seed, "")
+			n.Members.HandleAlive(now, seed, "")
 		}
 	}
 	n.Members.Tick(now)
@@ -164,7 +164,7 @@
 // Stop announces that the daemon is stopping, so that others take over what it owns.
 func (n *Node) Stop() {
 	n.stopping.Store(true)
-	n.Members.Stop()
+	n.Members.AnnounceStop()
 }
 
 // Handle takes in a message and returns the answer if it was a call.
@@ -174,17 +174,17 @@
 	case proto.Heartbeat:
 		n.takeHeartbeat(now, from, msg)
 	case proto.Alive:
-		n.Members.Alive(now, msg, from)
+		n.Members.HandleAlive(now, msg, from)
 	case proto.Alarm:
-		n.Members.Alarm(now, msg, from)
+		n.Members.HandleAlarm(now, msg, from)
 	case proto.Deaths:
-		n.Members.Deaths(now, msg, from)
+		n.Members.HandleDeaths(now, msg, from)
 	case proto.News:
-		n.Members.News(now, msg, from)
+		n.Members.HandleNews(now, msg, from)
 	case proto.Listed:
-		n.Members.Listed(now, msg, from)
+		n.Members.HandleListed(now, msg, from)
 	case proto.ChangesAsk:
-		return n.Changes.After(msg.After)
+		return n.Config.After(msg.After)
 	case proto.RosterAsk:
 		return proto.RosterAnswer{Roster: n.Replica.Roster()}
 	case proto.ClaimAsk:
@@ -206,11 +206,11 @@
 }
 
 func (n *Node) takeHeartbeat(now time.Time, from proto.VM, beat proto.Heartbeat) {
-	n.Members.Heartbeat(now, from, beat)
-	if beat.Generation > n.Changes.Generation() && n.pulling.CompareAndSwap(false, true) {
+	n.Members.HandleHeartbeat(now, from, beat)
+	if beat.Generation > n.Config.Generation() && n.pulling.CompareAndSwap(false, true) {
 		go n.pullChanges(from)
 	} else if beat.Generation > 0 {
-		n.Changes.Learnt(beat.Generation)
+		n.Config.Learnt(beat.Generation)
 	}
 	if beat.Roster > n.Replica.Epoch() && n.rostering.CompareAndSwap(false, true) {
 		go func() {
@@ -230,13 +230,13 @@
 	}
 }
 
-// ShareUsage sends what this daemon spent to the collectors of its region.
-func (n *Node) ShareUsage(rows []proto.UsageRow) {
+// ReportUsage sends what this daemon spent to the collectors of its region.
+func (n *Node) ReportUsage(rows []proto.UsageRow) {
 	live := n.Members.Live()
 	region := n.deps.Self.Zone.Region()
 	batches := map[proto.VM][]proto.UsageRow{}
 	for _, row := range rows {
-		if vm, ok := UsageCollectorOf(row.Workspace, region, live); ok {
+		if vm, ok := UsageCollector(row.Workspace, region, live); ok {
 			batches[vm] = append(batches[vm], row)
 		}
 	}
@@ -258,7 +258,7 @@
 	n.mu.Lock()
 	sweep := !now.Before(n.nextSweep)
 	if sweep {
-		n.nextSweep = now.Add(n.timing.Sweep)
+		n.nextSweep = now.Add(n.timing.SweepInterval)
 	}
 	n.mu.Unlock()
 	if sweep {
@@ -269,8 +269,8 @@
 
 func anyDaemon(proto.Alive) bool { return true }
 
-// KeepsClaims tells whether others can still take over claims that this run of the daemon keeps.
-func (n *Node) KeepsClaims() bool {
+// HasTransferableClaims tells whether others can still take over claims that this run of the daemon keeps.
+func (n *Node) HasTransferableClaims() bool {
 	others := vmsOf(n.Members.Live(), func(a proto.Alive) bool { return a.VM != n.deps.Self.VM })
 	for _, slot := range n.Replica.Roster().Slots {
 		for _, member := range slices.Concat(slot.Group, slot.Previous) {
--- a/coord/orders.go
+++ b/coord/orders.go
@@ -32,22 +32,22 @@
 	Place(now time.Time, pool *proto.Pool, demand map[string]time.Duration, current map[string][]string) map[string][]string
 }
 
-// Orders gives orders for the pools whose lease this daemon holds.
-type Orders struct {
+// PlacementController gives orders for the pools whose lease this daemon holds.
+type PlacementController struct {
 	deps    Deps
 	members *Members
-	changes *Changes
+	changes *ConfigState
 	targets OrderTargets
 	placer  Placer
 	leases  [PlacementLeases]*Lease
 
 	mu     sync.Mutex
 	demand map[string]map[string]time.Duration
-	counts OrderCounts
+	counts PlacementCounts
 }
 
-// OrderCounts are the totals since the start.
-type OrderCounts struct {
+// PlacementCounts are the totals since the start.
+type PlacementCounts struct {
 	Held    int   `json:"leasesHeld"`
 	Sent    int64 `json:"sent"`
 	Fenced  int64 `json:"fenced"`
@@ -55,9 +55,9 @@
 	Skipped int64 `json:"skipped"`
 }
 
-// NewOrders returns the order sender of a daemon.
-func NewOrders(deps Deps, node *Node, targets OrderTargets, placer Placer, timing LeaseTiming) *Orders {
-	o := &Orders{deps: deps, members: node.Members, changes: node.Changes, targets: targets, placer: placer, demand: map[string]map[string]time.Duration{}}
+// NewPlacementController returns the order sender of a daemon.
+func NewPlacementController(deps Deps, node *Node, targets OrderTargets, placer Placer, timing LeaseTiming) *PlacementController {
+	o := &PlacementController{deps: deps, members: node.Members, changes: node.Config, targets: targets, placer: placer, demand: map[string]map[string]time.Duration{}}
 	for i := range o.leases {
 		o.leases[i] = NewLease(deps.Platform, leaseName(i), deps.Self.VM, deps.Self.Incarnation, timing)
 	}
@@ -68,13 +68,13 @@
 
 func leaseOf(pool string) int { return int(xxhash.Sum64String(pool) % PlacementLeases) }
 
-func (o *Orders) wants(i int) (proto.VM, bool) {
+func (o *PlacementController) wants(i int) (proto.VM, bool) {
 	vm, ok := first(leaseName(i), vmsOf(o.members.Live(), anyDaemon))
 	return vm, ok && vm == o.deps.Self.VM
 }
 
 // Counts returns the totals.
-func (o *Orders) Counts() OrderCounts {
+func (o *PlacementController) Counts() PlacementCounts {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	c := o.counts
@@ -87,7 +87,7 @@
 }
 
 // AddDemand takes in what daemons spent by pool and model.
-func (o *Orders) AddDemand(rows []proto.DemandRow) {
+func (o *PlacementController) AddDemand(rows []proto.DemandRow) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, row := range rows {
@@ -98,8 +98,8 @@
 	}
 }
 
-// ShareDemand sends what this daemon spent to the daemons that order the pools.
-func (o *Orders) ShareDemand(rows []proto.DemandRow) {
+// ReportDemand sends what this daemon spent to the daemons that order the pools.
+func (o *PlacementController) ReportDemand(rows []proto.DemandRow) {
 	batches := map[proto.VM][]proto.DemandRow{}
 	for _, row := range rows {
 		if vm, mine := o.wants(leaseOf(row.Pool)); mine {
@@ -113,8 +113,8 @@
 	}
 }
 
-// Step keeps the leases and sends the orders that are due. Pools of a single model need neither.
-func (o *Orders) Step(ctx context.Context, stopping bool) {
+// Reconcile keeps the leases and sends the orders that are due. Pools of a single model need neither.
+func (o *PlacementController) Reconcile(ctx context.Context, stopping bool) {
 	pools := o.placedPools()
 	for i, lease := range o.leases {
 		if len(pools[i]) == 0 {
@@ -130,7 +130,7 @@
 	}
 }
 
-func (o *Orders) placedPools() [PlacementLeases][]*proto.Pool {
+func (o *PlacementController) placedPools() [PlacementLeases][]*proto.Pool {
 	var pools [PlacementLeases][]*proto.Pool
 	for name, pool := range o.changes.Snapshot().Pools {
 		if len(pool.Models) > 1 {
@@ -141,7 +141,7 @@
 	return pools
 }
 
-func (o *Orders) order(ctx context.Context, lease *Lease, index int, pool *proto.Pool) {
+func (o *PlacementController) order(ctx context.Context, lease *Lease, index int, pool *proto.Pool) {
 	if _, held := lease.Held(o.deps.Clock.Now, OrderWait); !held {
 		return
 	}
@@ -159,7 +159,7 @@
 }
 
 // readBack asks the targets what they have, since the last holder may have ordered since this daemon last knew.
-func (o *Orders) readBack(ctx context.Context, pool *proto.Pool) map[string][]string {
+func (o *PlacementController) readBack(ctx context.Context, pool *proto.Pool) map[string][]string {
 	current := map[string][]string{}
 	for i := range pool.Targets {
 		if load, err := o.targets.Load(ctx, pool.Targets[i].Address); err == nil {
@@ -171,10 +171,10 @@
 
 // send checks the lease right before the order. A target that checks epochs refuses what a paused holder sends
 // later; for one that does not, the order must be over before the lease is, and says only what is wanted.
-func (o *Orders) send(ctx context.Context, lease *Lease, index int, target *proto.Target, models []string) {
+func (o *PlacementController) send(ctx context.Context, lease *Lease, index int, target *proto.Target, models []string) {
 	epoch, held := lease.Held(o.deps.Clock.Now, OrderWait)
 	if !held {
-		o.count(func(c *OrderCounts) { c.Skipped++ })
+		o.count(func(c *PlacementCounts) { c.Skipped++ })
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, OrderWait)
@@ -182,16 +182,16 @@
 	err := o.targets.Order(ctx, target.Address, proto.Order{Lease: leaseName(index), Epoch: uint64(epoch), Models: slices.Clone(models)})
 	switch proto.KindOf(err) {
 	case "":
-		o.count(func(c *OrderCounts) { c.Sent++ })
+		o.count(func(c *PlacementCounts) { c.Sent++ })
 		o.deps.Log.Info("ordered models", "target", target.Name, "models", models, "epoch", epoch)
 	case proto.KindDenied:
-		o.count(func(c *OrderCounts) { c.Fenced++ })
+		o.count(func(c *PlacementCounts) { c.Fenced++ })
 	default:
-		o.count(func(c *OrderCounts) { c.Failed++ })
+		o.count(func(c *PlacementCounts) { c.Failed++ })
 	}
 }
 
-func (o *Orders) count(fn func(*OrderCounts)) {
+func (o *PlacementController) count(fn func(*PlacementCounts)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	fn(&o.counts)
--- a/coord/orders_test.go
+++ b/coord/orders_test.go
@@ -21,7 +21,7 @@
 
 func (m memoryTargets) Order(_ context.Context, address netip.AddrPort, order proto.Order) error {
 	if !m.targets[address].Obey(order) {
-		return fault("order", proto.KindDenied, "the epoch is older than one seen")
+		return newError("order", proto.KindDenied, "the epoch is older than one seen")
 	}
 	return nil
 }
@@ -50,9 +50,9 @@
 	spec := proto.Target{Name: "t", Address: netip.MustParseAddrPort("127.0.0.1:1"), ChecksOrders: true}
 	target := fakes.NewTarget(spec, &pool, 1)
 	targets := memoryTargets{targets: map[netip.AddrPort]*fakes.Target{spec.Address: target}, clock: clock}
-	holder := func(vm proto.VM) (*Orders, *Lease) {
+	holder := func(vm proto.VM) (*PlacementController, *Lease) {
 		deps := Deps{Self: proto.Alive{VM: vm, Zone: "r/a", Incarnation: 1}, Clock: clock, Log: hclog.NewNullLogger(), Platform: store.For(string(vm)), Peers: meshPeers{sim: &meshSim{}, self: vm}}
-		o := NewOrders(deps, NewNode(deps), targets, always{}, DefaultLeaseTiming())
+		o := NewPlacementController(deps, NewNode(deps), targets, always{}, DefaultLeaseTiming())
 		return o, o.leases[0]
 	}
 	ctx := context.Background()
--- a/coord/owner.go
+++ b/coord/owner.go
@@ -77,9 +77,9 @@
 	return serving
 }
 
-// Among tells whether this daemon is one of the first so many of its zone for a task, among those that live and are
+// IsAmongFirst tells whether this daemon is one of the first so many of its zone for a task, among those that live and are
 // not stopping. A skip leaves daemons out.
-func (m *Members) Among(task string, most int, skip func(proto.VM) bool) bool {
+func (m *Members) IsAmongFirst(task string, most int, skip func(proto.VM) bool) bool {
 	m.mu.Lock()
 	zone := m.self.Zone
 	order := m.serving(m.candidatesFor(task, zone))
@@ -94,9 +94,9 @@
 	return len(order) <= most || slices.Contains(order[:most], m.self.VM)
 }
 
-// FirstOfEach returns the first so many daemons of each zone for a task, among those that live and are not stopping, in
+// FirstPerZone returns the first so many daemons of each zone for a task, among those that live and are not stopping, in
 // order of zone.
-func (m *Members) FirstOfEach(task string, most int) []proto.VM {
+func (m *Members) FirstPerZone(task string, most int) []proto.VM {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var firsts []proto.VM
--- a/coord/owner_test.go
+++ b/coord/owner_test.go
@@ -13,7 +13,7 @@
 
 func TestADaemonAloneOwnsAll(t *testing.T) {
 	m := NewMembers(proto.Alive{VM: "one", Zone: "r/z"}, quickTiming(), DefaultRings(), meshPeers{}, func() proto.Heartbeat { return proto.Heartbeat{} })
-	if got := m.Owner("task", nobody); got != "one" || !m.Among("task", 2, nobody) {
+	if got := m.Owner("task", nobody); got != "one" || !m.IsAmongFirst("task", 2, nobody) {
 		t.Errorf("owner %q", got)
 	}
 }
@@ -30,9 +30,9 @@
 		switch random.IntN(4) {
 		case 0:
 			count[vm]++
-			m.Alive(s.now, proto.Alive{VM: vm, Zone: "region-0/zone-1", Incarnation: 2, Count: count[vm], Stopping: random.IntN(2) == 0}, vm)
+			m.HandleAlive(s.now, proto.Alive{VM: vm, Zone: "region-0/zone-1", Incarnation: 2, Sequence: count[vm], Stopping: random.IntN(2) == 0}, vm)
 		case 1:
-			m.Deaths(s.now.Add(quickTiming().Silence), proto.Deaths{Runs: []proto.Run{{VM: vm, Incarnation: 2}}}, "vm-1")
+			m.HandleDeaths(s.now.Add(quickTiming().SilenceTimeout), proto.Deaths{Runs: []proto.DaemonRun{{VM: vm, Incarnation: 2}}}, "vm-1")
 		}
 		out := map[proto.VM]bool{vm: true}
 		if random.IntN(20) == 0 {
@@ -50,7 +50,7 @@
 		for _, vm := range rank(task, zone)[:min(2, len(zone))] {
 			among = among || vm == m.self.VM
 		}
-		if got := m.Among(task, 2, func(vm proto.VM) bool { return out[vm] }); got != among {
+		if got := m.IsAmongFirst(task, 2, func(vm proto.VM) bool { return out[vm] }); got != among {
 			t.Fatalf("step %d: among the first of its zone: %v, want %v", step, got, among)
 		}
 	}
@@ -62,13 +62,13 @@
 	s := newMesh(40, 2, 3, quickTiming())
 	var want []proto.VM
 	for vm, m := range s.members {
-		if m.Among("task", 2, nobody) {
+		if m.IsAmongFirst("task", 2, nobody) {
 			want = append(want, vm)
 		}
 	}
 	slices.Sort(want)
 	for vm, m := range s.members {
-		got := slices.Sorted(slices.Values(m.FirstOfEach("task", 2)))
+		got := slices.Sorted(slices.Values(m.FirstPerZone("task", 2)))
 		if !slices.Equal(got, want) {
 			t.Fatalf("%s says %v, want %v", vm, got, want)
 		}
--- a/coord/poll.go
+++ b/coord/poll.go
@@ -10,14 +10,14 @@
 // Poll reads the store if this daemon is one of its zone's pollers, or knows nothing yet.
 func (n *Node) Poll(ctx context.Context) {
 	now := n.deps.Clock.Now()
-	if !n.polls() && n.Changes.Known() {
+	if !n.polls() && n.Config.Synced() {
 		// News of the list can be lost on the way, so everyone reads it now and then.
 		if now.Sub(n.nextList) > rareList {
 			n.pollList(ctx, now)
 		}
 		return
 	}
-	if err := n.Store.CatchUp(ctx, n.Changes); err != nil {
+	if err := n.ConfigStore.CatchUp(ctx, n.Config); err != nil {
 		n.deps.Log.Debug("the store did not answer", "error", err)
 		return
 	}
@@ -29,13 +29,13 @@
 	if now.Before(n.nextList) {
 		return
 	}
-	n.nextList = now.Add(n.timing.List)
+	n.nextList = now.Add(n.timing.ListInterval)
 	list, err := n.deps.Platform.VMs(ctx)
 	if err != nil {
 		n.deps.Log.Debug("the VM list did not answer", "error", err)
 		return
 	}
-	n.Members.Polled(now, list)
+	n.Members.HandleVMList(now, list)
 }
 
 // rareList is how often a daemon reads the VM list that need not.
@@ -50,7 +50,7 @@
 	vms := rank("poll", vmsOf(n.Members.Live(), func(a proto.Alive) bool { return a.Zone == zone }))
 	for i, vm := range vms {
 		if vm == n.deps.Self.VM {
-			return i < n.timing.Pollers
+			return i < n.timing.PollersPerZone
 		}
 	}
 	return true
@@ -59,8 +59,8 @@
 // settleTime is how long a new daemon looks around before it writes the first roster.
 const settleTime = 1500 * time.Millisecond
 
-// Revise changes the roster if this daemon is the one to do so, and otherwise reads it while it has none.
-func (n *Node) Revise(ctx context.Context) {
+// ReviseRoster changes the roster if this daemon is the one to do so, and otherwise reads it while it has none.
+func (n *Node) ReviseRoster(ctx context.Context) {
 	keeper, ok := first("roster", vmsOf(n.Members.Live(), anyDaemon))
 	var err error
 	switch {
@@ -76,12 +76,12 @@
 	}
 }
 
-// StoreSeen returns when this daemon last read the store.
-func (n *Node) StoreSeen() time.Time { return time.Unix(0, n.storeSeen.Load()) }
+// LastStoreRead returns when this daemon last read the store.
+func (n *Node) LastStoreRead() time.Time { return time.Unix(0, n.storeSeen.Load()) }
 
 // Isolated tells whether the daemon can reach neither the store nor any other daemon, so that it cannot know what is in force.
 func (n *Node) Isolated(now time.Time) bool {
-	return now.Sub(n.StoreSeen()) > n.timing.Alone && n.Members.Alone(now, n.timing.Alone)
+	return now.Sub(n.LastStoreRead()) > n.timing.IsolationTimeout && n.Members.AllSilent(now, n.timing.IsolationTimeout)
 }
 
 // Ready tells whether the daemon knows what is in force and is neither isolated nor stopping.
@@ -89,7 +89,7 @@
 	switch {
 	case n.stopping.Load():
 		return false, "stopping"
-	case !n.Changes.Known():
+	case !n.Config.Synced():
 		return false, "what was accepted is not known yet"
 	case n.Isolated(now):
 		return false, "neither the store nor another daemon can be reached"
--- a/coord/pull.go
+++ b/coord/pull.go
@@ -14,25 +14,25 @@
 	defer n.pulling.Store(false)
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), pullTimeout)
-		m, err := n.deps.Peers.Call(ctx, from, proto.ChangesAsk{After: n.Changes.Generation()})
+		m, err := n.deps.Peers.Call(ctx, from, proto.ChangesAsk{After: n.Config.Generation()})
 		cancel()
 		answer, ok := m.(proto.ChangesAnswer)
-		if err != nil || !ok || answer.Generation <= n.Changes.Generation() {
+		if err != nil || !ok || answer.Generation <= n.Config.Generation() {
 			break
 		}
 		if !n.take(answer) {
 			n.deps.Log.Warn("changes of a peer do not fit", "from", from, "generation", answer.Generation)
 			break
 		}
-		n.Changes.Learnt(answer.Generation)
+		n.Config.Learnt(answer.Generation)
 	}
 }
 
 func (n *Node) take(answer proto.ChangesAnswer) bool {
-	if answer.Whole {
-		return n.Changes.TakeWhole(answer.Generation, answer.Changes)
+	if answer.Full {
+		return n.Config.TakeWhole(answer.Generation, answer.Changes)
 	}
-	return n.Changes.Take(answer.Changes)
+	return n.Config.Take(answer.Changes)
 }
 
 func (n *Node) pullRoster(ctx context.Context, from proto.VM) {
@@ -46,12 +46,12 @@
 
 func (n *Node) adoptRoster(roster proto.Roster) {
 	if n.Replica.Adopt(roster) {
-		n.Members.Beat(n.deps.Clock.Now())
+		n.Members.SendHeartbeats(n.deps.Clock.Now())
 	}
 }
 
-// Transfer reads the claims of slots that this daemon has come to keep, and reports those that it has.
-func (n *Node) Transfer(ctx context.Context) {
+// TransferClaims reads the claims of slots that this daemon has come to keep, and reports those that it has.
+func (n *Node) TransferClaims(ctx context.Context) {
 	for _, pending := range n.Replica.Pending() {
 		for _, member := range pending.From {
 			n.transferFrom(ctx, pending, member)
--- a/coord/replica.go
+++ b/coord/replica.go
@@ -154,7 +154,7 @@
 		s.mu.Lock()
 		if s.since == slot.Since && !s.ready {
 			members, old := r.sources(slot)
-			p := Pending{Slot: i, Ask: proto.TransferAsk{Slot: i, Since: slot.Since, Old: old}}
+			p := Pending{Slot: i, Ask: proto.TransferAsk{Slot: i, Since: slot.Since, PreviousSince: old}}
 			for _, member := range members {
 				if !s.read[member.VM] && member != r.self {
 					p.From = append(p.From, member)
@@ -212,7 +212,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	// A replica that was never ready in the previous group has nothing to vouch for.
-	if vouches := s.since == ask.Old && s.ready || s.vouched == ask.Old && s.vouched != 0; !vouches {
+	if vouches := s.since == ask.PreviousSince && s.ready || s.vouched == ask.PreviousSince && s.vouched != 0; !vouches {
 		return proto.TransferAnswer{}
 	}
 	s.sealed = max(s.sealed, ask.Since)
--- a/coord/settle.go
+++ b/coord/settle.go
@@ -9,41 +9,41 @@
 
 // settle finds out by the apply id whether a write whose answer was lost took effect.
 // If it did not, the head row is rewritten first, so that the write cannot take effect later.
-func (s *Store) settle(ctx context.Context, c *Changes, change proto.Change, headVersion uint64) (Applied, error) {
+func (s *ConfigStore) settle(ctx context.Context, c *ConfigState, change proto.Change, headVersion uint64) (ApplyResult, error) {
 	for range applyTries {
 		row, _, err := s.changeAt(ctx, logRow(change.Generation))
 		if err != nil {
-			return Applied{ApplyID: change.ApplyID}, &Error{Op: "apply", Kind: proto.KindUnknown, Err: err}
+			return ApplyResult{ApplyID: change.ApplyID}, &Error{Op: "apply", Kind: proto.KindUnknown, Err: err}
 		}
 		if row != nil && row.ApplyID == change.ApplyID {
 			c.Take([]proto.Change{change})
-			return Applied{Generation: change.Generation, ApplyID: change.ApplyID}, nil
+			return ApplyResult{Generation: change.Generation, ApplyID: change.ApplyID}, nil
 		}
 		head, version, err := s.Head(ctx)
 		if err != nil {
-			return Applied{ApplyID: change.ApplyID}, &Error{Op: "apply", Kind: proto.KindUnknown, Err: err}
+			return ApplyResult{ApplyID: change.ApplyID}, &Error{Op: "apply", Kind: proto.KindUnknown, Err: err}
 		}
 		if version != headVersion || s.touchHead(ctx, head, version) == nil {
 			return s.settled(ctx, c, change)
 		}
 	}
-	return Applied{ApplyID: change.ApplyID}, fault("apply", proto.KindUnknown, "the answer to the write was lost")
+	return ApplyResult{ApplyID: change.ApplyID}, newError("apply", proto.KindUnknown, "the answer to the write was lost")
 }
 
 // settled reads once more after the head has moved on, when the write can no longer take effect.
-func (s *Store) settled(ctx context.Context, c *Changes, change proto.Change) (Applied, error) {
+func (s *ConfigStore) settled(ctx context.Context, c *ConfigState, change proto.Change) (ApplyResult, error) {
 	row, _, err := s.changeAt(ctx, logRow(change.Generation))
 	if err != nil {
-		return Applied{ApplyID: change.ApplyID}, &Error{Op: "apply", Kind: proto.KindUnknown, Err: err}
+		return ApplyResult{ApplyID: change.ApplyID}, &Error{Op: "apply", Kind: proto.KindUnknown, Err: err}
 	}
 	if row == nil || row.ApplyID != change.ApplyID {
-		return Applied{}, fault("apply", proto.KindUnavailable, "the write did not take effect; apply again")
+		return ApplyResult{}, newError("apply", proto.KindUnavailable, "the write did not take effect; apply again")
 	}
 	c.Take([]proto.Change{change})
-	return Applied{Generation: change.Generation, ApplyID: change.ApplyID}, nil
+	return ApplyResult{Generation: change.Generation, ApplyID: change.ApplyID}, nil
 }
 
-func (s *Store) touchHead(ctx context.Context, generation proto.Generation, version uint64) error {
+func (s *ConfigStore) touchHead(ctx context.Context, generation proto.Generation, version uint64) error {
 	value, err := json.Marshal(headValue{Generation: generation})
 	if err != nil {
 		return &Error{Op: "apply", Kind: proto.KindInvalid, Err: err}
--- a/core/bench_test.go
+++ b/core/bench_test.go
@@ -65,7 +65,7 @@
 						break
 					}
 					now = now.Add(5 * time.Millisecond)
-					actions = e.Handle(now, AttemptEnded{Attempt: start.ID, Fate: FateDone, Output: []byte("{}"), Busy: time.Millisecond})
+					actions = e.Handle(now, AttemptEnded{Attempt: start.ID, Status: StatusDone, Output: []byte("{}"), Busy: time.Millisecond})
 				}
 				e.Handle(now, Tick{})
 			}
--- a/core/engine.go
+++ b/core/engine.go
@@ -23,7 +23,7 @@
 	seed      uint64
 
 	snapshot  atomic.Pointer[proto.Snapshot]
-	requests  *state.Sharded[proto.RequestID, *request]
+	requests  *state.ShardedMap[proto.RequestID, *request]
 	estimates *estimates
 	stats     *Stats
 
@@ -61,10 +61,10 @@
 
 // Routing policies.
 const (
-	RouterExpected   RouterName = "expectedFinish"
-	RouterRandom     RouterName = "random"
-	RouterRoundRobin RouterName = "roundRobin"
-	RouterLeast      RouterName = "leastOutstanding"
+	RouterExpectedFinish   RouterName = "expectedFinish"
+	RouterRandom           RouterName = "random"
+	RouterRoundRobin       RouterName = "roundRobin"
+	RouterLeastOutstanding RouterName = "leastOutstanding"
 )
 
 const expectedSample = 5
@@ -81,7 +81,7 @@
 			return &Random[*target]{Rand: r}
 		case RouterRoundRobin:
 			return &RoundRobin[*target]{}
-		case RouterLeast:
+		case RouterLeastOutstanding:
 			return &LeastOutstanding[*target]{Rand: r}
 		default:
 			return &ExpectedFinish[*target]{Rand: r, Sample: expectedSample}
@@ -93,13 +93,13 @@
 func New(options ...Option) *Engine {
 	e := &Engine{
 		tuning:    DefaultTuning(),
-		newChoose: chooserOf(RouterExpected),
+		newChoose: chooserOf(RouterExpectedFinish),
 		estimates: newEstimates(),
 		stats:     newStats(),
 		pools:     map[string]*pool{},
 		timers:    state.NewHeap(func(a, b timer) bool { return a.at.Before(b.at) }),
 	}
-	e.requests = state.NewSharded[proto.RequestID, *request](func(id proto.RequestID) uint64 {
+	e.requests = state.NewShardedMap[proto.RequestID, *request](func(id proto.RequestID) uint64 {
 		return binary.LittleEndian.Uint64(id[8:])
 	})
 	for _, option := range options {
@@ -112,8 +112,8 @@
 // Stats returns the engine's measures.
 func (e *Engine) Stats() *Stats { return e.stats }
 
-// Open returns the number of requests in progress.
-func (e *Engine) Open() int { return e.requests.Len() }
+// OpenRequests returns the number of requests in progress.
+func (e *Engine) OpenRequests() int { return e.requests.Len() }
 
 // Snapshot returns the configuration that new requests start under.
 func (e *Engine) Snapshot() *proto.Snapshot { return e.snapshot.Load() }
@@ -163,8 +163,8 @@
 	return best
 }
 
-// SetListed takes over the VMs that the platform lists as leaving.
-func (e *Engine) SetListed(vms map[proto.VM]bool) { e.listed.Store(&vms) }
+// SetLeavingVMs takes over the VMs that the platform lists as leaving.
+func (e *Engine) SetLeavingVMs(vms map[proto.VM]bool) { e.listed.Store(&vms) }
 
 func (e *Engine) leavingFunc(s *proto.Snapshot, now time.Time, lead time.Duration) leavingFunc {
 	return func(vm proto.VM) (bool, time.Time) {
@@ -257,7 +257,7 @@
 		if p := e.poolOf(ev.Pool); p != nil {
 			p.usage.add(ev.Workspace, now, ev.Spent, false)
 		}
-	case StopsDue:
+	case StopCheck:
 		e.stopsDue(t, ev.Lead)
 	case Exported:
 		e.withRequest(ev.Attempt.Request, func(r *request) { e.exported(t, r, &ev) }, nil)
--- a/core/engine_test.go
+++ b/core/engine_test.go
@@ -101,11 +101,11 @@
 		case Start:
 			h.started(a)
 		case Claim:
-			verdict := VerdictGranted
+			verdict := ClaimGranted
 			if h.random.IntN(5) == 0 {
-				verdict = []Verdict{VerdictTaken, VerdictUnreachable, VerdictTooOld, VerdictMismatch}[h.random.IntN(4)]
+				verdict = []ClaimResult{ClaimTaken, ClaimNoQuorum, ClaimTooOld, ClaimMismatch}[h.random.IntN(4)]
 			}
-			h.later(func() { h.feed(ClaimAnswered{Request: a.Request, Verdict: verdict}) })
+			h.later(func() { h.feed(ClaimAnswered{Request: a.Request, Result: verdict}) })
 		case Chunk:
 			h.chunk(a)
 		case Finish:
@@ -131,12 +131,12 @@
 	case 0:
 		h.later(func() {
 			s.starts[a.ID.Stage]--
-			h.feed(AttemptEnded{Attempt: a.ID, Fate: FateNotStarted})
+			h.feed(AttemptEnded{Attempt: a.ID, Status: StatusNotStarted})
 		})
 	case 1:
-		h.later(func() { h.feed(AttemptEnded{Attempt: a.ID, Fate: FateUnknown}) })
+		h.later(func() { h.feed(AttemptEnded{Attempt: a.ID, Status: StatusUnknown}) })
 	case 2:
-		h.later(func() { h.feed(AttemptEnded{Attempt: a.ID, Fate: FateFailed, Busy: time.Millisecond}) })
+		h.later(func() { h.feed(AttemptEnded{Attempt: a.ID, Status: StatusFailed, Busy: time.Millisecond}) })
 	case 3: // never answers
 	default:
 		h.answer(a)
@@ -156,7 +156,7 @@
 			}
 		}
 	}
-	ended := AttemptEnded{Attempt: a.ID, Fate: FateDone, Output: h.output(&a), Busy: time.Millisecond}
+	ended := AttemptEnded{Attempt: a.ID, Status: StatusDone, Output: h.output(&a), Busy: time.Millisecond}
 	if a.Stream {
 		ended.Tokens = testTokens
 	}
@@ -256,7 +256,7 @@
 			h.fault("request %s ended %d times", id, s.finished)
 		}
 	}
-	if n := h.engine.Open(); n != 0 {
+	if n := h.engine.OpenRequests(); n != 0 {
 		h.fault("%d requests are still open", n)
 	}
 	for _, p := range h.engine.Pools(h.now) {
--- a/core/events.go
+++ b/core/events.go
@@ -21,28 +21,28 @@
 	Input      []byte
 	Stream     bool
 	// KeyLost says that too few replicas of the key's group are live for the key to be claimed now.
-	KeyLost bool
+	QuorumLost bool
 }
 
-// Fate tells what is certain about an attempt that ended.
-type Fate int
+// AttemptStatus tells what is certain about an attempt that ended.
+type AttemptStatus int
 
 // Fates of an attempt.
 const (
 	// FateDone means that the target answered.
-	FateDone Fate = iota
+	StatusDone AttemptStatus = iota
 	// FateNotStarted means that nothing was written, or that the target said it never started.
-	FateNotStarted
+	StatusNotStarted
 	// FateFailed means that the target ran the attempt and said that it failed.
-	FateFailed
+	StatusFailed
 	// FateUnknown means that the connection broke or timed out after the first byte was written.
-	FateUnknown
+	StatusUnknown
 )
 
 // AttemptEnded is the last event of an attempt.
 type AttemptEnded struct {
 	Attempt  proto.AttemptID
-	Fate     Fate
+	Status   AttemptStatus
 	Output   []byte
 	Tokens   int
 	Busy     time.Duration
@@ -64,31 +64,31 @@
 	Slow    bool
 }
 
-// Verdict is the result of claiming an idempotency key.
-type Verdict int
+// ClaimResult is the result of claiming an idempotency key.
+type ClaimResult int
 
 // Verdicts on a claim.
 const (
 	// VerdictGranted means that this daemon alone may run the request.
-	VerdictGranted Verdict = iota
+	ClaimGranted ClaimResult = iota
 	// VerdictTaken means that the key was claimed before and may have run.
-	VerdictTaken
+	ClaimTaken
 	// VerdictDone means that the key's request ran and its answer is known.
-	VerdictDone
+	ClaimDone
 	// VerdictMismatch means that the key was used for another request.
-	VerdictMismatch
+	ClaimMismatch
 	// VerdictTooOld means that the key is older than what is remembered.
-	VerdictTooOld
+	ClaimTooOld
 	// VerdictTooNew means that the key's time lies in the future.
-	VerdictTooNew
+	ClaimTooNew
 	// VerdictUnreachable means that too few replicas could be asked.
-	VerdictUnreachable
+	ClaimNoQuorum
 )
 
 // ClaimAnswered is the answer to a Claim action.
 type ClaimAnswered struct {
 	Request proto.RequestID
-	Verdict Verdict
+	Result  ClaimResult
 	Answer  []byte
 }
 
@@ -111,8 +111,8 @@
 	Spent     time.Duration
 }
 
-// StopsDue lets the engine look at stops of VMs, listed and planned; it comes several times a second.
-type StopsDue struct {
+// StopCheck lets the engine look at stops of VMs, listed and planned; it comes several times a second.
+type StopCheck struct {
 	// Lead is how long before its planned stop a VM gets no new work, and its work is moved.
 	Lead time.Duration
 }
@@ -134,7 +134,7 @@
 func (LoadReported) event()  {}
 func (CacheReported) event() {}
 func (UsageReported) event() {}
-func (StopsDue) event()      {}
+func (StopCheck) event()     {}
 func (Exported) event()      {}
 func (Tick) event()          {}
 
--- a/core/flow.go
+++ b/core/flow.go
@@ -49,7 +49,7 @@
 		r.pools = append(r.pools, e.poolOf(service.Stages[i].Pool))
 	}
 	e.stats.asked(a.Workspace)
-	if refusal := e.admit(t, r, a.KeyLost); refusal != nil {
+	if refusal := e.admit(t, r, a.QuorumLost); refusal != nil {
 		e.stats.ended(r, t.now, refusal)
 		t.act(Finish{Request: a.ID, Failure: refusal, Generation: r.generation})
 		return
@@ -282,23 +282,23 @@
 	if r.claim != claimAsked {
 		return
 	}
-	switch ev.Verdict {
-	case VerdictGranted:
+	switch ev.Result {
+	case ClaimGranted:
 		r.claim = claimHeld
 		e.enqueue(t, r)
-	case VerdictDone:
+	case ClaimDone:
 		r.claim = claimSettled
 		e.replay(t, r, ev.Answer)
-	case VerdictTaken:
+	case ClaimTaken:
 		r.claim = claimSettled
 		e.conflict(t, r, proto.FailureKeyTaken, proto.OutcomeMayHaveRun, "the key was used before and its request may have run")
-	case VerdictMismatch:
+	case ClaimMismatch:
 		r.claim = claimSettled
 		e.conflict(t, r, proto.FailureKeyMismatch, r.outcome(), "the key was used for another request")
-	case VerdictTooOld:
+	case ClaimTooOld:
 		r.claim = claimSettled
 		e.conflict(t, r, proto.FailureKeyTooOld, proto.OutcomeMayHaveRun, "the key is older than what is remembered, so its request may have run")
-	case VerdictTooNew:
+	case ClaimTooNew:
 		r.claim = claimSettled
 		e.conflict(t, r, proto.FailureKeyInvalid, r.outcome(), "the key's time lies in the future")
 	default:
--- a/core/placement.go
+++ b/core/placement.go
@@ -34,7 +34,7 @@
 // Placement moves targets between models as their demand shifts, with hysteresis.
 type Placement struct {
 	tuning  PlacementTuning
-	demand  map[string]map[string]*state.Decay
+	demand  map[string]map[string]*state.DecayingSum
 	changed map[string]time.Time
 	short   map[string]shortage // by pool
 	tokens  float64
@@ -49,18 +49,18 @@
 
 // NewPlacement returns a placement that has seen no demand.
 func NewPlacement(tuning PlacementTuning) *Placement {
-	return &Placement{tuning: tuning, demand: map[string]map[string]*state.Decay{}, changed: map[string]time.Time{}, short: map[string]shortage{}, tokens: tuning.Burst}
+	return &Placement{tuning: tuning, demand: map[string]map[string]*state.DecayingSum{}, changed: map[string]time.Time{}, short: map[string]shortage{}, tokens: tuning.Burst}
 }
 
 func (p *Placement) take(now time.Time, pool string, demand map[string]time.Duration) map[string]float64 {
 	known := p.demand[pool]
 	if known == nil {
-		known = map[string]*state.Decay{}
+		known = map[string]*state.DecayingSum{}
 		p.demand[pool] = known
 	}
 	for model, spent := range demand {
 		if known[model] == nil {
-			known[model] = &state.Decay{}
+			known[model] = &state.DecayingSum{}
 		}
 		known[model].Add(now, p.tuning.HalfLife, spent.Seconds())
 	}
--- a/core/policy.go
+++ b/core/policy.go
@@ -124,11 +124,11 @@
 	// Admission refuses a request whose deadline cannot be met.
 	Admission bool
 	// Fair ranks waiting requests by workspace usage and deadline instead of by arrival.
-	Fair bool
+	FairQueueing bool
 	// Limits holds requests back when a target's slots are taken.
 	Limits bool
 	// MostAttempts bounds the attempts at one stage of one request.
-	MostAttempts int
+	MaxAttempts int
 	// RetryRatio is the part of a retry that each first attempt earns.
 	RetryRatio float64
 	// HedgeRatio is the part of a hedge that each first attempt earns.
@@ -155,9 +155,9 @@
 func DefaultTuning() Tuning {
 	return Tuning{
 		Admission:     true,
-		Fair:          true,
+		FairQueueing:  true,
 		Limits:        true,
-		MostAttempts:  3,
+		MaxAttempts:   3,
 		RetryRatio:    0.2,
 		HedgeRatio:    0.05,
 		HedgeAfter:    6,
--- a/core/pool.go
+++ b/core/pool.go
@@ -37,7 +37,7 @@
 	usage    *usage
 	prefixes *prefixes
 	backlog  backlog
-	drained  state.Decay
+	drained  state.DecayingSum
 	retries  state.Bucket
 	hedges   state.Bucket
 	sequence uint64
@@ -57,7 +57,7 @@
 		hedges:   state.NewBucket(burst(tuning.HedgeRatio)),
 	}
 	p.queue = newArrivalQueue()
-	if tuning.Fair {
+	if tuning.FairQueueing {
 		p.queue = newFairQueue(p.usage, tuning.ShareSlack)
 	}
 	return p
@@ -203,7 +203,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	relative := 1.0
-	if p.tuning.Fair {
+	if p.tuning.FairQueueing {
 		relative = p.usage.relative(workspace, now)
 	}
 	return p.backlog.takes(now, latest, p.slots(now), work, relative)
@@ -222,19 +222,19 @@
 }
 
 // ended takes in the end of an attempt and returns the grants that follow.
-func (p *pool) ended(now time.Time, a *attempt, workspace string, fate Fate, took time.Duration, spent time.Duration, hit bool) []grant {
+func (p *pool) ended(now time.Time, a *attempt, workspace string, fate AttemptStatus, took time.Duration, spent time.Duration, hit bool) []grant {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	ratio := took.Seconds() / a.expected
 	p.backlog.end(a.expected)
 	a.target.ended(now, fate, ratio)
-	if fate == FateDone {
+	if fate == StatusDone {
 		if a.prefix != "" {
 			p.prefixes.learn(hit, ratio)
 		}
 		p.drained.Add(now, drainHalfLife, 1)
-		p.retries.Earn(p.tuning.RetryRatio)
-		p.hedges.Earn(p.tuning.HedgeRatio)
+		p.retries.Deposit(p.tuning.RetryRatio)
+		p.hedges.Deposit(p.tuning.HedgeRatio)
 	}
 	if spent > 0 {
 		p.usage.add(workspace, now, spent, true)
--- a/core/prefix.go
+++ b/core/prefix.go
@@ -87,7 +87,7 @@
 	seed := xxhash.Sum64String(prefix)
 	var best []ranked
 	for _, t := range targets {
-		r := ranked{state.Rank(seed, t.hash), t.index}
+		r := ranked{state.RendezvousScore(seed, t.hash), t.index}
 		if len(best) < homeCount {
 			best = append(best, r)
 			continue
--- a/core/request.go
+++ b/core/request.go
@@ -64,7 +64,7 @@
 	offset   int
 	text     []byte
 	handle   string // of the KV cache that the next attempt imports
-	lastFate Fate
+	lastFate AttemptStatus
 	reason   string
 }
 
@@ -93,7 +93,7 @@
 	switch {
 	case r.possible == 0:
 		return proto.OutcomeNotRun
-	case r.ran && r.stage == len(r.service.Stages)-1 && r.lastFate == FateFailed:
+	case r.ran && r.stage == len(r.service.Stages)-1 && r.lastFate == StatusFailed:
 		return proto.OutcomeRan
 	}
 	return proto.OutcomeMayHaveRun
--- a/core/result.go
+++ b/core/result.go
@@ -23,7 +23,7 @@
 		took = seconds(a.expected)
 	}
 	spent := ev.Busy
-	if fate == FateUnknown {
+	if fate == StatusUnknown {
 		spent = took
 	}
 	t.grants = append(t.grants, a.pool.ended(t.now, a, r.workspace, fate, took, spent, ev.CacheHit)...)
@@ -32,26 +32,26 @@
 	}
 	e.stats.spent(r.service.Name, r.spec().Name, spent, ev.Tokens, fate)
 	switch fate {
-	case FateDone:
+	case StatusDone:
 		if !paused {
 			e.estimates.add(r.service.Name, r.spec().Name, took)
 		}
 		e.stageDone(t, r, ev)
-	case FateNotStarted:
+	case StatusNotStarted:
 		e.notStarted(t, r, a)
 	default:
-		r.ran = r.ran || fate == FateFailed
+		r.ran = r.ran || fate == StatusFailed
 		e.broken(t, r, a, fate)
 	}
 }
 
 // checkedFate turns a stream that ends before its last token into a broken one.
-func (e *Engine) checkedFate(r *request, ev *AttemptEnded) Fate {
-	if ev.Fate == FateDone && r.spec().Stream && ev.Tokens != r.offset {
+func (e *Engine) checkedFate(r *request, ev *AttemptEnded) AttemptStatus {
+	if ev.Status == StatusDone && r.spec().Stream && ev.Tokens != r.offset {
 		e.stats.gap()
-		return FateUnknown
+		return StatusUnknown
 	}
-	return ev.Fate
+	return ev.Status
 }
 
 func (e *Engine) stageDone(t *turn, r *request, ev *AttemptEnded) {
@@ -90,7 +90,7 @@
 		return
 	}
 	r.tries++
-	if r.tries >= 2*e.tuning.MostAttempts {
+	if r.tries >= 2*e.tuning.MaxAttempts {
 		e.fail(t, r, proto.FailureOverloaded, "no target would start it", retryFloor)
 		return
 	}
@@ -98,19 +98,19 @@
 	e.enqueue(t, r)
 }
 
-func (e *Engine) broken(t *turn, r *request, a *attempt, fate Fate) {
+func (e *Engine) broken(t *turn, r *request, a *attempt, fate AttemptStatus) {
 	if e.anotherRuns(r) {
 		return
 	}
 	kind := proto.FailureUnknown
-	if fate == FateFailed {
+	if fate == StatusFailed {
 		kind = proto.FailureTarget
 	}
 	r.tries++
 	switch {
 	case !r.mayRepeat():
 		e.fail(t, r, kind, "the stage may run only once and its result is not known", 0)
-	case r.tries >= e.tuning.MostAttempts:
+	case r.tries >= e.tuning.MaxAttempts:
 		e.fail(t, r, kind, "the last attempt that the limit allows ended without a result", 0)
 	case !a.pool.takeRetry():
 		e.fail(t, r, kind, "the pool's retry budget is spent", 0)
@@ -138,7 +138,7 @@
 		e.stats.gap()
 		delete(r.live, ev.Attempt.Number)
 		e.abandon(t, r, a)
-		e.broken(t, r, a, FateUnknown)
+		e.broken(t, r, a, StatusUnknown)
 		return
 	}
 	if r.offset == 0 {
@@ -159,8 +159,8 @@
 	return out
 }
 
-// Has tells whether a request is in progress.
-func (e *Engine) Has(id proto.RequestID) bool {
+// HasRequest tells whether a request is in progress.
+func (e *Engine) HasRequest(id proto.RequestID) bool {
 	_, ok := e.requests.Get(id)
 	return ok
 }
--- a/core/scenario_test.go
+++ b/core/scenario_test.go
@@ -60,24 +60,24 @@
 		snapshot := s.engine.Snapshot()
 		plan := proto.StopPlan{VM: proto.VM(arg(t, d, "vm", "")), At: s.now.Add(in)}
 		s.engine.Configure(snapshot.WithStop(snapshot.Generation+1, plan), s.now, 0)
-		s.feed(StopsDue{Lead: time.Second})
+		s.feed(StopCheck{Lead: time.Second})
 	case "listed":
 		leaving := map[proto.VM]bool{}
 		if d.HasArg("vm") {
 			leaving[proto.VM(arg(t, d, "vm", ""))] = true
 		}
-		s.engine.SetListed(leaving)
-		s.feed(StopsDue{Lead: time.Second})
+		s.engine.SetLeavingVMs(leaving)
+		s.feed(StopCheck{Lead: time.Second})
 	case "arrive":
 		s.arrive(t, d)
 	case "claim":
-		verdicts := map[string]Verdict{"granted": VerdictGranted, "taken": VerdictTaken, "tooOld": VerdictTooOld, "unreachable": VerdictUnreachable}
-		s.feed(ClaimAnswered{Request: s.ids[arg(t, d, "of", "")], Verdict: verdicts[arg(t, d, "verdict", "granted")]})
+		verdicts := map[string]ClaimResult{"granted": ClaimGranted, "taken": ClaimTaken, "tooOld": ClaimTooOld, "unreachable": ClaimNoQuorum}
+		s.feed(ClaimAnswered{Request: s.ids[arg(t, d, "of", "")], Result: verdicts[arg(t, d, "verdict", "granted")]})
 	case "chunk":
 		s.feed(AttemptChunk{Attempt: s.starts[arg(t, d, "of", "")], Offset: number(t, d, "offset"), Text: arg(t, d, "text", ""), Tokens: number(t, d, "tokens")})
 	case "end":
-		fates := map[string]Fate{"done": FateDone, "notStarted": FateNotStarted, "failed": FateFailed, "unknown": FateUnknown}
-		s.feed(AttemptEnded{Attempt: s.starts[arg(t, d, "of", "")], Fate: fates[arg(t, d, "fate", "done")], Output: []byte(arg(t, d, "output", "{}")), Tokens: number(t, d, "tokens"), Busy: time.Millisecond})
+		fates := map[string]AttemptStatus{"done": StatusDone, "notStarted": StatusNotStarted, "failed": StatusFailed, "unknown": StatusUnknown}
+		s.feed(AttemptEnded{Attempt: s.starts[arg(t, d, "of", "")], Status: fates[arg(t, d, "fate", "done")], Output: []byte(arg(t, d, "output", "{}")), Tokens: number(t, d, "tokens"), Busy: time.Millisecond})
 	case "exported":
 		s.feed(Exported{Attempt: s.starts[arg(t, d, "of", "")], Handle: arg(t, d, "handle", "")})
 	case "leave":
@@ -94,7 +94,7 @@
 			t.Fatal(err)
 		}
 		s.now = s.now.Add(length)
-		s.feed(StopsDue{Lead: time.Second})
+		s.feed(StopCheck{Lead: time.Second})
 		s.feed(Tick{})
 	default:
 		t.Fatalf("no command %q", d.Cmd)
--- a/core/stats.go
+++ b/core/stats.go
@@ -131,12 +131,12 @@
 	})
 }
 
-func (s *Stats) spent(service, stage string, spent time.Duration, tokens int, fate Fate) {
+func (s *Stats) spent(service, stage string, spent time.Duration, tokens int, fate AttemptStatus) {
 	s.change(func() {
 		st := s.stage(service, stage)
 		st.Busy += proto.Duration(spent)
 		st.Tokens += int64(tokens)
-		if fate != FateDone {
+		if fate != StatusDone {
 			st.Wasted++
 		}
 	})
--- a/core/target.go
+++ b/core/target.go
@@ -165,18 +165,18 @@
 }
 
 // ended takes in the fate of an attempt; ratio is observed over expected service time, or 0 if there was no answer.
-func (t *target) ended(now time.Time, fate Fate, ratio float64) {
+func (t *target) ended(now time.Time, fate AttemptStatus, ratio float64) {
 	t.inflight = max(0, t.inflight-1)
 	t.record(now)
 	switch fate {
-	case FateDone:
+	case StatusDone:
 		t.failures = 0
 		t.cut = min(1, t.cut+limitGrowth/float64(t.capacity()))
 		t.slowness.Add(ratio)
 		if now.Sub(t.readmitted) > t.tuning.Readmit {
 			t.ejections = 0
 		}
-	case FateNotStarted:
+	case StatusNotStarted:
 		t.cut = max(1/float64(t.capacity()), t.cut*limitCut)
 		t.failed(now)
 	default:
--- a/core/usage.go
+++ b/core/usage.go
@@ -12,8 +12,8 @@
 type usage struct {
 	mu       sync.Mutex
 	halfLife time.Duration
-	spent    map[string]*state.Decay
-	total    state.Decay
+	spent    map[string]*state.DecayingSum
+	total    state.DecayingSum
 	weights  map[string]*proto.Workspace
 	unsent   map[string]time.Duration
 	models   map[string]time.Duration // by model, since it was last taken
@@ -22,7 +22,7 @@
 func newUsage(halfLife time.Duration) *usage {
 	return &usage{
 		halfLife: halfLife,
-		spent:    map[string]*state.Decay{},
+		spent:    map[string]*state.DecayingSum{},
 		unsent:   map[string]time.Duration{},
 		models:   map[string]time.Duration{},
 	}
@@ -43,7 +43,7 @@
 	defer u.mu.Unlock()
 	d := u.spent[workspace]
 	if d == nil {
-		d = &state.Decay{}
+		d = &state.DecayingSum{}
 		u.spent[workspace] = d
 	}
 	d.Add(now, u.halfLife, spent.Seconds())
--- a/demo/faults.go
+++ b/demo/faults.go
@@ -46,14 +46,14 @@
 	name, offset, found := strings.Cut(text, "@")
 	f := Fault{Name: FaultName(name), At: duration / 3}
 	if !slices.Contains(FaultNames, f.Name) {
-		return f, fault("read fault", proto.KindInvalid, "no fault is named %q; there are %v", name, FaultNames)
+		return f, newError("read fault", proto.KindInvalid, "no fault is named %q; there are %v", name, FaultNames)
 	}
 	if !found {
 		return f, nil
 	}
 	at, err := time.ParseDuration(offset)
 	if err != nil || at < 0 || at >= duration {
-		return f, fault("read fault", proto.KindInvalid, "%q is no offset within the run of %s", offset, duration)
+		return f, newError("read fault", proto.KindInvalid, "%q is no offset within the run of %s", offset, duration)
 	}
 	f.At = at
 	return f, nil
@@ -204,7 +204,7 @@
 	node := r.survivor(0).daemon.Node()
 	r.world.store.LoseAnswers(1)
 	began := time.Now()
-	applied, err := node.Store.Apply(ctx, node.Changes, coord.ApplyRequest{Body: r.changed(time.Millisecond), By: "demo"})
+	applied, err := node.ConfigStore.Apply(ctx, node.Config, coord.ApplyRequest{Body: r.changed(time.Millisecond), By: "demo"})
 	if err != nil {
 		return "apply: " + err.Error()
 	}
@@ -213,10 +213,10 @@
 
 func (r *runner) conflictingApply(ctx context.Context) string {
 	type result struct {
-		applied coord.Applied
+		applied coord.ApplyResult
 		err     error
 	}
-	base := r.survivor(0).daemon.Node().Changes
+	base := r.survivor(0).daemon.Node().Config
 	change, _ := base.File(r.world.file.Name)
 	generation := change.Generation
 	results := make(chan result, 2)
@@ -224,7 +224,7 @@
 	for i := range 2 {
 		node := r.survivor(i).daemon.Node()
 		go func() {
-			applied, err := node.Store.Apply(ctx, node.Changes, coord.ApplyRequest{
+			applied, err := node.ConfigStore.Apply(ctx, node.Config, coord.ApplyRequest{
 				Body: r.changed(time.Duration(10+i) * time.Millisecond), Base: &generation, By: fmt.Sprintf("operator-%d", i+1),
 			})
 			results <- result{applied, err}
@@ -279,7 +279,7 @@
 	node := r.survivor(0).daemon.Node()
 	began := time.Now()
 	plan := proto.StopPlan{VM: e.vm, At: time.Now().Add(time.Second)}
-	if _, err := node.Store.PlanStop(ctx, node.Changes, plan, "demo"); err != nil {
+	if _, err := node.ConfigStore.PlanStop(ctx, node.Config, plan, "demo"); err != nil {
 		return "plan: " + err.Error()
 	}
 	select {
--- a/demo/world.go
+++ b/demo/world.go
@@ -130,12 +130,12 @@
 		return err
 	}
 	first := w.entries[0].daemon.Node()
-	applied, err := first.Store.Apply(ctx, first.Changes, coord.ApplyRequest{Body: body, By: "demo"})
+	applied, err := first.ConfigStore.Apply(ctx, first.Config, coord.ApplyRequest{Body: body, By: "demo"})
 	if err != nil {
 		return err
 	}
 	if len(applied.Faults) > 0 {
-		return fault("apply", proto.KindInvalid, "%v", applied.Faults)
+		return newError("apply", proto.KindInvalid, "%v", applied.Faults)
 	}
 	deadline := time.Now().Add(readyWait)
 	for time.Now().Before(deadline) {
@@ -144,7 +144,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return fault("start", proto.KindUnavailable, "the daemons were not ready within %s", readyWait)
+	return newError("start", proto.KindUnavailable, "the daemons were not ready within %s", readyWait)
 }
 
 func (w *world) allReady(generation proto.Generation) bool {
@@ -152,7 +152,7 @@
 		ok, _ := e.daemon.Ready()
 		claims := e.daemon.Node().Replica.Counts()
 		members := e.daemon.Node().Members.Counts()
-		if !ok || e.daemon.Node().Changes.Generation() < generation || claims.Epoch == 0 || claims.Ready < claims.Slots || members.Known < len(w.entries) {
+		if !ok || e.daemon.Node().Config.Generation() < generation || claims.Epoch == 0 || claims.Ready < claims.Slots || members.Known < len(w.entries) {
 			return false
 		}
 	}
--- a/entry/app.go
+++ b/entry/app.go
@@ -37,7 +37,7 @@
 func exit(code int, err error) error { return &exitError{code: code, err: err} }
 
 func usage(format string, args ...any) error {
-	return exit(ExitUsage, fault("usage", proto.KindInvalid, format, args...))
+	return exit(ExitUsage, newError("usage", proto.KindInvalid, format, args...))
 }
 
 // errSilent ends a command whose output has said everything.
--- a/entry/apply.go
+++ b/entry/apply.go
@@ -40,7 +40,7 @@
 			}
 			_, faults := proto.ReadFile(data)
 			if len(faults) == 0 && c.Bool("against") {
-				var answer coord.Applied
+				var answer coord.ApplyResult
 				if _, err := operatorCall(ctx, c, http.MethodPost, wire.PathCheck, data, &answer); err != nil {
 					return err
 				}
@@ -104,11 +104,11 @@
 }
 
 func sendChange(ctx context.Context, c *cli.Command, path, target string, body []byte, applyID string) error {
-	var applied coord.Applied
+	var applied coord.ApplyResult
 	status, err := operatorCall(ctx, c, http.MethodPost, target, body, &applied, http.StatusConflict, http.StatusUnprocessableEntity)
 	if err != nil {
 		if codeOf(err, io.Discard) == ExitUnknown {
-			return exit(ExitUnknown, fault("apply", proto.KindUnknown, "%v; ask again with --apply-id %s", err, applyID))
+			return exit(ExitUnknown, newError("apply", proto.KindUnknown, "%v; ask again with --apply-id %s", err, applyID))
 		}
 		return err
 	}
@@ -127,10 +127,10 @@
 	})
 }
 
-func reportConflict(c *cli.Command, path string, applied coord.Applied) error {
+func reportConflict(c *cli.Command, path string, applied coord.ApplyResult) error {
 	conflict := applied.Conflict
 	err := printed(c, applied, func(w io.Writer) {
-		fmt.Fprintf(w, "%s: conflict: %s was changed by %s at generation %d, your base is %d\n", path, conflict.Name, conflict.By, conflict.Now, conflict.Base)
+		fmt.Fprintf(w, "%s: conflict: %s was changed by %s at generation %d, your base is %d\n", path, conflict.Name, conflict.By, conflict.Current, conflict.Base)
 		for _, line := range conflict.Diff {
 			fmt.Fprintln(w, line)
 		}
--- a/entry/client.go
+++ b/entry/client.go
@@ -72,5 +72,5 @@
 	if answer.Kind == proto.KindUnknown {
 		code = ExitUnknown
 	}
-	return exit(code, fault("call daemon", answer.Kind, "%s", answer.Error))
+	return exit(code, newError("call daemon", answer.Kind, "%s", answer.Error))
 }
--- a/entry/demo.go
+++ b/entry/demo.go
@@ -83,7 +83,7 @@
 		faults = proto.EmptySnapshot().CheckFile(file)
 	}
 	if len(faults) > 0 {
-		return nil, exit(ExitFailed, fault("read deployment", proto.KindInvalid, "%s: %v", name, faults))
+		return nil, exit(ExitFailed, newError("read deployment", proto.KindInvalid, "%s: %v", name, faults))
 	}
 	return file, nil
 }
--- a/entry/fake.go
+++ b/entry/fake.go
@@ -107,7 +107,7 @@
 	}
 	file, faults := proto.ReadFile(data)
 	if len(faults) > 0 {
-		return exit(ExitFailed, fault("read file", proto.KindInvalid, "%v", faults))
+		return exit(ExitFailed, newError("read file", proto.KindInvalid, "%v", faults))
 	}
 	targets, err := fakes.StartTargets(file, c.Uint64("seed"), c.Bool("any-port"))
 	if err != nil {
@@ -137,7 +137,7 @@
 	}
 	file, faults := proto.ReadFile(data)
 	if len(faults) > 0 {
-		return nil, exit(ExitFailed, fault("read file", proto.KindInvalid, "%v", faults))
+		return nil, exit(ExitFailed, newError("read file", proto.KindInvalid, "%v", faults))
 	}
 	for _, pool := range file.Pools {
 		for _, target := range pool.Targets {
--- a/entry/linkkeys.go
+++ b/entry/linkkeys.go
@@ -60,7 +60,7 @@
 	}
 	folder := c.Args().First()
 	if _, err := os.Stat(filepath.Join(folder, fileAuthorityKey)); err == nil {
-		return exit(ExitFailed, fault("make authority", proto.KindConflict, "%s has one already; a new one goes into a folder of its own", folder))
+		return exit(ExitFailed, newError("make authority", proto.KindConflict, "%s has one already; a new one goes into a folder of its own", folder))
 	}
 	pair, err := wire.NewAuthority(time.Now(), c.Duration("valid"))
 	if err != nil {
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -42,8 +42,8 @@
 			&cli.StringFlag{Name: flagLinkCertificateKey, Sources: cli.EnvVars("EMBERLEAD_LINK_CERTIFICATE_KEY"), Usage: "`FILE` with the certificate's key"},
 			&cli.StringFlag{Name: flagLinkAuthority, Sources: cli.EnvVars("EMBERLEAD_LINK_AUTHORITY"), Usage: "`FILE` with the certificates of the authorities that other daemons' certificates may come from"},
 			&cli.StringFlag{Name: flagLinkRevoked, Sources: cli.EnvVars("EMBERLEAD_LINK_REVOKED"), Usage: "`FILE` with the authorities' lists of revoked certificates, if there are any"},
-			&cli.DurationFlag{Name: "zone-cost", Value: zones.Request, Usage: "`DELAY` that a target in another availability zone counts for"},
-			&cli.DurationFlag{Name: "zone-megabyte-cost", Value: zones.Megabyte, Usage: "`DELAY` that a megabyte of inputs from another zone counts for; higher where such bytes are dear"},
+			&cli.DurationFlag{Name: "zone-cost", Value: zones.PerRequest, Usage: "`DELAY` that a target in another availability zone counts for"},
+			&cli.DurationFlag{Name: "zone-megabyte-cost", Value: zones.PerMegabyte, Usage: "`DELAY` that a megabyte of inputs from another zone counts for; higher where such bytes are dear"},
 		},
 		Action: runRelay,
 	}
@@ -58,7 +58,7 @@
 	defer sink.Close(logFlush)
 	log := hclog.New(&hclog.LoggerOptions{Name: "emberlead", Level: hclog.LevelFromString(c.String("log-level")), JSONFormat: true, Output: sink}).With("vm", settings.VM)
 	options := []serve.RelayOption{
-		serve.WithZoneCosts(relay.ZoneCosts{Request: c.Duration("zone-cost"), Megabyte: c.Duration("zone-megabyte-cost")}),
+		serve.WithZoneCosts(relay.ZoneCosts{PerRequest: c.Duration("zone-cost"), PerMegabyte: c.Duration("zone-megabyte-cost")}),
 	}
 	if key := c.String("link-key"); key != "" {
 		options = append(options, serve.WithLinkKey(key))
@@ -83,7 +83,7 @@
 		return nil, nil
 	}
 	if files.Certificate == "" || files.Key == "" || files.Authority == "" {
-		return nil, fault("read credentials", proto.KindInvalid, "--%s, --%s and --%s go together", flagLinkCertificate, flagLinkCertificateKey, flagLinkAuthority)
+		return nil, newError("read credentials", proto.KindInvalid, "--%s, --%s and --%s go together", flagLinkCertificate, flagLinkCertificateKey, flagLinkAuthority)
 	}
 	return wire.LoadCredentials(files)
 }
--- a/entry/trace.go
+++ b/entry/trace.go
@@ -44,7 +44,7 @@
 	}
 	t := newTrace(id, lines)
 	if len(t.own) == 0 {
-		return exit(ExitFailed, fault("trace", proto.KindNotFound, "no line of %d is about request %s", len(lines), id))
+		return exit(ExitFailed, newError("trace", proto.KindNotFound, "no line of %d is about request %s", len(lines), id))
 	}
 	return t.print(c.Root().Writer)
 }
@@ -99,7 +99,7 @@
 		return nil, &Error{Op: "read log", Kind: proto.KindInvalid, Err: err}
 	}
 	if len(lines) == 0 {
-		return nil, fault("read log", proto.KindInvalid, "%s holds no line of a daemon's log", path)
+		return nil, newError("read log", proto.KindInvalid, "%s holds no line of a daemon's log", path)
 	}
 	return lines, nil
 }
--- a/fakes/errors.go
+++ b/fakes/errors.go
@@ -11,6 +11,6 @@
 // Error is the error type of this package.
 type Error = proto.OpError[source]
 
-func fault(op string, kind proto.Kind, format string, args ...any) error {
+func newError(op string, kind proto.Kind, format string, args ...any) error {
 	return proto.NewOpError[source](op, kind, format, args...)
 }
--- a/fakes/host.go
+++ b/fakes/host.go
@@ -46,7 +46,7 @@
 		h.ports.Store(hostFirstPort)
 		return h, nil
 	}
-	return nil, fault("claim a host", proto.KindUnavailable, "no loopback address is free")
+	return nil, newError("claim a host", proto.KindUnavailable, "no loopback address is free")
 }
 
 func hostAddress(n uint32) netip.Addr {
@@ -70,5 +70,5 @@
 		}
 		return address, l.Close()
 	}
-	return netip.AddrPort{}, fault("find a port", proto.KindUnavailable, "no port is free at %s", h.ip)
+	return netip.AddrPort{}, newError("find a port", proto.KindUnavailable, "no port is free at %s", h.ip)
 }
--- a/fakes/store.go
+++ b/fakes/store.go
@@ -90,7 +90,7 @@
 func (c *Client) enter(op string, counter *int64) error {
 	*counter++
 	if c.store.down || c.store.cut[c.name] {
-		return fault(op, proto.KindUnavailable, "the store is out")
+		return newError(op, proto.KindUnavailable, "the store is out")
 	}
 	return nil
 }
@@ -147,7 +147,7 @@
 	for _, condition := range tx.Conditions {
 		if s.rows[condition.Key].Version != condition.Version {
 			s.conflicts++
-			return fault("transact", proto.KindConflict, "row %s has version %d, not %d", condition.Key, s.rows[condition.Key].Version, condition.Version)
+			return newError("transact", proto.KindConflict, "row %s has version %d, not %d", condition.Key, s.rows[condition.Key].Version, condition.Version)
 		}
 	}
 	s.version++
@@ -160,7 +160,7 @@
 	}
 	if s.loseNext > 0 {
 		s.loseNext--
-		return fault("transact", proto.KindUnknown, "the answer was lost")
+		return newError("transact", proto.KindUnknown, "the answer was lost")
 	}
 	return nil
 }
@@ -187,7 +187,7 @@
 	}
 	data, ok := s.objects[hash]
 	if !ok {
-		return nil, fault("get", proto.KindNotFound, "no object %s", hash)
+		return nil, newError("get", proto.KindNotFound, "no object %s", hash)
 	}
 	return slices.Clone(data), nil
 }
--- a/proto/codec.go
+++ b/proto/codec.go
@@ -73,7 +73,7 @@
 	}
 	read, ok := readers[env.Kind]
 	if !ok {
-		return env, nil, fault("decode message", KindInvalid, "no message is of kind %d", env.Kind)
+		return env, nil, newError("decode message", KindInvalid, "no message is of kind %d", env.Kind)
 	}
 	body := []byte(env.Body)
 	if len(env.Packed) > 0 {
--- a/proto/codec_fuzz_test.go
+++ b/proto/codec_fuzz_test.go
@@ -10,13 +10,13 @@
 func FuzzDecode(f *testing.F) {
 	for _, m := range []Message{
 		Heartbeat{Incarnation: 7, Routing: 3, Targets: Revision{Era: 1, Version: 9}},
-		PiecesAsk{Pool: "p", Request: "r", Pieces: 2, Inputs: []string{"h"}, Due: time.Second, Shard: 1},
-		PiecesAnswer{Fate: PiecesDone, Handles: []string{"h"}, InputsFreed: true},
+		PiecesAsk{Pool: "p", RequestID: "r", Pieces: 2, Inputs: []string{"h"}, DueIn: time.Second, Shard: 1},
+		PiecesAnswer{Outcome: PiecesDone, Handles: []string{"h"}, InputsFreed: true},
 		PiecesDrop{Pool: "p", Handles: []string{"h"}, Shard: 2},
-		PlaceAsk{Pool: "p", Shared: []PromptShare{{ID: "a", Tokens: 5}}},
-		PermitAsk{Pool: "p", Notice: TargetNotice{Target: "t", Run: "t@7", Limit: 0.5, Limited: true, Change: 3}},
+		PlaceAsk{Pool: "p", SharedParts: []PromptPart{{ID: "a", Tokens: 5}}},
+		PermitAsk{Pool: "p", Notice: TargetNotice{Target: "t", Run: "t@7", Limit: 0.5, HasLimit: true, LimitVersion: 3}},
 		TargetNotices{Notices: []TargetNotice{{Target: "t", Run: "t", Leaving: true}}},
-		Alarm{About: "vm-1", By: "vm-2", Count: 4, Silent: true},
+		Alarm{Subject: "vm-1", Reporter: "vm-2", Sequence: 4, Silent: true},
 	} {
 		data, err := Encode(m, 1, false, "")
 		if err != nil {
--- a/proto/crash.go
+++ b/proto/crash.go
@@ -18,18 +18,18 @@
 
 // RunName returns the name of the target's run.
 func (t *RelayTarget) RunName() RunName {
-	if t.Born.IsZero() {
+	if t.StartedAt.IsZero() {
 		return RunName(t.ID)
 	}
-	return RunName(t.ID + "@" + strconv.FormatInt(t.Born.UnixMilli(), 10))
+	return RunName(t.ID + "@" + strconv.FormatInt(t.StartedAt.UnixMilli(), 10))
 }
 
 // TargetEnd tells that a run of a target ended, and which requests were at work there.
 type TargetEnd struct {
 	Run RunName `cbor:"1,keyasint"`
 	// By is the daemon that saw it, and Age how long before the message it did.
-	By  VM            `cbor:"2,keyasint"`
-	Age time.Duration `cbor:"3,keyasint"`
+	Reporter VM            `cbor:"2,keyasint"`
+	Age      time.Duration `cbor:"3,keyasint"`
 	// Requests were at work there.
 	Requests []RequestDigest `cbor:"4,keyasint"`
 	// Answered says that other targets have answered the requests since, so that the end does not count against them.
--- a/proto/digest.go
+++ b/proto/digest.go
@@ -25,8 +25,8 @@
 	Age time.Duration
 }
 
-// DigestOf returns the hash by which a digest names a target.
-func DigestOf(target string) uint32 { return uint32(xxhash.Sum64String(target)) }
+// TargetHash returns the hash by which a digest names a target.
+func TargetHash(target string) uint32 { return uint32(xxhash.Sum64String(target)) }
 
 func small(n int) byte { return byte(min(digestMost, max(0, n))) }
 
@@ -35,7 +35,7 @@
 	digest := make([]byte, 0, digestRow*len(rows))
 	for i := range rows {
 		row := &rows[i]
-		digest = binary.BigEndian.AppendUint32(digest, DigestOf(row.Target))
+		digest = binary.BigEndian.AppendUint32(digest, TargetHash(row.Target))
 		digest = append(digest, small(row.Running), small(row.Waiting), small(row.Slots), small(int(row.Age/digestStep)))
 	}
 	return digest
--- a/proto/duration.go
+++ b/proto/duration.go
@@ -23,7 +23,7 @@
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
-		return fault("read duration", KindInvalid, "%s is not a string such as \"1.5s\"", data)
+		return newError("read duration", KindInvalid, "%s is not a string such as \"1.5s\"", data)
 	}
 	value, err := time.ParseDuration(text)
 	if err != nil {
--- a/proto/errors.go
+++ b/proto/errors.go
@@ -73,6 +73,6 @@
 // Error is the error type of this package.
 type Error = OpError[source]
 
-func fault(op string, kind Kind, format string, args ...any) error {
+func newError(op string, kind Kind, format string, args ...any) error {
 	return NewOpError[source](op, kind, format, args...)
 }
--- a/proto/homes.go
+++ b/proto/homes.go
@@ -2,33 +2,37 @@
 
 import "slices"
 
-// Homes are the regions in which a request may be worked on; without a bound it may be anywhere.
-type Homes struct {
+// AllowedRegions are the regions in which a request may be worked on; without a bound it may be anywhere.
+type AllowedRegions struct {
 	// Bound says that only Regions are allowed, which may be none.
-	Bound   bool     `cbor:"1,keyasint,omitempty"`
-	Regions []string `cbor:"2,keyasint,omitempty"`
+	Restricted bool     `cbor:"1,keyasint,omitempty"`
+	Regions    []string `cbor:"2,keyasint,omitempty"`
 }
 
-// HomesIn returns a bound to some regions, or none if there are no regions.
-func HomesIn(regions []string) Homes { return Homes{Bound: len(regions) > 0, Regions: regions} }
+// AllowRegions returns a bound to some regions, or none if there are no regions.
+func AllowRegions(regions []string) AllowedRegions {
+	return AllowedRegions{Restricted: len(regions) > 0, Regions: regions}
+}
 
 // IsZero tells whether there is no bound.
-func (h Homes) IsZero() bool { return !h.Bound }
+func (h AllowedRegions) IsZero() bool { return !h.Restricted }
 
-// Allow tells whether a region is allowed.
-func (h Homes) Allow(region string) bool { return !h.Bound || slices.Contains(h.Regions, region) }
+// Allows tells whether a region is allowed.
+func (h AllowedRegions) Allows(region string) bool {
+	return !h.Restricted || slices.Contains(h.Regions, region)
+}
 
-// And returns the bound that holds where both hold.
-func (h Homes) And(other Homes) Homes {
+// Intersect returns the bound that holds where both hold.
+func (h AllowedRegions) Intersect(other AllowedRegions) AllowedRegions {
 	switch {
-	case !h.Bound:
+	case !h.Restricted:
 		return other
-	case !other.Bound:
+	case !other.Restricted:
 		return h
 	}
-	both := Homes{Bound: true}
+	both := AllowedRegions{Restricted: true}
 	for _, region := range h.Regions {
-		if other.Allow(region) {
+		if other.Allows(region) {
 			both.Regions = append(both.Regions, region)
 		}
 	}
--- a/proto/ids.go
+++ b/proto/ids.go
@@ -40,7 +40,7 @@
 func ParseAttemptID(s string) (AttemptID, error) {
 	parts := strings.Split(s, ".")
 	if len(parts) != 3 {
-		return AttemptID{}, fault("parse attempt id", KindInvalid, "%q has %d parts, not 3", s, len(parts))
+		return AttemptID{}, newError("parse attempt id", KindInvalid, "%q has %d parts, not 3", s, len(parts))
 	}
 	id, err := uuid.Parse(parts[0])
 	if err != nil {
@@ -49,7 +49,7 @@
 	stage, stageErr := strconv.Atoi(parts[1])
 	number, numberErr := strconv.Atoi(parts[2])
 	if stageErr != nil || numberErr != nil {
-		return AttemptID{}, fault("parse attempt id", KindInvalid, "%q has parts that are no numbers", s)
+		return AttemptID{}, newError("parse attempt id", KindInvalid, "%q has parts that are no numbers", s)
 	}
 	return AttemptID{Request: id, Stage: stage, Number: number}, nil
 }
@@ -64,7 +64,7 @@
 		return Key{}, &Error{Op: "parse key", Kind: KindInvalid, Err: err}
 	}
 	if key.Version() != 7 {
-		return Key{}, fault("parse key", KindInvalid, "%s is a UUID of version %d, not 7", s, key.Version())
+		return Key{}, newError("parse key", KindInvalid, "%s is a UUID of version %d, not 7", s, key.Version())
 	}
 	return key, nil
 }
--- a/proto/notice.go
+++ b/proto/notice.go
@@ -12,15 +12,15 @@
 	// Leaving says that the run is about to end.
 	Leaving bool `cbor:"3,keyasint,omitempty"`
 	// Limit is how many requests a second the target takes from all daemons together, if it is Limited.
-	Limit   float64 `cbor:"4,keyasint,omitempty"`
-	Limited bool    `cbor:"5,keyasint,omitempty"`
+	Limit    float64 `cbor:"4,keyasint,omitempty"`
+	HasLimit bool    `cbor:"5,keyasint,omitempty"`
 	// Change counts the changes of the limit: the newest holds.
-	Change uint64 `cbor:"6,keyasint,omitempty"`
+	LimitVersion uint64 `cbor:"6,keyasint,omitempty"`
 }
 
 // Valid tells whether the notice names a limit that can be kept, or none.
 func (n *TargetNotice) Valid() bool {
-	return !n.Limited || n.Limit >= 0 && !math.IsInf(n.Limit, 0)
+	return !n.HasLimit || n.Limit >= 0 && !math.IsInf(n.Limit, 0)
 }
 
 // TargetNotices tells other daemons what targets have said of themselves.
@@ -37,6 +37,6 @@
 
 // PermitAnswer says whether to send a request, and if not, when to ask again.
 type PermitAnswer struct {
-	Granted bool          `cbor:"1,keyasint,omitempty"`
-	Wait    time.Duration `cbor:"2,keyasint,omitempty"`
+	Granted    bool          `cbor:"1,keyasint,omitempty"`
+	RetryAfter time.Duration `cbor:"2,keyasint,omitempty"`
 }
--- a/proto/pack.go
+++ b/proto/pack.go
@@ -45,7 +45,7 @@
 		return nil, &Error{Op: "unpack message", Kind: KindInvalid, Err: err}
 	}
 	if len(body) > MaxMessage {
-		return nil, fault("unpack message", KindInvalid, "a body of more than %d bytes", MaxMessage)
+		return nil, newError("unpack message", KindInvalid, "a body of more than %d bytes", MaxMessage)
 	}
 	return body, nil
 }
--- a/proto/pack_test.go
+++ b/proto/pack_test.go
@@ -11,7 +11,7 @@
 
 // targetList is the list of targets that a daemon gives to another.
 func targetList(targets int) RoutingAnswer {
-	a := RoutingAnswer{Targets: Revision{Version: 7}, TargetsAreSent: true, Whole: true}
+	a := RoutingAnswer{Targets: Revision{Version: 7}, HasTargets: true, Full: true}
 	for i := range targets {
 		body := fmt.Sprintf(`{"pool":"pool-%d","endpoint":"10.%d.%d.%d:8080","zone":"hall-%d","release":"v1","places":48,"condition":"fine","count":%d,"warmsInMs":0}`, i%5, i%6, i%200, i%250, i%6, i*7919%1000)
 		a.TargetEntries = append(a.TargetEntries, TargetDocument{ID: fmt.Sprintf("i-%08x", uint32(i*2654435761)), Body: []byte(body), Version: Revision{Version: uint64(1000 + i)}})
@@ -22,7 +22,7 @@
 func TestLongMessagesArePacked(t *testing.T) {
 	news := News{}
 	for i := range 100 {
-		news.Alive = append(news.Alive, Alive{VM: VM(fmt.Sprint("vm-", i)), Zone: "r/z", Peer: netip.MustParseAddrPort("10.0.0.1:80"), Incarnation: 9, Count: uint64(i)})
+		news.Alive = append(news.Alive, Alive{VM: VM(fmt.Sprint("vm-", i)), Zone: "r/z", Peer: netip.MustParseAddrPort("10.0.0.1:80"), Incarnation: 9, Sequence: uint64(i)})
 	}
 	for _, m := range []Message{targetList(300), news, Heartbeat{Incarnation: 3, Routing: 4}} {
 		data, err := Encode(m, 5, true, "t")
--- a/proto/peer.go
+++ b/proto/peer.go
@@ -68,15 +68,15 @@
 	Routing uint64   `cbor:"5,keyasint,omitempty"`
 	Targets Revision `cbor:"6,keyasint,omitzero"`
 	// Dead is a digest of the runs that the sender holds to be dead; 0 if none.
-	Dead uint64 `cbor:"7,keyasint,omitempty"`
+	DeadDigest uint64 `cbor:"7,keyasint,omitempty"`
 	// Ends is a digest of the ends of targets that the sender knows of; 0 if none.
-	Ends uint64 `cbor:"8,keyasint,omitempty"`
+	EndsDigest uint64 `cbor:"8,keyasint,omitempty"`
 	// Void is a digest of the void entries of targets that the sender knows of; 0 if none.
-	Void uint64 `cbor:"9,keyasint,omitempty"`
+	InvalidDigest uint64 `cbor:"9,keyasint,omitempty"`
 	// Evacuations is the revision of the newest evacuation, or end of one, that the sender knows.
 	Evacuations Revision `cbor:"10,keyasint,omitzero"`
 	// Notices is a digest of what listed targets have said of themselves, as far as the sender knows; 0 if nothing.
-	Notices uint64 `cbor:"11,keyasint,omitempty"`
+	NoticesDigest uint64 `cbor:"11,keyasint,omitempty"`
 }
 
 // Alive announces a daemon, or refutes an alarm about it by a higher count.
@@ -85,28 +85,28 @@
 	Zone        Zone           `cbor:"2,keyasint"`
 	Peer        netip.AddrPort `cbor:"3,keyasint"`
 	Incarnation Incarnation    `cbor:"4,keyasint"`
-	Count       uint64         `cbor:"5,keyasint"`
+	Sequence    uint64         `cbor:"5,keyasint"`
 	Stopping    bool           `cbor:"6,keyasint,omitempty"`
 }
 
 // Alarm says that a daemon which links to another has not heard from it, or has again.
 type Alarm struct {
-	About       VM          `cbor:"1,keyasint"`
+	Subject     VM          `cbor:"1,keyasint"`
 	Incarnation Incarnation `cbor:"2,keyasint"`
-	By          VM          `cbor:"3,keyasint"`
-	Count       uint64      `cbor:"4,keyasint"`
+	Reporter    VM          `cbor:"3,keyasint"`
+	Sequence    uint64      `cbor:"4,keyasint"`
 	Silent      bool        `cbor:"5,keyasint,omitempty"`
 }
 
-// Run is one run of a daemon.
-type Run struct {
+// DaemonRun is one run of a daemon.
+type DaemonRun struct {
 	VM          VM          `cbor:"1,keyasint"`
 	Incarnation Incarnation `cbor:"2,keyasint"`
 }
 
 // Deaths names the runs that the sender holds to be dead.
 type Deaths struct {
-	Runs []Run `cbor:"1,keyasint"`
+	Runs []DaemonRun `cbor:"1,keyasint"`
 }
 
 // News passes on what the sender has lately heard of daemons that are not itself.
@@ -147,7 +147,7 @@
 type ChangesAnswer struct {
 	Generation Generation `cbor:"1,keyasint"`
 	Changes    []Change   `cbor:"2,keyasint,omitempty"`
-	Whole      bool       `cbor:"3,keyasint,omitempty"`
+	Full       bool       `cbor:"3,keyasint,omitempty"`
 }
 
 // RosterMember is one run of a daemon that keeps claims.
@@ -191,7 +191,7 @@
 	Incarnation Incarnation `cbor:"2,keyasint"`
 	Request     RequestID   `cbor:"3,keyasint"`
 	// Try tells a request's claims apart, since one that was released is never granted again.
-	Try int `cbor:"4,keyasint,omitempty"`
+	Attempt int `cbor:"4,keyasint,omitempty"`
 }
 
 // ClaimAsk asks a replica to grant a key to a request.
@@ -259,10 +259,10 @@
 
 // TransferAsk asks a member of the previous group to stop granting and to hand over a slot's claims.
 type TransferAsk struct {
-	Slot  int   `cbor:"1,keyasint"`
-	Since Epoch `cbor:"2,keyasint"` // of the new group
-	Old   Epoch `cbor:"3,keyasint"` // of the previous group
-	After Key   `cbor:"4,keyasint"`
+	Slot          int   `cbor:"1,keyasint"`
+	Since         Epoch `cbor:"2,keyasint"` // of the new group
+	PreviousSince Epoch `cbor:"3,keyasint"` // of the previous group
+	After         Key   `cbor:"4,keyasint"`
 }
 
 // TransferAnswer holds a page of a slot's claims in key order.
--- a/proto/proto_test.go
+++ b/proto/proto_test.go
@@ -28,7 +28,7 @@
 	}, gen.IntRange(0, 8), gen.IntRange(0, 1000)))
 	properties.Property("a digest keeps what fits into a byte", prop.ForAll(func(running, waiting, slots int) bool {
 		rows := []LoadRow{{Pool: "p", Target: "t", Running: running, Waiting: waiting, Slots: slots, Age: time.Second}, {Target: "unknown"}}
-		got := UnpackLoads(PackLoads(rows), map[uint32]LoadRow{DigestOf("t"): {Pool: "p", Target: "t"}})
+		got := UnpackLoads(PackLoads(rows), map[uint32]LoadRow{TargetHash("t"): {Pool: "p", Target: "t"}})
 		return len(got) == 1 && got[0].Running == min(255, running) && got[0].Waiting == min(255, waiting) && got[0].Slots == min(255, slots) && got[0].Age == time.Second
 	}, gen.IntRange(0, 400), gen.IntRange(0, 400), gen.IntRange(0, 400)))
 	properties.Property("bytes of anyone decode to a message or an error", prop.ForAll(func(data []byte) bool {
--- a/proto/relay.go
+++ b/proto/relay.go
@@ -36,9 +36,9 @@
 	// Timeout is the longest time that a request may be held; 0 sets no bound.
 	Timeout time.Duration
 	// Goal is the time within which an answer has its full worth.
-	Goal time.Duration
+	LatencyGoal time.Duration
 	// Gap is the longest pause between events of a stream that is still in time.
-	Gap time.Duration
+	MaxPause time.Duration
 	// Priority ranks requests, 0 first.
 	Priority int
 	// Split holds the pools that take the route's requests, with their weights.
@@ -51,7 +51,7 @@
 	// Resumable streams may be continued at another target.
 	Resumable bool
 	// Homes bind the requests to regions.
-	Homes Homes
+	AllowedRegions AllowedRegions
 }
 
 // Repeatable tells whether a request of the route may run more than once.
@@ -69,9 +69,9 @@
 type RouteStage struct {
 	Pool string
 	// After lists the stages whose results this one needs.
-	After []int
+	DependsOn []int
 	// Bytes is about the size of one result.
-	Bytes int
+	ResultBytes int
 }
 
 // RelayPool is a group of interchangeable targets.
@@ -90,9 +90,9 @@
 // ColdSpec describes how the targets of a pool warm up.
 type ColdSpec struct {
 	// For is how long a target is cold after a start.
-	For time.Duration
+	WarmUpTime time.Duration
 	// PerSecond is how many requests a cold target works through in a second; it falls over under many more. 0 sets no bound.
-	PerSecond float64
+	RequestsPerSecond float64
 }
 
 // BatchSpec describes one target of a pool that works on pieces in batches.
@@ -100,32 +100,32 @@
 	// Slots is the number of calls at work at once.
 	Slots int
 	// Most is the largest number of pieces in a call.
-	Most int
+	MaxPieces int
 	// CallCost is the time that a call takes beside its pieces.
 	CallCost time.Duration
 	// PieceCost is about the time that a piece adds.
 	PieceCost time.Duration
 	// Room bounds the bytes of results that a target keeps.
-	Room int64
+	MaxResultBytes int64
 	// Keep is how long a target keeps a result that nobody frees.
-	Keep time.Duration
+	ResultLifetime time.Duration
 }
 
 // EngineSpec describes one model engine.
 type EngineSpec struct {
-	Slots        int
-	CacheTokens  int
-	BytesPerTok  int
-	EventTokens  int
-	MemoryCopies bool
+	Slots              int
+	CacheTokens        int
+	CacheBytesPerToken int
+	TokensPerEvent     int
+	MemoryCopies       bool
 }
 
 // CallerLimits bound what callers may send.
 type CallerLimits struct {
-	HeaderBytes int
-	BodyBytes   int64
-	HeaderWait  time.Duration
-	IdleWait    time.Duration
+	MaxHeaderBytes int
+	MaxBodyBytes   int64
+	HeaderTimeout  time.Duration
+	IdleTimeout    time.Duration
 }
 
 // RelayWorkspace is a customer with its keys.
@@ -135,7 +135,7 @@
 	// Priority goes before that of the route if it is set.
 	Priority *int
 	// Homes bind the customer's requests to regions, beside those of the route.
-	Homes Homes
+	AllowedRegions AllowedRegions
 }
 
 // RelayTarget is one run of a target as it listed itself with the platform.
@@ -150,10 +150,10 @@
 	// Leaving targets get no new work.
 	Leaving bool
 	// ColdFor is how much longer the target is cold, as of when the entry was written.
-	ColdFor time.Duration
+	ColdRemaining time.Duration
 	// Born is when this run of the target started, by its own word; zero if targets do not tell. A target may start again
 	// under its id, and then knows nothing of before.
-	Born time.Time
+	StartedAt time.Time
 }
 
 // Evacuation says whether the targets of an availability zone are to get nothing more.
@@ -162,9 +162,9 @@
 	// Version is the store's revision of the change that says so.
 	Version Revision `cbor:"2,keyasint"`
 	// Over says that the evacuation was taken back.
-	Over bool `cbor:"3,keyasint,omitempty"`
+	Ended bool `cbor:"3,keyasint,omitempty"`
 	// Held says that the store lost it in a restoration, as of Version, and that the operator may be about to ask for it again.
-	Held bool `cbor:"4,keyasint,omitempty"`
+	LostInRestore bool `cbor:"4,keyasint,omitempty"`
 }
 
 // RoutingAsk asks a daemon for its configuration, list of targets and evacuations if they are newer than these versions.
@@ -184,9 +184,9 @@
 	Lapsed  bool `cbor:"5,keyasint,omitempty"`
 }
 
-// VoidEntry is a revision of a target's entry that names no target to use, although it reads as if it did: only daemons that knew
+// InvalidEntry is a revision of a target's entry that names no target to use, although it reads as if it did: only daemons that knew
 // the target before can tell.
-type VoidEntry struct {
+type InvalidEntry struct {
 	ID      string   `cbor:"1,keyasint"`
 	Version Revision `cbor:"2,keyasint"`
 	// Restored says that the entry came back with a copy of the store, after its target had left; if it stays, its target is
@@ -196,15 +196,15 @@
 
 // RoutingAnswer carries what is newer, in the platform's own format.
 type RoutingAnswer struct {
-	Routing        uint64           `cbor:"1,keyasint"`
-	RoutingBody    []byte           `cbor:"2,keyasint,omitempty"`
-	Targets        Revision         `cbor:"3,keyasint"`
-	TargetEntries  []TargetDocument `cbor:"4,keyasint,omitempty"`
-	TargetsAreSent bool             `cbor:"5,keyasint,omitempty"`
+	Routing       uint64           `cbor:"1,keyasint"`
+	RoutingBody   []byte           `cbor:"2,keyasint,omitempty"`
+	Targets       Revision         `cbor:"3,keyasint"`
+	TargetEntries []TargetDocument `cbor:"4,keyasint,omitempty"`
+	HasTargets    bool             `cbor:"5,keyasint,omitempty"`
 	// Whole says that the entries are the whole list, and else what changed since the version that was asked with.
-	Whole bool `cbor:"6,keyasint,omitempty"`
+	Full bool `cbor:"6,keyasint,omitempty"`
 	// Void holds all void entries that the sender knows of, whatever is newer.
-	Void []VoidEntry `cbor:"7,keyasint,omitempty"`
+	InvalidEntries []InvalidEntry `cbor:"7,keyasint,omitempty"`
 	// Evacuations holds what the sender knows of each zone that ever was evacuated, if the asker has older news.
 	Evacuations []Evacuation `cbor:"8,keyasint,omitempty"`
 	// Notices holds what listed targets have said of themselves, as far as the sender knows.
@@ -213,29 +213,29 @@
 
 // PiecesAsk asks the daemon that batches a pool's calls for all pieces of one stage of a request.
 type PiecesAsk struct {
-	Pool    string   `cbor:"1,keyasint"`
-	Request string   `cbor:"2,keyasint"`
-	Stage   int      `cbor:"3,keyasint"`
-	Pieces  int      `cbor:"4,keyasint"`
-	Key     string   `cbor:"5,keyasint,omitempty"`
-	Inputs  []string `cbor:"6,keyasint,omitempty"`
-	Zone    string   `cbor:"7,keyasint,omitempty"`
+	Pool      string   `cbor:"1,keyasint"`
+	RequestID string   `cbor:"2,keyasint"`
+	Stage     int      `cbor:"3,keyasint"`
+	Pieces    int      `cbor:"4,keyasint"`
+	Key       string   `cbor:"5,keyasint,omitempty"`
+	Inputs    []string `cbor:"6,keyasint,omitempty"`
+	Zone      string   `cbor:"7,keyasint,omitempty"`
 	// Rank is the urgency of the request, 0 first.
 	Rank int `cbor:"8,keyasint"`
 	// Due is how long from now the stage may end for the answer to be in time.
-	Due time.Duration `cbor:"9,keyasint"`
+	DueIn time.Duration `cbor:"9,keyasint"`
 	// Left is how long from now the result is of any use.
-	Left time.Duration `cbor:"10,keyasint"`
+	TimeLeft time.Duration `cbor:"10,keyasint"`
 	// Bytes is about the size of one result.
-	Bytes int `cbor:"11,keyasint"`
+	ResultBytes int `cbor:"11,keyasint"`
 	// First says that nothing was done for the request yet, so that refusing it wastes nothing.
-	First bool `cbor:"12,keyasint,omitempty"`
+	NoWorkDone bool `cbor:"12,keyasint,omitempty"`
 	// Trial tells apart the times that one request asks for the same stage.
-	Trial int `cbor:"13,keyasint,omitempty"`
+	Attempt int `cbor:"13,keyasint,omitempty"`
 	// Begun says that the caller has a part of the answer, so that giving the stage up breaks it off.
-	Begun bool `cbor:"14,keyasint,omitempty"`
+	AnswerStarted bool `cbor:"14,keyasint,omitempty"`
 	// Goal is the time within which the caller's answer has its full worth, counted from its request.
-	Goal time.Duration `cbor:"15,keyasint,omitempty"`
+	LatencyGoal time.Duration `cbor:"15,keyasint,omitempty"`
 	// InputPool names the pool whose results the inputs are, if nothing else of the request reads them: they are given up
 	// as soon as they were fetched.
 	InputPool string `cbor:"16,keyasint,omitempty"`
@@ -244,17 +244,17 @@
 	Shard      int `cbor:"17,keyasint,omitempty"`
 	InputShard int `cbor:"18,keyasint,omitempty"`
 	// Digest is that of the request.
-	Digest RequestDigest `cbor:"19,keyasint,omitempty"`
-	Homes  Homes         `cbor:"20,keyasint,omitzero"`
+	Digest         RequestDigest  `cbor:"19,keyasint,omitempty"`
+	AllowedRegions AllowedRegions `cbor:"20,keyasint,omitzero"`
 }
 
-// PieceFate tells how a stage's pieces ended.
-type PieceFate uint8
+// PieceOutcome tells how a stage's pieces ended.
+type PieceOutcome uint8
 
 // Fates of pieces.
 const (
 	// PiecesDone means that all results are there.
-	PiecesDone PieceFate = iota
+	PiecesDone PieceOutcome = iota
 	// PiecesRefused means that the pool is too busy for the result to come in time.
 	PiecesRefused
 	// PiecesLost means that an input is gone.
@@ -270,7 +270,7 @@
 )
 
 // String returns the fate as a word.
-func (f PieceFate) String() string {
+func (f PieceOutcome) String() string {
 	names := [...]string{"done", "refused", "lost", "failed", "late", "noRoom", "elsewhere"}
 	if int(f) < len(names) {
 		return names[f]
@@ -280,16 +280,16 @@
 
 // PiecesAnswer holds the handles of the results in the order of the pieces.
 type PiecesAnswer struct {
-	Fate    PieceFate     `cbor:"1,keyasint"`
-	Handles []string      `cbor:"2,keyasint,omitempty"`
-	Zone    string        `cbor:"3,keyasint,omitempty"`
-	Wait    time.Duration `cbor:"4,keyasint,omitempty"`
-	Detail  string        `cbor:"5,keyasint,omitempty"`
+	Outcome    PieceOutcome  `cbor:"1,keyasint"`
+	Handles    []string      `cbor:"2,keyasint,omitempty"`
+	Zone       string        `cbor:"3,keyasint,omitempty"`
+	RetryAfter time.Duration `cbor:"4,keyasint,omitempty"`
+	Detail     string        `cbor:"5,keyasint,omitempty"`
 	// Queue is how long an equal job that came now would wait for its turn.
-	Queue time.Duration `cbor:"6,keyasint,omitempty"`
+	QueueDelay time.Duration `cbor:"6,keyasint,omitempty"`
 	// Queued is how long the pieces waited for the call that made the last of them, and Made how long that call took.
-	Queued time.Duration `cbor:"7,keyasint,omitempty"`
-	Made   time.Duration `cbor:"8,keyasint,omitempty"`
+	QueuedFor time.Duration `cbor:"7,keyasint,omitempty"`
+	CallTime  time.Duration `cbor:"8,keyasint,omitempty"`
 	// InputsFreed says that the inputs were given up, as the ask allowed.
 	InputsFreed bool `cbor:"9,keyasint,omitempty"`
 	// Shard is the part of the pool that was asked; the asker sets it.
@@ -298,45 +298,45 @@
 
 // PiecesDrop tells the daemon that batches a pool's calls that results are not needed any more, or a stage not at all.
 type PiecesDrop struct {
-	Pool    string   `cbor:"1,keyasint"`
-	Handles []string `cbor:"2,keyasint,omitempty"`
-	Request string   `cbor:"3,keyasint,omitempty"`
-	Stage   int      `cbor:"4,keyasint,omitempty"`
+	Pool      string   `cbor:"1,keyasint"`
+	Handles   []string `cbor:"2,keyasint,omitempty"`
+	RequestID string   `cbor:"3,keyasint,omitempty"`
+	Stage     int      `cbor:"4,keyasint,omitempty"`
 	// Shard is the part of the pool's targets that the results or the stage are of.
 	Shard int `cbor:"5,keyasint,omitempty"`
 }
 
-// PromptShare is one part of a prompt that other prompts may share.
-type PromptShare struct {
+// PromptPart is one part of a prompt that other prompts may share.
+type PromptPart struct {
 	ID     string `cbor:"1,keyasint"`
 	Tokens int    `cbor:"2,keyasint"`
 }
 
 // PlaceAsk asks the daemon that places the requests of a pool of engines for a target.
 type PlaceAsk struct {
-	Pool   string        `cbor:"1,keyasint"`
-	Route  string        `cbor:"2,keyasint"`
-	Shared []PromptShare `cbor:"3,keyasint,omitempty"`
+	Pool        string       `cbor:"1,keyasint"`
+	Route       string       `cbor:"2,keyasint"`
+	SharedParts []PromptPart `cbor:"3,keyasint,omitempty"`
 	// Own is the number of tokens that no other prompt shares.
-	Own int `cbor:"4,keyasint"`
+	OwnTokens int `cbor:"4,keyasint"`
 	// Zone is where the request's inputs lie, or the asker's own, and Inputs how many bytes.
-	Zone   string `cbor:"5,keyasint"`
-	Inputs int    `cbor:"6,keyasint,omitempty"`
+	Zone       string `cbor:"5,keyasint"`
+	InputBytes int    `cbor:"6,keyasint,omitempty"`
 	// Without holds the targets that the request must not go to.
-	Without []string `cbor:"7,keyasint,omitempty"`
+	Excluded []string `cbor:"7,keyasint,omitempty"`
 	// Gap is the longest pause between the stream's events that is still in time; 0 if there is no bound.
-	Gap time.Duration `cbor:"8,keyasint,omitempty"`
+	MaxPause time.Duration `cbor:"8,keyasint,omitempty"`
 	// Cold holds the cold targets that the asker, and no other daemon, may send a request to now.
-	Cold  []string `cbor:"9,keyasint,omitempty"`
-	Homes Homes    `cbor:"10,keyasint,omitzero"`
+	Cold           []string       `cbor:"9,keyasint,omitempty"`
+	AllowedRegions AllowedRegions `cbor:"10,keyasint,omitzero"`
 }
 
 // EngineTimes is what was learnt of the engines of a pool: what each request, each prompt token and each request that
 // runs beside add to the time to a first event.
 type EngineTimes struct {
-	Start  time.Duration `cbor:"1,keyasint"`
-	Token  time.Duration `cbor:"2,keyasint"`
-	Stream time.Duration `cbor:"3,keyasint"`
+	PerRequest           time.Duration `cbor:"1,keyasint"`
+	PerPromptToken       time.Duration `cbor:"2,keyasint"`
+	PerConcurrentRequest time.Duration `cbor:"3,keyasint"`
 }
 
 // AdmitAsk asks the daemon that places the requests of a pool of engines whether to begin one.
@@ -348,7 +348,7 @@
 	Seed   uint64        `cbor:"4,keyasint"`
 	Rank   int           `cbor:"5,keyasint,omitempty"`
 	// Own is the number of tokens of its prompt that no other shares.
-	Own int `cbor:"6,keyasint"`
+	OwnTokens int `cbor:"6,keyasint"`
 	// Slack is how much longer than its stages and its first event take it may wait to be in time.
 	Slack time.Duration `cbor:"7,keyasint"`
 }
@@ -356,16 +356,16 @@
 // AdmitAnswer says whether to begin a request.
 type AdmitAnswer struct {
 	// Refused says that the engines cannot take it in time, and Wait when its caller should come back.
-	Refused bool          `cbor:"1,keyasint,omitempty"`
-	Wait    time.Duration `cbor:"2,keyasint,omitempty"`
+	Refused    bool          `cbor:"1,keyasint,omitempty"`
+	RetryAfter time.Duration `cbor:"2,keyasint,omitempty"`
 	// Queue is how long the engines take to read the prompts that they have, Engines the number of usable ones, Rate how many tokens
 	// a second are begun, and Share the part of the requests of the same rank that is.
-	Queue   time.Duration `cbor:"3,keyasint,omitempty"`
-	Engines int           `cbor:"4,keyasint,omitempty"`
-	Rate    float64       `cbor:"5,keyasint,omitempty"`
-	Share   float64       `cbor:"6,keyasint,omitempty"`
+	QueueDelay    time.Duration `cbor:"3,keyasint,omitempty"`
+	Engines       int           `cbor:"4,keyasint,omitempty"`
+	TokenRate     float64       `cbor:"5,keyasint,omitempty"`
+	AdmittedShare float64       `cbor:"6,keyasint,omitempty"`
 	// Busy says that requests for the pool are to be admitted before they are begun.
-	Busy bool `cbor:"7,keyasint,omitempty"`
+	AdmissionRequired bool `cbor:"7,keyasint,omitempty"`
 }
 
 // PlaceAnswer names the target, and the lease under which its load is counted; Target is empty if there is none.
@@ -375,13 +375,13 @@
 	// Times are those that the placing daemon has learnt of the pool.
 	Times EngineTimes `cbor:"3,keyasint"`
 	// Crowded says that each target in good health has as many requests as it may have at a time, so that none is to be sent.
-	Crowded bool `cbor:"4,keyasint,omitempty"`
+	AtCapacity bool `cbor:"4,keyasint,omitempty"`
 	// Busy says that requests for the pool are to be admitted before they are begun.
-	Busy bool `cbor:"5,keyasint,omitempty"`
+	AdmissionRequired bool `cbor:"5,keyasint,omitempty"`
 	// Permitted says that the request is counted within the limit that the target names.
 	Permitted bool `cbor:"6,keyasint,omitempty"`
 	// Limited says that targets are left that may take requests, and that what these allow is used up for that long.
-	Limited time.Duration `cbor:"7,keyasint,omitempty"`
+	LimitWait time.Duration `cbor:"7,keyasint,omitempty"`
 }
 
 // PlaceNote tells how far a placed request has come.
@@ -389,8 +389,8 @@
 	Pool  string `cbor:"1,keyasint"`
 	Lease uint64 `cbor:"2,keyasint"`
 	// Began says that the prompt is read, Late that the answer takes longer than it should, and neither that the request has ended.
-	Began bool `cbor:"3,keyasint,omitempty"`
-	Late  bool `cbor:"5,keyasint,omitempty"`
+	PromptRead bool `cbor:"3,keyasint,omitempty"`
+	Late       bool `cbor:"5,keyasint,omitempty"`
 	// Verdict is what the end showed of the target's health.
 	Verdict uint8 `cbor:"4,keyasint,omitempty"`
 }
--- a/relay/accept.go
+++ b/relay/accept.go
@@ -10,15 +10,15 @@
 )
 
 // accept reads and checks a request; nothing has run when it fails.
-func (s *Server) accept(w http.ResponseWriter, r *http.Request, began time.Time) (*flow, *failure) {
-	req, err := s.dialect.ReadRequest(r)
+func (s *Server) accept(w http.ResponseWriter, r *http.Request, startedAt time.Time) (*flow, *failure) {
+	req, err := s.dialect.ParseRequest(r)
 	if err != nil {
 		return nil, &failure{status: http.StatusBadRequest, reason: err.Error()}
 	}
-	f := &flow{server: s, w: w, req: req, began: began, tried: map[string]bool{}, after: req.After}
+	f := &flow{server: s, w: w, req: req, startedAt: startedAt, triedTargets: map[string]bool{}, after: req.After}
 	table := s.tables.Current()
 	if table == nil {
-		return f, &failure{status: http.StatusServiceUnavailable, wait: outageWait(req), reason: "no configuration is known yet"}
+		return f, &failure{status: http.StatusServiceUnavailable, wait: outageRetryAfter(req), reason: "no configuration is known yet"}
 	}
 	f.version = table.Routing().Version
 	f.route = table.Match(req.Host, req.Path)
@@ -31,7 +31,7 @@
 	if fail := f.refuseStopping(); fail != nil {
 		return f, fail
 	}
-	if fail := f.readBody(r, table.Routing().Limits.BodyBytes); fail != nil {
+	if fail := f.readBody(r, table.Routing().Limits.MaxBodyBytes); fail != nil {
 		return f, fail
 	}
 	f.digest = digestOf(req, f.workspace)
@@ -41,7 +41,7 @@
 }
 
 func (f *flow) authorize(table *Table) *failure {
-	f.owner = table.Owner(f.req.Key)
+	f.owner = table.Owner(f.req.APIKey)
 	if f.owner != nil {
 		f.workspace = f.owner.Name
 		return nil
@@ -58,7 +58,7 @@
 	if plan == nil {
 		return nil
 	}
-	if f.began.Before(plan.until(f.route.Kind, f.server.lengths.most(f.route.Name, 0))) {
+	if f.startedAt.Before(plan.until(f.route.Kind, f.server.lengths.most(f.route.Name, 0))) {
 		return nil
 	}
 	return &failure{status: http.StatusServiceUnavailable, wait: waitStopping, reason: "the daemon stops and the request might be cut off"}
@@ -105,23 +105,23 @@
 	}
 	f.spec = table.Routing().Pools[f.pool]
 	f.rank = table.Rank(f.pool, f.owner, f.route)
-	f.homes = f.route.Homes
+	f.homes = f.route.AllowedRegions
 	if f.owner != nil {
-		f.homes = f.homes.And(f.owner.Homes)
+		f.homes = f.homes.Intersect(f.owner.AllowedRegions)
 	}
 }
 
 func (f *flow) bound() {
 	wait := noTimeout
-	if f.req.Wait > 0 {
-		wait = min(wait, f.req.Wait)
+	if f.req.CallerTimeout > 0 {
+		wait = min(wait, f.req.CallerTimeout)
 	}
 	if f.route.Timeout > 0 {
 		wait = min(wait, f.route.Timeout)
 	}
-	f.end = f.began.Add(wait - answerMargin)
+	f.end = f.startedAt.Add(wait - answerMargin)
 	f.due = f.end
-	if f.route.Goal > 0 {
-		f.due = f.began.Add(min(wait, f.route.Goal))
+	if f.route.LatencyGoal > 0 {
+		f.due = f.startedAt.Add(min(wait, f.route.LatencyGoal))
 	}
 }
--- a/relay/admit.go
+++ b/relay/admit.go
@@ -40,8 +40,8 @@
 	// usualHalf is how soon the usual number of engines follows a smaller one.
 	usualHalf = 5 * time.Second
 	// rateHalf is the half-life of the rates of what is asked for and of what is read, and perHalf what such a sum is a second.
-	rateHalf = time.Second
-	perHalf  = math.Ln2
+	rateHalfLife = time.Second
+	perHalf      = math.Ln2
 	// returnsKept is how long it is remembered that a request was refused: callers come back within a third of their time.
 	returnsKept = 10 * time.Second
 	// returnsMost bounds how many refused requests are remembered.
@@ -84,31 +84,31 @@
 	defer p.mu.Unlock()
 	token, _ := p.model.rates()
 	for _, t := range p.list {
-		if t.closed() || t.doubted || t.health.inRow > 0 || p.isCold(now, t) {
+		if t.closed() || t.suspected || t.health.consecutiveFailures > 0 || p.isCold(now, t) {
 			continue
 		}
 		load.usable++
 		load.waiting += float64(t.waiting())
-		load.most += 1000 / (token * t.pace)
+		load.most += 1000 / (token * t.slowdown)
 	}
-	load.read = perHalf * p.read.Value(now, rateHalf)
+	load.read = perHalf * p.recentReadTokens.Value(now, rateHalfLife)
 	load.gap = p.shortestGap(now)
 	return load
 }
 
 // waiting is how many tokens wait while the engine reads the prompt that it was given first.
 func (t *Target) waiting() int {
-	if len(t.reads) == 0 {
+	if len(t.unreadPrompts) == 0 {
 		return 0
 	}
-	return t.unread - t.reads[0].tokens
+	return t.unreadTokens - t.unreadPrompts[0].tokens
 }
 
 // shortestGap is the shortest pause that streams of the routes allow which have lately sent prompts.
 func (p *targetPool) shortestGap(now time.Time) time.Duration {
 	shortest := time.Duration(0)
 	for _, r := range p.prompts {
-		if r.gap > 0 && (shortest == 0 || r.gap < shortest) && r.requests.Value(now, promptHalf) > 1 {
+		if r.gap > 0 && (shortest == 0 || r.gap < shortest) && r.requests.Value(now, promptHalfLife) > 1 {
 			shortest = r.gap
 		}
 	}
@@ -130,18 +130,18 @@
 	if r == nil {
 		return 0
 	}
-	n := r.requests.Value(now, promptHalf)
+	n := r.requests.Value(now, promptHalfLife)
 	if n == 0 {
 		return 0
 	}
-	return r.missing.Value(now, promptHalf) / n
+	return r.missing.Value(now, promptHalfLife) / n
 }
 
 // admission decides which requests for a pool of engines are begun while the engines are busy: as many tokens a second as engines
 // read, somewhat more or less by what waits there, the urgent ranks first. It has a lock of its user.
-type admission struct {
+type admissionController struct {
 	// asked is how many tokens requests of each rank bring.
-	asked []state.Decay
+	demand []state.DecayingSum
 	// refused holds when requests were refused first, by digest.
 	refused map[proto.RequestDigest]time.Time
 	// usual is the number of usable engines lately, as of usualAt, and lostUntil until when a loss of many of them counts.
@@ -151,12 +151,12 @@
 	busyUntil time.Time
 }
 
-func newAdmission() *admission {
-	return &admission{refused: map[proto.RequestDigest]time.Time{}}
+func newAdmission() *admissionController {
+	return &admissionController{refused: map[proto.RequestDigest]time.Time{}}
 }
 
 // look takes in the load, and tells whether requests are to be admitted before they are begun.
-func (a *admission) look(now time.Time, load engineLoad) bool {
+func (a *admissionController) look(now time.Time, load engineLoad) bool {
 	usable := float64(load.usable)
 	if usable < lostShare*a.usual {
 		a.lostUntil = now.Add(lostFor)
@@ -164,7 +164,7 @@
 	if usable >= a.usual {
 		a.usual = usable
 	} else {
-		a.usual -= (a.usual - usable) * (1 - state.Fading(now.Sub(a.usualAt), usualHalf))
+		a.usual -= (a.usual - usable) * (1 - state.DecayFactor(now.Sub(a.usualAt), usualHalf))
 	}
 	a.usualAt = now
 	if load.queue() > time.Duration(busyFrom*float64(load.wanted())) || now.Before(a.lostUntil) {
@@ -174,7 +174,7 @@
 }
 
 // rate is how many tokens a second of requests are begun.
-func (a *admission) rate(load engineLoad) float64 {
+func (a *admissionController) rate(load engineLoad) float64 {
 	over := float64(load.queue())/float64(load.wanted()) - 1
 	if over < idleShare-1 {
 		return max(idleStep*load.read, idleRate*load.most)
@@ -183,7 +183,7 @@
 }
 
 // share is the part of the requests of a rank that is begun: each rank has a floor, and what is left goes to the urgent ones first.
-func (a *admission) share(now time.Time, rate float64, rank int) float64 {
+func (a *admissionController) share(now time.Time, rate float64, rank int) float64 {
 	asked, all := a.askedNow(now)
 	if all <= rate || asked[rank] == 0 {
 		return 1
@@ -200,13 +200,13 @@
 }
 
 // askedNow is how many tokens a second the requests of each rank ask for, and of all.
-func (a *admission) askedNow(now time.Time) (asked []float64, all float64) {
-	asked = make([]float64, len(a.asked))
-	for r := range a.asked {
-		asked[r] = perHalf * a.asked[r].Value(now, rateHalf)
-		all += asked[r]
+func (a *admissionController) askedNow(now time.Time) (demand []float64, all float64) {
+	demand = make([]float64, len(a.demand))
+	for r := range a.demand {
+		demand[r] = perHalf * a.demand[r].Value(now, rateHalfLife)
+		all += demand[r]
 	}
-	return asked, all
+	return demand, all
 }
 
 // floorsOf divides the part of the rate that is left to all ranks: so much of the requests of each is begun at least, less of each rank than
@@ -225,11 +225,11 @@
 }
 
 // decide answers for a request that brings so many tokens to read.
-func (a *admission) decide(now time.Time, load engineLoad, ask *proto.AdmitAsk, tokens float64) proto.AdmitAnswer {
-	for len(a.asked) <= ask.Rank {
-		a.asked = append(a.asked, state.Decay{})
+func (a *admissionController) decide(now time.Time, load engineLoad, ask *proto.AdmitAsk, tokens float64) proto.AdmitAnswer {
+	for len(a.demand) <= ask.Rank {
+		a.demand = append(a.demand, state.DecayingSum{})
 	}
-	a.asked[ask.Rank].Add(now, rateHalf, tokens)
+	a.demand[ask.Rank].Add(now, rateHalfLife, tokens)
 	slack := ask.Slack
 	if first, came := a.refused[ask.Digest]; came {
 		// Each refusal counts for one return: other callers may send the same.
@@ -237,12 +237,12 @@
 		delete(a.refused, ask.Digest)
 	}
 	rate := a.rate(load)
-	answer := proto.AdmitAnswer{Queue: load.queue(), Engines: load.usable, Rate: rate, Share: a.share(now, rate, ask.Rank)}
-	if slack >= load.queue() && load.queue() <= queueMost*load.wanted() && share01(ask.Seed) < answer.Share {
+	answer := proto.AdmitAnswer{QueueDelay: load.queue(), Engines: load.usable, TokenRate: rate, AdmittedShare: a.share(now, rate, ask.Rank)}
+	if slack >= load.queue() && load.queue() <= queueMost*load.wanted() && share01(ask.Seed) < answer.AdmittedShare {
 		return answer
 	}
 	a.noteRefused(now, ask.Digest)
-	answer.Refused, answer.Wait = true, comeBackIn(ask.Seed, slack)
+	answer.Refused, answer.RetryAfter = true, comeBackIn(ask.Seed, slack)
 	return answer
 }
 
@@ -252,11 +252,11 @@
 // comeBackIn is when the caller of a refused request is to come back: callers of the same moment come back at moments that are spread
 // over the time in which they can still be in time.
 func comeBackIn(seed uint64, slack time.Duration) time.Duration {
-	room := max(0, time.Duration(returnPart*float64(slack))-retryFloor)
-	return retryFloor + time.Duration(share01(state.Mix(seed))*float64(room))
+	room := max(0, time.Duration(returnPart*float64(slack))-minRetryWait)
+	return minRetryWait + time.Duration(share01(state.Mix(seed))*float64(room))
 }
 
-func (a *admission) noteRefused(now time.Time, digest proto.RequestDigest) {
+func (a *admissionController) noteRefused(now time.Time, digest proto.RequestDigest) {
 	if _, known := a.refused[digest]; known || len(a.refused) >= returnsMost {
 		return
 	}
@@ -264,7 +264,7 @@
 }
 
 // sweep forgets the requests that were refused too long ago.
-func (a *admission) sweep(now time.Time) {
+func (a *admissionController) sweep(now time.Time) {
 	for digest, at := range a.refused {
 		if now.Sub(at) > returnsKept {
 			delete(a.refused, digest)
--- a/relay/admit_test.go
+++ b/relay/admit_test.go
@@ -18,18 +18,18 @@
 	properties.Property("divided by rank", prop.ForAll(func(tokens []float64, rate float64) bool {
 		a := newAdmission()
 		for _, n := range tokens {
-			d := state.Decay{}
-			d.Add(start, rateHalf, n)
-			a.asked = append(a.asked, d)
+			d := state.DecayingSum{}
+			d.Add(start, rateHalfLife, n)
+			a.demand = append(a.demand, d)
 		}
-		asked, all := a.askedNow(start)
+		demand, all := a.askedNow(start)
 		begun, before := 0.0, 1.0
-		for rank := range asked {
+		for rank := range demand {
 			share := a.share(start, rate, rank)
 			if share <= 0 || share > before+1e-9 || share > 1 {
 				return false
 			}
-			begun, before = begun+share*asked[rank], share
+			begun, before = begun+share*demand[rank], share
 		}
 		return begun <= max(rate, 0)*(1+1e-9) || all <= rate
 	}, gen.SliceOfN(6, gen.Float64Range(1, 1e6)), gen.Float64Range(1, 3e6)))
@@ -40,12 +40,12 @@
 func TestRanksAtTheirFloors(t *testing.T) {
 	a := newAdmission()
 	for range 4 {
-		d := state.Decay{}
-		d.Add(start, rateHalf, 1e6)
-		a.asked = append(a.asked, d)
+		d := state.DecayingSum{}
+		d.Add(start, rateHalfLife, 1e6)
+		a.demand = append(a.demand, d)
 	}
 	now := start.Add(time.Millisecond)
-	for rank := 2; rank < len(a.asked); rank++ {
+	for rank := 2; rank < len(a.demand); rank++ {
 		urgent, less := a.share(now, 1e6, rank-1), a.share(now, 1e6, rank)
 		if less >= urgent || less < urgent/2 {
 			t.Errorf("rank %d has a share of %.3f, the one before %.3f", rank, less, urgent)
--- a/relay/admitask.go
+++ b/relay/admitask.go
@@ -17,7 +17,7 @@
 	}
 	until := f.untilEngine()
 	ask := proto.AdmitAsk{
-		Pool: f.pool, Route: f.route.Name, Digest: f.digest, Seed: state.Hash(f.req.ID), Rank: f.rank, Own: f.want().OwnTokens,
+		Pool: f.pool, Route: f.route.Name, Digest: f.digest, Seed: state.Hash(f.req.ID), Rank: f.rank, OwnTokens: f.want().OwnTokens,
 		Slack: f.due.Sub(f.server.clock.Now()) - until - f.toFirstEvent(),
 	}
 	answer, owner := f.server.placer.Admit(ctx, ask)
@@ -25,16 +25,16 @@
 		return nil
 	}
 	f.server.counts.notAdmitted.Add(1)
-	f.note("request not admitted", "pool", f.pool, "by", owner, "queue", brief(answer.Queue), "share", answer.Share, "slack", brief(ask.Slack), "rank", f.rank,
-		"engines", answer.Engines, "tokensPerSecond", int(answer.Rate))
-	return f.notRun(min(answer.Wait, max(retryFloor, f.left()/comeBackPart)), "the pool's engines have too much to read for the request to be in time")
+	f.note("request not admitted", "pool", f.pool, "by", owner, "queue", formatDuration(answer.QueueDelay), "share", answer.AdmittedShare, "slack", formatDuration(ask.Slack), "rank", f.rank,
+		"engines", answer.Engines, "tokensPerSecond", int(answer.TokenRate))
+	return f.notRun(min(answer.RetryAfter, max(minRetryWait, f.left()/comeBackPart)), "the pool's engines have too much to read for the request to be in time")
 }
 
 // untilEngine is how long the stages of the request take on average, with their queues.
 func (f *flow) untilEngine() time.Duration {
 	longest := time.Duration(0)
 	for i := range f.route.Stages {
-		if f.pieces(i) > 0 && len(f.route.Stages[i].After) == 0 {
+		if f.pieces(i) > 0 && len(f.route.Stages[i].DependsOn) == 0 {
 			longest = max(longest, f.meanFrom(i))
 		}
 	}
@@ -45,28 +45,28 @@
 func (f *flow) meanFrom(stage int) time.Duration {
 	rest := time.Duration(0)
 	for i := range f.route.Stages {
-		if f.pieces(i) > 0 && contains(f.route.Stages[i].After, stage) {
+		if f.pieces(i) > 0 && contains(f.route.Stages[i].DependsOn, stage) {
 			rest = max(rest, f.meanFrom(i))
 		}
 	}
 	pool := f.route.Stages[stage].Pool
-	return f.server.pieces.Queue(pool, f.rank) + f.server.callTimes.mean(pool, f.stageLength(stage)) + rest
+	return f.server.pieces.QueueTime(pool, f.rank) + f.server.callTimes.mean(pool, f.stageLength(stage)) + rest
 }
 
 // Admit returns whether to begin a request, by the daemon that places for its pool, which is returned as well. While the pool is not
 // busy nobody is asked; without an answer it is begun.
 func (p *Placer) Admit(ctx context.Context, ask proto.AdmitAsk) (proto.AdmitAnswer, proto.VM) {
-	owner := p.peers.Owner(placeTask+ask.Pool, nil)
+	owner := p.peers.Owner(placementTaskPrefix+ask.Pool, nil)
 	if owner == "" || owner == p.self {
 		if !p.isBusy(p.clock.Now(), ask.Pool) {
 			return proto.AdmitAnswer{}, ""
 		}
-		return p.Decide(ask), p.self
+		return p.DecideAdmission(ask), p.self
 	}
-	if !p.saidBusy(ask.Pool) {
+	if !p.reportedBusy(ask.Pool) {
 		return proto.AdmitAnswer{}, ""
 	}
-	ctx, cancel := context.WithTimeout(ctx, placeWait)
+	ctx, cancel := context.WithTimeout(ctx, placementTimeout)
 	defer cancel()
 	m, err := p.peers.Call(ctx, owner, ask)
 	answer, ok := m.(proto.AdmitAnswer)
@@ -74,25 +74,25 @@
 		p.log.Info("a request is begun without asking", "pool", ask.Pool, "owner", owner, "error", err)
 		return proto.AdmitAnswer{}, ""
 	}
-	p.noteBusy(ask.Pool, answer.Busy)
+	p.recordBusy(ask.Pool, answer.AdmissionRequired)
 	return answer, owner
 }
 
-// Decide answers whether to begin a request.
-func (p *Placer) Decide(ask proto.AdmitAsk) proto.AdmitAnswer {
+// DecideAdmission answers whether to begin a request.
+func (p *Placer) DecideAdmission(ask proto.AdmitAsk) proto.AdmitAnswer {
 	now := p.clock.Now()
 	load := p.fleet.engineLoad(now, ask.Pool)
-	tokens := float64(ask.Own) + p.fleet.missingOf(now, ask.Pool, ask.Route)
+	tokens := float64(ask.OwnTokens) + p.fleet.missingOf(now, ask.Pool, ask.Route)
 	p.admitMu.Lock()
 	defer p.admitMu.Unlock()
 	a := p.admissionOf(ask.Pool)
 	busy := a.look(now, load)
 	answer := a.decide(now, load, &ask, tokens)
-	answer.Busy = busy
+	answer.AdmissionRequired = busy
 	return answer
 }
 
-func (p *Placer) admissionOf(pool string) *admission {
+func (p *Placer) admissionOf(pool string) *admissionController {
 	a := p.admissions[pool]
 	if a == nil {
 		a = newAdmission()
@@ -110,7 +110,7 @@
 }
 
 // noteBusy takes in the word of the daemon that places for a pool.
-func (p *Placer) noteBusy(pool string, busy bool) {
+func (p *Placer) recordBusy(pool string, busy bool) {
 	if !busy {
 		return
 	}
@@ -119,7 +119,7 @@
 	p.busyUntil[pool] = p.clock.Now().Add(busyFor)
 }
 
-func (p *Placer) saidBusy(pool string) bool {
+func (p *Placer) reportedBusy(pool string) bool {
 	p.admitMu.Lock()
 	defer p.admitMu.Unlock()
 	return p.clock.Now().Before(p.busyUntil[pool])
--- a/relay/answer.go
+++ b/relay/answer.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func (f *flow) passWhole(a *wholeAnswer) {
+func (f *flow) passWhole(a *bufferedResponse) {
 	f.copyHeader(a.header)
 	f.w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
 	f.w.WriteHeader(a.status)
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -20,7 +20,7 @@
 	startWaits = 4
 	// startLeast is how long an answer may take to begin however quick answers were so far: on a busy machine the daemon, and the
 	// target, wait for their turn while others use up their slices, of some milliseconds each.
-	startLeast = 50 * time.Millisecond
+	minStartTimeout = 50 * time.Millisecond
 	// answerPrior is the time of a plain answer before the pool was observed.
 	answerPrior = 60 * time.Millisecond
 	// gapWaits is how many times the longest pause in time a stream may be silent before another target is asked to go on with it;
@@ -29,8 +29,8 @@
 	// gapStarts is how many times what a first event nearly always takes such a silence lasts at the least.
 	gapStarts = 3
 	// attemptsMost bounds the attempts of one request, refused ones included, and besideMost those that are at work at a time.
-	attemptsMost = 6
-	besideMost   = 2
+	maxAttempts = 6
+	besideMost  = 2
 	// answerMost bounds an answer that is held until it is whole.
 	answerMost = 16 << 20
 	// restartGrace is how long after a target's next run is known an attempt at the last one goes on, so that what that
@@ -42,14 +42,14 @@
 
 // Causes of an attempt's end by this daemon.
 var (
-	errOvertaken = errors.New("another target answered first")
-	errTimeUp    = errors.New("the time for the request is over")
-	errClosing   = errors.New("the daemon stops")
-	errRestarted = errors.New("the target has started again")
+	errSuperseded      = errors.New("another target answered first")
+	errDeadlineReached = errors.New("the time for the request is over")
+	errClosing         = errors.New("the daemon stops")
+	errTargetRestarted = errors.New("the target has started again")
 )
 
 // attemptEnd is what came of an attempt.
-type attemptEnd struct {
+type attemptResult struct {
 	// done says that the whole answer went out.
 	done bool
 	// notRun says that the target certainly did not run the request; sent says that it reached the target.
@@ -57,16 +57,16 @@
 	// lostInput says that the target did not run it since an input is gone.
 	lostInput bool
 	// answer is a whole failure answer of the target that may be passed on if nothing better comes.
-	answer *wholeAnswer
-	reason string
+	response *bufferedResponse
+	reason   string
 	// otherTarget says that another target has the address, and err is why the request was not sent or not answered.
-	otherTarget bool
+	misdirected bool
 	// noTarget says that no target of the pool may get work now.
 	noTarget bool
 	err      error
 }
 
-type wholeAnswer struct {
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
@@ -74,12 +74,12 @@
 
 // runSelf makes attempts until one answers, or no other is allowed or sensible. lost says that inputs must be made
 // anew first.
-func (f *flow) runSelf(ctx context.Context) (fail *failure, lost bool) {
+func (f *flow) runAttempts(ctx context.Context) (fail *failure, lost bool) {
 	s := f.server
 	r := newRace(ctx, f)
 	defer r.stop()
-	var last attemptEnd
-	for n := 0; r.begun < attemptsMost; n++ {
+	var last attemptResult
+	for n := 0; r.begun < maxAttempts; n++ {
 		if ctx.Err() != nil {
 			return f.notRun(0, "the caller left"), false
 		}
@@ -139,7 +139,7 @@
 	if f.runs > 0 {
 		return &failure{status: http.StatusGatewayTimeout, reason: "the time is over: " + reason}
 	}
-	return &failure{status: http.StatusServiceUnavailable, wait: retryFloor, reason: "the time is over: " + reason}
+	return &failure{status: http.StatusServiceUnavailable, wait: minRetryWait, reason: "the time is over: " + reason}
 }
 
 // cutShort is the answer to a request that has not ended when the daemon does.
@@ -151,7 +151,7 @@
 }
 
 // mayRetry decides whether another target may get the request.
-func (f *flow) mayRetry(last *attemptEnd) bool {
+func (f *flow) mayRetry(last *attemptResult) bool {
 	s := f.server
 	switch {
 	case !last.notRun && !f.route.Repeatable():
@@ -162,8 +162,8 @@
 	case f.sent > 0 && !f.spendRetry(last.reason):
 		return false
 	}
-	s.counts.again.Add(1)
-	f.note("retry", "sent", f.sent, "runs", f.runs, "last", last.reason, "left", brief(f.left()))
+	s.counts.retried.Add(1)
+	f.note("retry", "sent", f.sent, "runs", f.runs, "last", last.reason, "left", formatDuration(f.left()))
 	return true
 }
 
@@ -171,53 +171,53 @@
 func (f *flow) spendRetry(last string) bool {
 	s := f.server
 	share := s.peers.Share()
-	budget, ok := s.budgetOf(f.pool).Spend(s.clock.Now(), share.Part)
+	budget, ok := s.budgetOf(f.pool).Spend(s.clock.Now(), share.Fraction)
 	if !ok {
 		f.note("no retry", "reason", "the retry budget of the pool is spent", "pool", f.pool, "spent", budget.Spent, "allowed", budget.Allowed,
-			"share", share.Part, "counted", share.Counted, "noShare", share.Reason, "last", last)
+			"share", share.Fraction, "counted", share.Counted, "noShare", share.Reason, "last", last)
 	}
 	return ok
 }
 
 // Reasons for which no target is chosen.
 const (
-	reasonNoTarget = "the pool has no target that may get work"
-	reasonHomes    = "the pool has no target in the regions that the request is bound to"
-	reasonCrowded  = "each target of the pool has as many requests as it may have at a time"
-	reasonCold     = "the targets of the pool are cold, and get no more for the moment"
-	reasonRest     = "the targets of the pool want rest from this daemon"
-	reasonLimited  = "what the targets of the pool take by the limits that they name is used up for the moment"
+	reasonNoTarget          = "the pool has no target that may get work"
+	reasonNoTargetInRegions = "the pool has no target in the regions that the request is bound to"
+	reasonCrowded           = "each target of the pool has as many requests as it may have at a time"
+	reasonCold              = "the targets of the pool are cold, and get no more for the moment"
+	reasonBackoff           = "the targets of the pool want rest from this daemon"
+	reasonRateLimited       = "what the targets of the pool take by the limits that they name is used up for the moment"
 )
 
 // noteNoTarget logs what the targets of the pool signal, if anything.
 func (f *flow) noteNoTarget(reason string) {
-	if lines := f.server.placer.signalLines(f.pool); len(lines) > 0 {
+	if lines := f.server.placer.signalLogEntries(f.pool); len(lines) > 0 {
 		f.note("no target", "pool", f.pool, "reason", reason, "targetSignals", lines)
 	}
 }
 
 func (f *flow) noTarget() string {
-	if f.homes.Bound && f.server.fleet.Open(f.pool, f.homes) == 0 {
-		return reasonHomes
+	if f.homes.Restricted && f.server.fleet.OpenCount(f.pool, f.homes) == 0 {
+		return reasonNoTargetInRegions
 	}
-	if f.server.fleet.Crowded(f.server.clock.Now(), f.pool) {
+	if f.server.fleet.AtCapacity(f.server.clock.Now(), f.pool) {
 		return reasonCrowded
 	}
-	if _, cold := f.server.fleet.WarmIn(f.server.clock.Now(), f.pool); cold {
+	if _, cold := f.server.fleet.TimeUntilWarm(f.server.clock.Now(), f.pool); cold {
 		return reasonCold
 	}
-	if in, limited := f.server.placer.roomIn(f.pool); limited && in > 0 {
-		return reasonLimited
+	if in, limited := f.server.placer.limitWait(f.pool); limited && in > 0 {
+		return reasonRateLimited
 	}
-	if _, rests := f.server.fleet.restsFor(f.server.clock.Now(), f.pool); rests {
-		return reasonRest
+	if _, rests := f.server.fleet.backoffRemaining(f.server.clock.Now(), f.pool); rests {
+		return reasonBackoff
 	}
 	return reasonNoTarget
 }
 
 // waitForTarget is when a caller should come back for whom no target took the request: where targets are cold, when the first
 // of them is warm, and where they name limits or want rest, when one may get a request again.
-func (f *flow) waitForTarget(last *attemptEnd) time.Duration {
+func (f *flow) waitForTarget(last *attemptResult) time.Duration {
 	if !last.noTarget {
 		return waitBusy
 	}
@@ -228,9 +228,9 @@
 		}
 	}
 	now := f.server.clock.Now()
-	sooner(f.server.fleet.WarmIn(now, f.pool))
-	sooner(f.server.fleet.restsFor(now, f.pool))
-	sooner(f.server.placer.roomIn(f.pool))
+	sooner(f.server.fleet.TimeUntilWarm(now, f.pool))
+	sooner(f.server.fleet.backoffRemaining(now, f.pool))
+	sooner(f.server.placer.limitWait(f.pool))
 	return f.comeBackIn(wait)
 }
 
@@ -239,14 +239,14 @@
 	return max(waitBusy, min(wait, f.left()/comeBackPart))
 }
 
-func (f *flow) want() Want {
-	w := Want{Zone: f.server.zone, Tried: f.tried, Engine: f.spec.Engine != nil, OwnTokens: f.req.PromptTokens, Route: f.route.Name, Gap: f.route.Gap, Rank: f.rank, Homes: f.homes}
+func (f *flow) want() TargetCriteria {
+	w := TargetCriteria{Zone: f.server.zone, Tried: f.triedTargets, Engine: f.spec.Engine != nil, OwnTokens: f.req.PromptTokens, Route: f.route.Name, MaxPause: f.route.MaxPause, Rank: f.rank, AllowedRegions: f.homes}
 	if f.zone != "" {
-		w.Zone, w.Inputs = f.zone, f.bulk
+		w.Zone, w.InputBytes = f.zone, f.bulk
 	}
-	if n := len(f.req.Parts); n > 1 {
-		w.Shared = f.req.Parts[:n-1]
-		w.OwnTokens = f.req.Parts[n-1].Tokens
+	if n := len(f.req.PromptParts); n > 1 {
+		w.SharedParts = f.req.PromptParts[:n-1]
+		w.OwnTokens = f.req.PromptParts[n-1].Tokens
 	}
 	return w
 }
@@ -254,8 +254,8 @@
 // attempt is one request to one target. A goroutine of its own sends it and reads the answer; all else is up to the goroutine of its
 // request, to which it tells what came.
 type attempt struct {
-	race   *race
-	placed *Placed
+	race      *race
+	placement *Placement
 	// ctx ends the attempt; its cause says why, if this daemon ended it.
 	ctx    context.Context
 	cancel context.CancelCauseFunc
@@ -266,7 +266,7 @@
 	// keepInputs stops the timer that gives the inputs up, and release stops the watch for the end of the target's run.
 	keepInputs, release func()
 
-	verdict Verdict
+	verdict HealthVerdict
 	load    Load
 	// late says that it has taken longer than it should, which was held against its target already.
 	late bool
@@ -300,21 +300,21 @@
 	left := f.left()
 	if f.route.Kind == routeStream {
 		usual := f.toFirstEvent()
-		return lateAfter(usual, startWaits).orLater(f.route.Goal/2, basisGoal).within(left)
+		return lateAfter(usual, startWaits).orLater(f.route.LatencyGoal/2, basisGoal).within(left)
 	}
 	usual := f.server.answers.most(f.pool, answerPrior)
-	return lateAfter(usual, startWaits).orLater(f.route.Goal, basisGoal).within(left / 2)
+	return lateAfter(usual, startWaits).orLater(f.route.LatencyGoal, basisGoal).within(left / 2)
 }
 
 // silenceBound is how long a stream that has begun may be silent before another target is asked to go on with it.
 func (f *flow) silenceBound() lateBound {
-	return lateAfter(f.toFirstEvent(), gapStarts).orLater(time.Duration(gapWaits*float64(f.route.Gap)), basisGap)
+	return lateAfter(f.toFirstEvent(), gapStarts).orLater(time.Duration(gapWaits*float64(f.route.MaxPause)), basisGap)
 }
 
 // lateAfter is a multiple of what is usual, and the least that is waited for.
 func lateAfter(usual time.Duration, times int) lateBound {
 	w := lateBound{wait: time.Duration(times) * usual, usual: usual, basis: basisUsual}
-	return w.orLater(startLeast, basisLeast)
+	return w.orLater(minStartTimeout, basisLeast)
 }
 
 // orLater is the bound, or a later one that rests on something else.
@@ -356,7 +356,7 @@
 	for len(f.overtaken) > 0 {
 		id := f.overtaken[0]
 		f.overtaken = f.overtaken[1:]
-		a := r.attemptAt(f.server.placer.ChooseAgain(r.ctx, f.pool, id, f.want()))
+		a := r.attemptAt(f.server.placer.ChooseByID(r.ctx, f.pool, id, f.want()))
 		f.note("return to a target", "target", id, "runs", f.runs, "lastEvent", f.after, "taken", a != nil)
 		if a != nil {
 			a.returns = true
@@ -366,50 +366,50 @@
 	return nil
 }
 
-func (r *race) attemptAt(placed *Placed) *attempt {
-	if placed == nil {
+func (r *race) attemptAt(placement *Placement) *attempt {
+	if placement == nil {
 		return nil
 	}
 	f := r.flow
-	return &attempt{race: r, placed: placed, began: f.server.clock.Now(), starting: f.startBound()}
+	return &attempt{race: r, placement: placement, began: f.server.clock.Now(), starting: f.startBound()}
 }
 
 // start sends the request.
 func (a *attempt) start() {
 	f := a.race.flow
 	s := f.server
-	spec := a.placed.Spec
-	f.tried[spec.ID] = true
+	spec := a.placement.Spec
+	f.triedTargets[spec.ID] = true
 	f.target = spec.ID
 	ctx, span := otel.Tracer(tracer).Start(a.race.ctx, "attempt", trace.WithSpanKind(trace.SpanKindClient), trace.WithAttributes(attribute.String("emberlead.target", spec.ID)))
 	a.span = span
 	a.ctx, a.cancel = context.WithCancelCause(ctx)
 	cancel := a.cancel
-	stop := context.AfterFunc(a.placed.Target.running, func() {
-		s.clock.AfterFunc(restartGrace, func() { cancel(errRestarted) })
+	stop := context.AfterFunc(a.placement.Target.runCtx, func() {
+		s.clock.AfterFunc(restartGrace, func() { cancel(errTargetRestarted) })
 	})
 	a.release = func() { stop() }
-	a.keepInputs = a.freeOnceFetched()
-	fwd := &Forward{Target: spec, Left: f.left(), Workspace: f.workspace, Inputs: f.handles, After: f.after, Priority: f.rank}
-	out := &Outgoing{
+	a.keepInputs = a.freeInputsAfterFetch()
+	fwd := &ForwardInfo{Target: spec, TimeLeft: f.left(), Workspace: f.workspace, Inputs: f.handles, After: f.after, Priority: f.rank}
+	out := &TargetRequest{
 		Target: spec, Method: f.req.Method, URI: f.req.URI, Host: f.req.Host, Header: s.dialect.Header(f.req, fwd), Body: f.req.Body,
-		Once: !f.route.Repeatable(),
-		Mine: func(h http.Header) bool { return s.dialect.ReadReply(0, h).Request == f.req.ID },
+		NonIdempotent: !f.route.Repeatable(),
+		Matches:       func(h http.Header) bool { return s.dialect.ParseResponse(0, h).RequestID == f.req.ID },
 	}
 	x := &exchange{attempt: a, ctx: a.ctx, server: s, to: spec.Address, request: f.req.ID, stream: f.route.Kind == routeStream}
 	go x.run(out)
 }
 
 // freeOnceFetched gives the inputs up when the target has had the time to fetch them, unless it is stopped before.
-func (a *attempt) freeOnceFetched() (stop func()) {
+func (a *attempt) freeInputsAfterFetch() (stop func()) {
 	f := a.race.flow
 	if len(f.handles) == 0 {
 		return func() {}
 	}
-	inputs := f.inputs
-	timer := f.server.clock.AfterFunc(f.server.fetches.wait(f.pool), func() {
+	stageResults := f.stageResults
+	timer := f.server.clock.AfterFunc(f.server.fetches.keepTime(f.pool), func() {
 		// AfterFunc may run in the goroutine of the clock, which must not wait for a lock.
-		go f.freeResults(inputs)
+		go f.freeResults(stageResults)
 	})
 	return func() { timer.Stop() }
 }
@@ -419,9 +419,9 @@
 	if !f.inputsFreed() {
 		return
 	}
-	keep := f.server.fetches.done(f.server.clock.Now(), sent, f.pool, fetched)
+	keep := f.server.fetches.observe(f.server.clock.Now(), sent, f.pool, fetched)
 	if !fetched {
-		f.note("inputs were freed too early", "pool", f.pool, "target", f.target, "keepNext", brief(keep))
+		f.note("inputs were freed too early", "pool", f.pool, "target", f.target, "keepNext", formatDuration(keep))
 	}
 }
 
@@ -440,13 +440,13 @@
 // bad holds a failure against the target, once for each attempt.
 func (a *attempt) bad() {
 	if !a.late {
-		a.verdict = VerdictBad
+		a.verdict = VerdictFailure
 	}
 }
 
 // failed takes in that no answer, or no whole one, came.
-func (a *attempt) failed(err error, reason string) attemptEnd {
-	end := attemptEnd{reason: reason, err: err}
+func (a *attempt) failed(err error, reason string) attemptResult {
+	end := attemptResult{reason: reason, err: err}
 	var sendErr *SendError
 	if errors.As(err, &sendErr) && !sendErr.Written {
 		end.notRun = true
@@ -455,10 +455,10 @@
 		a.ran()
 	}
 	switch cause := context.Cause(a.ctx); {
-	case errors.Is(cause, errRestarted):
+	case errors.Is(cause, errTargetRestarted):
 		a.bad()
 		end.reason = cause.Error()
-	case errors.Is(cause, errTimeUp), errors.Is(cause, errClosing):
+	case errors.Is(cause, errDeadlineReached), errors.Is(cause, errClosing):
 		// Most of the time may have gone into the stages, so this alone says nothing of the target.
 		end.reason = cause.Error()
 	case a.ctx.Err() != nil:
@@ -470,62 +470,62 @@
 }
 
 // refused takes in that the target did not run the request.
-func (a *attempt) refused(status int, reply Reply) attemptEnd {
+func (a *attempt) refused(status int, reply ResponseInfo) attemptResult {
 	a.race.flow.sent++
-	end := attemptEnd{notRun: true, sent: true, lostInput: reply.LostInput, otherTarget: reply.OtherTarget}
+	end := attemptResult{notRun: true, sent: true, lostInput: reply.LostInput, misdirected: reply.Misdirected}
 	switch {
-	case reply.OtherTarget:
+	case reply.Misdirected:
 		a.bad()
 		end.reason = "another target has the address"
 	case reply.LostInput:
 		end.reason = "an input is gone"
 		a.race.flow.noteFetched(a.began, false)
 	default:
-		a.verdict = VerdictFull
+		a.verdict = VerdictOverloaded
 		end.reason = "the target refused the request: " + http.StatusText(status)
 	}
 	return end
 }
 
 // whole takes in an answer of which nothing was passed on before its end, so that one that is cut never looks whole.
-func (a *attempt) whole(answer *wholeAnswer) attemptEnd {
+func (a *attempt) whole(response *bufferedResponse) attemptResult {
 	f := a.race.flow
-	a.verdict = VerdictGood
-	a.answered = answer.status/100 == http.StatusOK/100
+	a.verdict = VerdictSuccess
+	a.answered = response.status/100 == http.StatusOK/100
 	f.server.answers.observe(f.pool, answerPrior, f.server.clock.Now().Sub(a.began))
-	if answer.status >= http.StatusInternalServerError && f.route.Repeatable() {
-		f.ready = answer
-		return attemptEnd{sent: true, answer: answer, reason: "the target failed: " + http.StatusText(answer.status)}
+	if response.status >= http.StatusInternalServerError && f.route.Repeatable() {
+		f.ready = response
+		return attemptResult{sent: true, response: response, reason: "the target failed: " + http.StatusText(response.status)}
 	}
-	f.passWhole(answer)
-	return attemptEnd{done: true, sent: true}
+	f.passWhole(response)
+	return attemptResult{done: true, sent: true}
 }
 
 // streamBegins takes in the first events.
 func (a *attempt) streamBegins() {
 	f := a.race.flow
 	a.first = true
-	a.placed.Began()
+	a.placement.RecordResponseStart()
 	f.sawFirstEvent(f.server.clock.Now().Sub(a.began))
 	// An engine has fetched all inputs before it reads the prompt.
 	f.noteFetched(a.began, true)
-	f.freeAll()
+	f.freeAllResults()
 }
 
 // streamEnded takes in the end of a stream, which is whole if the target ended it after a whole event.
-func (a *attempt) streamEnded(news *attemptNews) attemptEnd {
+func (a *attempt) streamEnded(news *attemptNews) attemptResult {
 	f := a.race.flow
 	if errors.Is(news.err, io.EOF) && !news.cut {
-		a.verdict, a.answered = VerdictGood, true
+		a.verdict, a.answered = VerdictSuccess, true
 		if !f.committed {
 			f.copyHeader(news.in.Header)
 			f.w.WriteHeader(http.StatusOK)
 			f.committed = true
 		}
-		return attemptEnd{done: true, sent: true}
+		return attemptResult{done: true, sent: true}
 	}
 	if f.committed && f.route.Repeatable() {
-		f.server.counts.resumed.Add(1)
+		f.server.counts.streamsResumed.Add(1)
 	}
 	return a.failed(news.err, "the stream broke off: "+news.err.Error())
 }
