--- a/relay/batch.go
+++ b/relay/batch.go
@@ -21,7 +21,7 @@
 	// spareCalls is how many calls' time a less urgent job must have left to leave the last idle target to others.
 	spareCalls = 2
 	// bulkInputs is from how many bytes of inputs on their zone matters.
-	bulkInputs = 50_000
+	minBulkInputBytes = 50_000
 	// wholeRoom is the part of a target's room up to which a job is begun with all of its pieces or not at all: a larger
 	// one would wait for long.
 	wholeRoom = 0.5
@@ -54,7 +54,7 @@
 	// allTurns is a turn after all others, late ones included.
 	allTurns = time.Hour
 	// retryFloor is the least time to come back that a refusal names.
-	retryFloor = 300 * time.Millisecond
+	minRetryWait = 300 * time.Millisecond
 	// roomWait is how long a target that had no room is left out: results are freed every 20 ms.
 	roomWait = 100 * time.Millisecond
 	// outBase and outMost bound how long a stage target is left out after a failed call.
@@ -73,7 +73,7 @@
 	// limit is how many requests a second the target takes, if it is limited, and allowed counts those.
 	limit   float64
 	limited bool
-	allowed allowance
+	allowed tokenBucket
 	// room are the bytes of results that are kept or being made, and hidden those found to be kept beside at hiddenAt.
 	room     int64
 	hidden   int64
@@ -132,7 +132,7 @@
 
 // fullCall is the time of a call full of pieces with results of such a size.
 func (b *Batcher) fullCall(bytes int) float64 {
-	return b.model.callCost() + float64(b.spec.Most)*b.model.pieceCost(bytes)
+	return b.model.callCost() + float64(b.spec.MaxPieces)*b.model.pieceCost(bytes)
 }
 
 // SetSpec takes over a changed description of the pool.
@@ -143,13 +143,13 @@
 
 // SetTargets takes over the targets that may get new work; calls at work elsewhere go on, but for those to a target that
 // has started again. It returns the jobs that end by that.
-func (b *Batcher) SetTargets(specs []proto.RelayTarget) []JobEnd {
-	var ends []JobEnd
+func (b *Batcher) SetTargets(specs []proto.RelayTarget) []FinishedJob {
+	var ends []FinishedJob
 	listed := map[string]bool{}
 	for _, s := range specs {
 		listed[s.ID] = true
 		t := b.targets[s.ID]
-		if t != nil && s.Born.After(t.spec.Born) {
+		if t != nil && s.StartedAt.After(t.spec.StartedAt) {
 			ends = append(ends, b.endRun(t)...)
 			t = nil
 		}
@@ -181,27 +181,27 @@
 		b.began = now
 	}
 	j.since = now
-	j.order = j.Due.Add(time.Duration(rankShare * float64(j.Ask.Rank) * float64(j.Ask.Goal)))
-	if !j.Ask.First {
+	j.order = j.Due.Add(time.Duration(rankShare * float64(j.Params.Rank) * float64(j.Params.LatencyGoal)))
+	if !j.Params.NoWorkDone {
 		j.order = j.order.Add(-time.Duration(begunLead * b.model.callCost()))
 	}
-	j.handles, j.missing = make([]string, j.Ask.Pieces), j.Ask.Pieces
-	for piece := range j.Ask.Pieces {
+	j.handles, j.missing = make([]string, j.Params.Pieces), j.Params.Pieces
+	for piece := range j.Params.Pieces {
 		j.todo = append(j.todo, piece)
 	}
 	j.length = b.length(j)
 	if b.homeless(j) {
-		return &proto.PiecesAnswer{Fate: proto.PiecesRefused, Wait: waitUnknown, Detail: reasonHomes}
+		return &proto.PiecesAnswer{Outcome: proto.PiecesRefused, RetryAfter: unknownPoolRetryAfter, Detail: reasonNoTargetInRegions}
 	}
-	wait := b.Wait(now, j.order)
+	wait := b.WaitTime(now, j.order)
 	finish := now.Add(wait + time.Duration(j.length))
-	limit := j.End
-	if j.Ask.First {
-		reserve := rankReserve * float64(j.Ask.Rank) * float64(j.Due.Sub(now))
+	limit := j.Deadline
+	if j.Params.NoWorkDone {
+		reserve := rankReserve * float64(j.Params.Rank) * float64(j.Due.Sub(now))
 		limit = j.Due.Add(-time.Duration(reserve))
 	}
-	if finish.After(limit) && !(wait == 0 && j.End.After(finish)) && !b.canBeLate(now, j) {
-		return &proto.PiecesAnswer{Fate: proto.PiecesRefused, Queue: wait, Wait: max(retryFloor, finish.Sub(limit)), Detail: "the queue of the pool is longer than the time left"}
+	if finish.After(limit) && !(wait == 0 && j.Deadline.After(finish)) && !b.canBeLate(now, j) {
+		return &proto.PiecesAnswer{Outcome: proto.PiecesRefused, QueueDelay: wait, RetryAfter: max(minRetryWait, finish.Sub(limit)), Detail: "the queue of the pool is longer than the time left"}
 	}
 	b.jobs = append(b.jobs, j)
 	b.resort = true
@@ -211,15 +211,15 @@
 // homeless tells whether no target is in the regions that a job is bound to.
 func (b *Batcher) homeless(j *Job) bool {
 	for _, t := range b.targets {
-		if !t.spec.Leaving && j.Ask.Homes.Allow(t.spec.Region) {
+		if !t.spec.Leaving && j.Params.AllowedRegions.Allows(t.spec.Region) {
 			return false
 		}
 	}
-	return j.Ask.Homes.Bound
+	return j.Params.AllowedRegions.Restricted
 }
 
-// Next returns the calls to send now, and the jobs whose time is over.
-func (b *Batcher) Next(now time.Time) ([]*Call, []JobEnd) {
+// NextCalls returns the calls to send now, and the jobs whose time is over.
+func (b *Batcher) NextCalls(now time.Time) ([]*Call, []FinishedJob) {
 	ends := b.expire(now)
 	ends = append(ends, b.refuseJobs()...)
 	b.requeue(now)
@@ -235,17 +235,17 @@
 	}
 }
 
-func (b *Batcher) end(j *Job, a proto.PiecesAnswer) JobEnd {
+func (b *Batcher) end(j *Job, a proto.PiecesAnswer) FinishedJob {
 	j.done = true
 	a.InputsFreed = j.inputsFreed
-	return JobEnd{Job: j, Answer: a}
+	return FinishedJob{Job: j, Answer: a}
 }
 
 // Withdraw ends a request's jobs because nobody waits for them, and returns the results that were made already.
 func (b *Batcher) Withdraw(request string, stage int) []string {
 	var unused []string
 	for _, j := range b.jobs {
-		if j.Ask.Request != request || j.Ask.Stage != stage || j.done {
+		if j.Params.RequestID != request || j.Params.Stage != stage || j.done {
 			continue
 		}
 		j.done = true
--- a/relay/batch_test.go
+++ b/relay/batch_test.go
@@ -9,37 +9,37 @@
 	"emberlead/proto"
 )
 
-var spec = proto.BatchSpec{Slots: 1, Most: 8, CallCost: 200 * time.Millisecond, PieceCost: 20 * time.Millisecond, Room: 12_000, Keep: 4 * time.Second}
+var batchSpec = proto.BatchSpec{Slots: 1, MaxPieces: 8, CallCost: 200 * time.Millisecond, PieceCost: 20 * time.Millisecond, MaxResultBytes: 12_000, ResultLifetime: 4 * time.Second}
 
 func batcher(targets ...proto.RelayTarget) *Batcher {
-	b := NewBatcher(spec)
+	b := NewBatcher(batchSpec)
 	b.SetTargets(targets)
 	return b
 }
 
 // job has pieces with results of 1,000 bytes each and an hour's time.
 func job(id string, pieces int) *Job {
-	return &Job{Ask: proto.PiecesAsk{Pool: "p", Request: id, Pieces: pieces, Bytes: 1000}, Due: start.Add(time.Hour), End: start.Add(2 * time.Hour)}
+	return &Job{Params: proto.PiecesAsk{Pool: "p", RequestID: id, Pieces: pieces, ResultBytes: 1000}, Due: start.Add(time.Hour), Deadline: start.Add(2 * time.Hour)}
 }
 
 func add(t *testing.T, b *Batcher, jobs ...*Job) {
 	t.Helper()
 	for _, j := range jobs {
 		if refused := b.Add(start, j); refused != nil {
-			t.Fatalf("%s refused: %s", j.Ask.Request, refused.Detail)
+			t.Fatalf("%s refused: %s", j.Params.RequestID, refused.Detail)
 		}
 	}
 }
 
 func next(b *Batcher, now time.Time) []*Call {
-	calls, _ := b.Next(now)
+	calls, _ := b.NextCalls(now)
 	return calls
 }
 
 func pieces(c *Call) string {
 	all := ""
 	for _, i := range c.Items {
-		all += fmt.Sprintf("%s%d ", i.Job.Ask.Request, i.Piece)
+		all += fmt.Sprintf("%s%d ", i.Job.Params.RequestID, i.Piece)
 	}
 	return all
 }
@@ -47,13 +47,13 @@
 func results(c *Call) []ItemResult {
 	made := make([]ItemResult, len(c.Items))
 	for i, item := range c.Items {
-		made[i].Handle = fmt.Sprintf("%s/%s.%d.%d", c.Target.ID, item.Job.Ask.Request, item.Piece, c.Began.UnixNano())
+		made[i].Handle = fmt.Sprintf("%s/%s.%d.%d", c.Target.ID, item.Job.Params.RequestID, item.Piece, c.StartedAt.UnixNano())
 	}
 	return made
 }
 
 func TestACallIsFilledFromSeveralRequests(t *testing.T) {
-	b := batcher(listed("t1", "p", "z"))
+	b := batcher(testTarget("t1", "p", "z"))
 	add(t, b, job("a", 3), job("b", 2), job("c", 4), job("d", 3))
 	calls := next(b, start)
 	if len(calls) != 1 || pieces(calls[0]) != "a0 a1 a2 b0 b1 d0 d1 d2 " {
@@ -62,39 +62,39 @@
 	if more := next(b, start); len(more) != 0 {
 		t.Errorf("a second call was sent to a target with one slot")
 	}
-	ends, unused := b.Done(start.Add(time.Second), calls[0], results(calls[0]))
+	ends, unused := b.CallDone(start.Add(time.Second), calls[0], results(calls[0]))
 	if len(ends) != 3 || len(unused) != 0 {
 		t.Errorf("%d jobs ended, %d results unused", len(ends), len(unused))
 	}
 }
 
 func TestAJobLargerThanACallIsDivided(t *testing.T) {
-	b := batcher(listed("t1", "p", "z"), listed("t2", "p", "z"))
-	b.spec.Room = 0
+	b := batcher(testTarget("t1", "p", "z"), testTarget("t2", "p", "z"))
+	b.spec.MaxResultBytes = 0
 	add(t, b, job("a", 10))
 	calls := next(b, start)
 	if len(calls) != 2 || len(calls[0].Items)+len(calls[1].Items) != 10 {
 		t.Fatalf("%d calls", len(calls))
 	}
-	if ends, _ := b.Done(start, calls[0], results(calls[0])); len(ends) != 0 {
+	if ends, _ := b.CallDone(start, calls[0], results(calls[0])); len(ends) != 0 {
 		t.Error("the job ended with a part of its results")
 	}
-	if ends, _ := b.Done(start, calls[1], results(calls[1])); len(ends) != 1 || len(ends[0].Answer.Handles) != 10 {
+	if ends, _ := b.CallDone(start, calls[1], results(calls[1])); len(ends) != 1 || len(ends[0].Answer.Handles) != 10 {
 		t.Error("the job did not end with all results")
 	}
 }
 
 func TestRoomIsCountedUntilResultsAreFreed(t *testing.T) {
-	b := batcher(listed("t1", "p", "z"))
+	b := batcher(testTarget("t1", "p", "z"))
 	add(t, b, job("a", 8), job("b", 4), job("c", 1))
 	first := next(b, start)[0]
 	made := results(first)
-	b.Done(start, first, made)
+	b.CallDone(start, first, made)
 	second := next(b, start)[0]
 	if pieces(second) != "b0 b1 b2 b3 " {
 		t.Fatalf("with room for four, the call holds %q", pieces(second))
 	}
-	b.Done(start, second, results(second))
+	b.CallDone(start, second, results(second))
 	if calls := next(b, start); len(calls) != 0 {
 		t.Fatalf("without room a call was sent: %q", pieces(calls[0]))
 	}
@@ -105,36 +105,36 @@
 }
 
 func TestResultsThatNobodyFreesGoByThemselves(t *testing.T) {
-	b := batcher(listed("t1", "p", "z"))
+	b := batcher(testTarget("t1", "p", "z"))
 	add(t, b, job("a", 8), job("b", 8))
 	first := next(b, start)[0]
-	b.Done(start, first, results(first))
+	b.CallDone(start, first, results(first))
 	half := next(b, start)
 	if len(half) != 1 || len(half[0].Items) != 4 {
 		t.Fatalf("with room for four, calls %v", half)
 	}
-	b.Done(start, half[0], results(half[0]))
+	b.CallDone(start, half[0], results(half[0]))
 	if calls := next(b, start); len(calls) != 0 {
 		t.Fatal("a call was sent without room")
 	}
-	if calls := next(b, start.Add(spec.Keep)); len(calls) != 1 || len(calls[0].Items) != 4 {
+	if calls := next(b, start.Add(batchSpec.ResultLifetime)); len(calls) != 1 || len(calls[0].Items) != 4 {
 		t.Error("the room of results that ran out was not used")
 	}
 }
 
 func TestATargetWithLessRoomThanCountedIsLeftAlone(t *testing.T) {
-	b := batcher(listed("t1", "p", "z"))
+	b := batcher(testTarget("t1", "p", "z"))
 	add(t, b, job("a", 2))
 	c := next(b, start)[0]
 	made := results(c)
-	made[1] = ItemResult{Fate: proto.PiecesNoRoom}
-	if ends, _ := b.Done(start, c, made); len(ends) != 0 {
+	made[1] = ItemResult{Outcome: proto.PiecesNoRoom}
+	if ends, _ := b.CallDone(start, c, made); len(ends) != 0 {
 		t.Fatal("the job ended although a piece can be made again")
 	}
 	if calls := next(b, start.Add(roomWait)); len(calls) != 0 {
 		t.Error("a call was sent to a target that keeps unknown results")
 	}
-	if calls := next(b, start.Add(spec.Keep)); len(calls) != 1 || pieces(calls[0]) != "a1 " {
+	if calls := next(b, start.Add(batchSpec.ResultLifetime)); len(calls) != 1 || pieces(calls[0]) != "a1 " {
 		t.Errorf("after their time the missing piece is not made")
 	}
 }
@@ -143,10 +143,10 @@
 // come back no earlier than it is served here.
 // TestALateJobThatWillNotBeMadeIsGivenUpAtOnce fills the queue with urgent work after a late job was taken.
 func TestAJobIsNotBegunWithAPartOfItsResults(t *testing.T) {
-	b := batcher(listed("t1", "p", "z"))
+	b := batcher(testTarget("t1", "p", "z"))
 	add(t, b, job("a", 8), job("b", 6), job("c", 4))
 	first := next(b, start)[0]
-	ends, _ := b.Done(start, first, results(first))
+	ends, _ := b.CallDone(start, first, results(first))
 	if pieces(first) != "a0 a1 a2 a3 a4 a5 a6 a7 " || len(ends) != 1 {
 		t.Fatalf("first call %q", pieces(first))
 	}
@@ -155,7 +155,7 @@
 	if len(calls) != 1 || pieces(calls[0]) != "c0 c1 c2 c3 " {
 		t.Fatalf("%d calls: b would keep four results until there is room for two more", len(calls))
 	}
-	ends, _ = b.Done(start, calls[0], results(calls[0]))
+	ends, _ = b.CallDone(start, calls[0], results(calls[0]))
 	if len(ends) != 1 {
 		t.Fatal("c did not end")
 	}
@@ -168,10 +168,10 @@
 }
 
 func TestAJobThatNeedsMuchRoomBeginsWithAPart(t *testing.T) {
-	b := batcher(listed("t1", "p", "z"))
+	b := batcher(testTarget("t1", "p", "z"))
 	add(t, b, job("a", 5), job("b", 8))
 	first := next(b, start)[0]
-	b.Done(start, first, results(first))
+	b.CallDone(start, first, results(first))
 	calls := next(b, start)
 	if len(calls) != 1 || len(calls[0].Items) != 7 {
 		t.Errorf("%d calls: eight results take more than half of the room, so seven are made", len(calls))
@@ -179,7 +179,7 @@
 }
 
 func TestFailedCallsAreSentElsewhereAndThenGivenUp(t *testing.T) {
-	b := batcher(listed("t1", "p", "z"), listed("t2", "p", "z"))
+	b := batcher(testTarget("t1", "p", "z"), testTarget("t2", "p", "z"))
 	add(t, b, job("a", 4))
 	now := start
 	last := ""
@@ -192,9 +192,9 @@
 			t.Errorf("try %d went to %s again", try, last)
 		}
 		last = calls[0].Target.ID
-		ends := b.Failed(now, calls[0], false)
+		ends := b.CallFailed(now, calls[0], false)
 		if try == pieceTries {
-			if len(ends) != 1 || ends[0].Answer.Fate != proto.PiecesFailed {
+			if len(ends) != 1 || ends[0].Answer.Outcome != proto.PiecesFailed {
 				t.Fatalf("ends %v", ends)
 			}
 			return
@@ -207,7 +207,7 @@
 }
 
 func TestABusyTargetIsNoFailure(t *testing.T) {
-	b := batcher(listed("t1", "p", "z"))
+	b := batcher(testTarget("t1", "p", "z"))
 	add(t, b, job("a", 4))
 	now := start
 	for range 2 * pieceTries {
@@ -215,7 +215,7 @@
 		if len(calls) != 1 {
 			t.Fatal("no call after the wait")
 		}
-		if ends := b.Failed(now, calls[0], true); len(ends) != 0 {
+		if ends := b.CallFailed(now, calls[0], true); len(ends) != 0 {
 			t.Fatal("the job was given up since a target was busy")
 		}
 		now = now.Add(outBase)
@@ -223,7 +223,7 @@
 }
 
 func TestAnOverdueCallIsMadeElsewhereAndTheFirstResultCounts(t *testing.T) {
-	b := batcher(listed("t1", "p", "z"), listed("t2", "p", "z"))
+	b := batcher(testTarget("t1", "p", "z"), testTarget("t2", "p", "z"))
 	add(t, b, job("a", 4))
 	slow := next(b, start)[0]
 	now := start.Add(time.Duration(overdueAt*float64(slow.Expected)) + time.Millisecond)
@@ -231,34 +231,34 @@
 	if len(calls) != 1 || calls[0].Target.ID == slow.Target.ID || len(calls[0].Items) != 4 {
 		t.Fatalf("calls %v", calls)
 	}
-	ends, unused := b.Done(now, calls[0], results(calls[0]))
+	ends, unused := b.CallDone(now, calls[0], results(calls[0]))
 	if len(ends) != 1 || len(unused) != 0 {
 		t.Fatalf("ends %v, unused %v", ends, unused)
 	}
-	ends, unused = b.Done(now, slow, results(slow))
+	ends, unused = b.CallDone(now, slow, results(slow))
 	if len(ends) != 0 || len(unused) != 4 {
 		t.Errorf("the late call ended %d jobs, %d results to be freed", len(ends), len(unused))
 	}
 }
 
 func TestInputsPullAJobIntoTheirZoneForATime(t *testing.T) {
-	b := batcher(listed("far", "p", "y"), listed("near", "p", "z"))
+	b := batcher(testTarget("far", "p", "y"), testTarget("near", "p", "z"))
 	add(t, b, job("first", 8))
 	busy := next(b, start)[0]
 	if busy.Target.ID != "far" {
 		t.Fatalf("%s is busy", busy.Target.ID)
 	}
-	b.Done(start, busy, results(busy))
+	b.CallDone(start, busy, results(busy))
 	here := job("here", 2)
-	here.Ask.Zone = "y"
+	here.Params.Zone = "y"
 	add(t, b, job("other", 8), here)
-	b.targets["far"].call = &Call{Began: start, Expected: time.Second}
+	b.targets["far"].call = &Call{StartedAt: start, Expected: time.Second}
 	b.targets["near"].call = nil
 	calls := next(b, start)
 	if len(calls) != 1 || pieces(calls[0]) != "other0 other1 other2 other3 other4 other5 other6 other7 " {
 		t.Fatalf("calls %v", calls)
 	}
-	b.Done(start, calls[0], results(calls[0]))
+	b.CallDone(start, calls[0], results(calls[0]))
 	if calls = next(b, start); len(calls) != 0 {
 		t.Error("the job did not wait for a target in the zone of its inputs")
 	}
@@ -268,12 +268,12 @@
 }
 
 func TestWithdrawnJobsMakeNoMoreWork(t *testing.T) {
-	b := batcher(listed("t1", "p", "z"))
+	b := batcher(testTarget("t1", "p", "z"))
 	add(t, b, job("a", 2), job("b", 8))
 	c := next(b, start)[0]
 	b.Withdraw("a", 0)
 	b.Withdraw("b", 0)
-	ends, unused := b.Done(start, c, results(c))
+	ends, unused := b.CallDone(start, c, results(c))
 	if len(ends) != 0 || len(unused) != 2 {
 		t.Errorf("ends %v, unused %v", ends, unused)
 	}
@@ -291,14 +291,14 @@
 }
 
 func playBatches(t *testing.T, r *rand.Rand) {
-	targets := []proto.RelayTarget{listed("t1", "p", "y"), listed("t2", "p", "z"), listed("t3", "p", "z")}
+	targets := []proto.RelayTarget{testTarget("t1", "p", "y"), testTarget("t2", "p", "z"), testTarget("t3", "p", "z")}
 	b := batcher(targets...)
 	open, ended := map[*Job]bool{}, 0
 	var calls []*Call
-	end := func(ends []JobEnd) {
+	end := func(ends []FinishedJob) {
 		for _, e := range ends {
 			if !open[e.Job] {
-				t.Fatalf("%s ended twice", e.Job.Ask.Request)
+				t.Fatalf("%s ended twice", e.Job.Params.RequestID)
 			}
 			delete(open, e.Job)
 			ended++
@@ -310,8 +310,8 @@
 		now = now.Add(time.Duration(r.IntN(60)) * time.Millisecond)
 		if i < 200 {
 			j := job(fmt.Sprint("r", i), 1+r.IntN(11))
-			j.Due, j.End = now.Add(time.Duration(r.IntN(3000))*time.Millisecond), now.Add(4*time.Second)
-			j.Ask.First = r.IntN(2) == 0
+			j.Due, j.Deadline = now.Add(time.Duration(r.IntN(3000))*time.Millisecond), now.Add(4*time.Second)
+			j.Params.NoWorkDone = r.IntN(2) == 0
 			if b.Add(now, j) == nil {
 				open[j] = true
 			}
@@ -319,7 +319,7 @@
 		if r.IntN(20) == 0 {
 			b.SetTargets(targets[:1+r.IntN(len(targets))])
 		}
-		more, ends := b.Next(now)
+		more, ends := b.NextCalls(now)
 		end(ends)
 		calls = append(calls, more...)
 		if len(calls) > 0 && r.IntN(3) > 0 {
@@ -332,7 +332,7 @@
 	b.SetTargets(targets)
 	for range 200 {
 		now = now.Add(100 * time.Millisecond)
-		more, ends := b.Next(now)
+		more, ends := b.NextCalls(now)
 		end(ends)
 		for _, c := range append(calls, more...) {
 			end(answer(b, r, now, c))
@@ -344,25 +344,25 @@
 	}
 }
 
-func answer(b *Batcher, r *rand.Rand, now time.Time, c *Call) []JobEnd {
+func answer(b *Batcher, r *rand.Rand, now time.Time, c *Call) []FinishedJob {
 	switch r.IntN(8) {
 	case 0:
-		return b.Failed(now, c, false)
+		return b.CallFailed(now, c, false)
 	case 1:
-		return b.Failed(now, c, true)
+		return b.CallFailed(now, c, true)
 	}
 	made := results(c)
 	for i := range made {
 		switch r.IntN(40) {
 		case 0:
-			made[i] = ItemResult{Fate: proto.PiecesNoRoom}
+			made[i] = ItemResult{Outcome: proto.PiecesNoRoom}
 		case 1:
-			made[i] = ItemResult{Fate: proto.PiecesFailed}
+			made[i] = ItemResult{Outcome: proto.PiecesFailed}
 		case 2:
-			made[i] = ItemResult{Fate: proto.PiecesLost}
+			made[i] = ItemResult{Outcome: proto.PiecesLost}
 		}
 	}
-	ends, unused := b.Done(now, c, made)
+	ends, unused := b.CallDone(now, c, made)
 	for _, h := range unused {
 		b.Freed(now, h)
 	}
@@ -374,13 +374,13 @@
 	return ends
 }
 
-func checkResults(t *testing.T, e JobEnd) {
+func checkResults(t *testing.T, e FinishedJob) {
 	t.Helper()
-	if e.Answer.Fate != proto.PiecesDone {
+	if e.Answer.Outcome != proto.PiecesDone {
 		return
 	}
-	if len(e.Answer.Handles) != e.Job.Ask.Pieces {
-		t.Fatalf("%s has %d results for %d pieces", e.Job.Ask.Request, len(e.Answer.Handles), e.Job.Ask.Pieces)
+	if len(e.Answer.Handles) != e.Job.Params.Pieces {
+		t.Fatalf("%s has %d results for %d pieces", e.Job.Params.RequestID, len(e.Answer.Handles), e.Job.Params.Pieces)
 	}
 	for i, h := range e.Answer.Handles {
 		var target, request string
@@ -389,8 +389,8 @@
 		if _, err := fmt.Sscanf(h, "%2s/r%s", &target, &request); err != nil {
 			t.Fatalf("result %q: %v", h, err)
 		}
-		if _, err := fmt.Sscanf(h[3:], e.Job.Ask.Request+".%d.%d", &piece, &at); err != nil || piece != i {
-			t.Fatalf("%s got %q for piece %d", e.Job.Ask.Request, h, i)
+		if _, err := fmt.Sscanf(h[3:], e.Job.Params.RequestID+".%d.%d", &piece, &at); err != nil || piece != i {
+			t.Fatalf("%s got %q for piece %d", e.Job.Params.RequestID, h, i)
 		}
 	}
 }
@@ -401,7 +401,7 @@
 		b.Run(fmt.Sprintf("jobs=%d", jobs), func(b *testing.B) {
 			var targets []proto.RelayTarget
 			for i := range 20 {
-				targets = append(targets, listed(fmt.Sprint("t", i), "p", "z"))
+				targets = append(targets, testTarget(fmt.Sprint("t", i), "p", "z"))
 			}
 			batch := batcher(targets...)
 			for i := range jobs {
@@ -411,11 +411,11 @@
 				}
 				batch.Add(start, j)
 			}
-			batch.Next(start)
+			batch.NextCalls(start)
 			now := start
 			for b.Loop() {
 				now = now.Add(time.Millisecond)
-				batch.Next(now)
+				batch.NextCalls(now)
 			}
 		})
 	}
--- a/relay/batchends_test.go
+++ b/relay/batchends_test.go
@@ -13,53 +13,53 @@
 
 // TestACallThatFailsTwiceIsMadeJobByJob has one request end each target that makes a piece of it, and others in its calls.
 func TestACallThatFailsTwiceIsMadeJobByJob(t *testing.T) {
-	crashes := newCrashes(clockwork.NewFakeClockAt(start))
-	pool := spec
-	pool.Most = 12
+	crashes := newTestCrashTracker(clockwork.NewFakeClockAt(start))
+	pool := batchSpec
+	pool.MaxPieces = 12
 	b := NewBatcher(pool, WithRefusals(func(r proto.RequestDigest) bool {
-		_, refused := crashes.Refuses(r)
+		_, refused := crashes.Blocks(r)
 		return refused
 	}))
 	var targets []proto.RelayTarget
 	for n := range 12 {
-		targets = append(targets, listed(fmt.Sprint("t", n), "p", "z"))
+		targets = append(targets, testTarget(fmt.Sprint("t", n), "p", "z"))
 	}
 	b.SetTargets(targets)
 	const guilty, requests = proto.RequestDigest(3), 6
 	for r := range proto.RequestDigest(requests) {
-		ask := proto.PiecesAsk{Request: fmt.Sprint(r), Pieces: 2, Bytes: 10, Digest: r}
-		if refused := b.Add(start, &Job{Ask: ask, Due: start.Add(time.Hour), End: start.Add(time.Hour)}); refused != nil {
+		ask := proto.PiecesAsk{RequestID: fmt.Sprint(r), Pieces: 2, ResultBytes: 10, Digest: r}
+		if refused := b.Add(start, &Job{Params: ask, Due: start.Add(time.Hour), Deadline: start.Add(time.Hour)}); refused != nil {
 			t.Fatal(refused)
 		}
 	}
-	fates := map[string]proto.PieceFate{}
-	take := func(ends []JobEnd) {
+	fates := map[string]proto.PieceOutcome{}
+	take := func(ends []FinishedJob) {
 		for _, e := range ends {
-			fates[e.Job.Ask.Request] = e.Answer.Fate
+			fates[e.Job.Params.RequestID] = e.Answer.Outcome
 		}
 	}
 	now, ended := start, 0
 	for range 40 {
-		calls, ends := b.Next(now)
+		calls, ends := b.NextCalls(now)
 		take(ends)
 		now = now.Add(10 * time.Millisecond)
 		for _, c := range calls {
 			var in []proto.RequestDigest
 			for _, item := range c.Items {
-				in = append(in, item.Job.Ask.Digest)
+				in = append(in, item.Job.Params.Digest)
 			}
 			if !slices.Contains(in, guilty) {
 				results := make([]ItemResult, len(c.Items))
 				for i := range results {
 					results[i].Handle = fmt.Sprintf("%s/%p/%d", c.Target.ID, c, i)
 				}
-				made, _ := b.Done(now, c, results)
+				made, _ := b.CallDone(now, c, results)
 				take(made)
 				continue
 			}
 			ended++
 			crashes.Ended(c.Target.RunName(), now, slices.Compact(in))
-			take(b.Failed(now, c, false))
+			take(b.CallFailed(now, c, false))
 			targets = slices.DeleteFunc(targets, func(s proto.RelayTarget) bool { return s.ID == c.Target.ID })
 			b.SetTargets(targets)
 		}
--- a/relay/batchinputs.go
+++ b/relay/batchinputs.go
@@ -18,8 +18,8 @@
 	for _, item := range c.Items {
 		if j := item.Job; j.readsLast() {
 			j.inputsFreed = true
-			of := shard{j.Ask.InputPool, j.Ask.InputShard}
-			given[of] = append(given[of], j.Ask.Inputs...)
+			of := shard{j.Params.InputPool, j.Params.InputShard}
+			given[of] = append(given[of], j.Params.Inputs...)
 		}
 	}
 	return given
@@ -29,15 +29,15 @@
 // them from a daemon that batched for the pool before this one. When all daemons die together, nine in ten of the inputs
 // that are given up too soon would be given up in the seconds after that.
 func (b *Batcher) roomInDoubt(now time.Time, t *batchTarget) bool {
-	return b.spec.Room > 0 && (now.Sub(t.hiddenAt) < b.spec.Keep || now.Sub(b.began) < b.spec.Keep)
+	return b.spec.MaxResultBytes > 0 && (now.Sub(t.hiddenAt) < b.spec.ResultLifetime || now.Sub(b.began) < b.spec.ResultLifetime)
 }
 
 // readsLast tells whether all pieces of a job are being made for the first time and nothing else reads its inputs.
 func (j *Job) readsLast() bool {
-	return !j.done && !j.inputsFreed && j.left() == 0 && j.exclude == "" && j.Ask.InputPool != ""
+	return !j.done && !j.inputsFreed && j.left() == 0 && j.exclude == "" && j.Params.InputPool != ""
 }
 
 // withoutInputs ends a job of which a piece would have to be made again.
-func (b *Batcher) withoutInputs(j *Job) JobEnd {
-	return b.end(j, proto.PiecesAnswer{Fate: proto.PiecesLost, Detail: "a piece has to be made again, and its inputs were given up"})
+func (b *Batcher) withoutInputs(j *Job) FinishedJob {
+	return b.end(j, proto.PiecesAnswer{Outcome: proto.PiecesLost, Detail: "a piece has to be made again, and its inputs were given up"})
 }
--- a/relay/batchinputs_test.go
+++ b/relay/batchinputs_test.go
@@ -10,15 +10,15 @@
 // reader is a job that alone reads the results of another pool.
 func reader(id string, pieces int) *Job {
 	j := job(id, pieces)
-	j.Ask.Inputs, j.Ask.InputPool = []string{"input of " + id}, "before"
+	j.Params.Inputs, j.Params.InputPool = []string{"input of " + id}, "before"
 	return j
 }
 
 func TestInputsOfACallUnderWayAreGivenUpOnce(t *testing.T) {
-	b := batcher(listed("t1", "p", "z"))
-	b.spec.Room = 0
+	b := batcher(testTarget("t1", "p", "z"))
+	b.spec.MaxResultBytes = 0
 	kept := job("kept", 1)
-	kept.Ask.Inputs = []string{"read by others"}
+	kept.Params.Inputs = []string{"read by others"}
 	add(t, b, reader("a", 2), kept, reader("large", 10))
 	first := next(b, start)[0]
 	if got := fmt.Sprint(b.fetched(start, first)); got != "map[{before 0}:[input of a]]" {
@@ -27,7 +27,7 @@
 	if again := b.fetched(start, first); len(again) != 0 {
 		t.Errorf("given up again: %v", again)
 	}
-	ends, _ := b.Done(start, first, results(first))
+	ends, _ := b.CallDone(start, first, results(first))
 	if len(ends) == 0 || !ends[0].Answer.InputsFreed {
 		t.Errorf("ends %+v: the asker is not told that the inputs are freed", ends)
 	}
@@ -37,14 +37,14 @@
 }
 
 func TestInputsAreKeptWhereRoomIsInDoubt(t *testing.T) {
-	b := batcher(listed("t1", "p", "z"))
-	b.began = start.Add(-spec.Keep)
+	b := batcher(testTarget("t1", "p", "z"))
+	b.began = start.Add(-batchSpec.ResultLifetime)
 	add(t, b, reader("a", 2))
 	first := next(b, start)[0]
 	made := results(first)
-	made[1] = ItemResult{Fate: proto.PiecesNoRoom}
-	b.Done(start, first, made)
-	soon := start.Add(spec.Keep / 2)
+	made[1] = ItemResult{Outcome: proto.PiecesNoRoom}
+	b.CallDone(start, first, made)
+	soon := start.Add(batchSpec.ResultLifetime / 2)
 	again := next(b, soon)
 	if len(again) != 1 {
 		t.Fatal("the piece without room is not made again")
@@ -56,14 +56,14 @@
 
 // TestInputsAreKeptWhileAnEarlierDaemonsResultsMayBeThere has a daemon batch for a pool since a moment ago.
 func TestInputsAreKeptWhileAnEarlierDaemonsResultsMayBeThere(t *testing.T) {
-	b := batcher(listed("t1", "p", "z"))
+	b := batcher(testTarget("t1", "p", "z"))
 	add(t, b, reader("a", 2), reader("b", 7))
 	first := next(b, start)[0]
 	if given := b.fetched(start.Add(first.Expected/2), first); len(given) != 0 {
 		t.Errorf("given up: %v, though there may be no room for the results", given)
 	}
-	later := start.Add(spec.Keep)
-	b.Done(later, first, results(first))
+	later := start.Add(batchSpec.ResultLifetime)
+	b.CallDone(later, first, results(first))
 	second := next(b, later)[0]
 	if given := b.fetched(later, second); len(given) != 1 {
 		t.Errorf("given up: %v, though all that an earlier daemon had made is gone", given)
@@ -72,8 +72,8 @@
 
 // TestInputsOfPiecesThatWereQueuedAgainAreKept has a call take too long, so that two targets read the same inputs.
 func TestInputsOfPiecesThatWereQueuedAgainAreKept(t *testing.T) {
-	b := batcher(listed("t1", "p", "z"), listed("t2", "p", "z"))
-	b.began = start.Add(-spec.Keep)
+	b := batcher(testTarget("t1", "p", "z"), testTarget("t2", "p", "z"))
+	b.began = start.Add(-batchSpec.ResultLifetime)
 	add(t, b, reader("a", 2))
 	first := next(b, start)[0]
 	late := start.Add(10 * first.Expected)
@@ -84,7 +84,7 @@
 	if given := b.fetched(late, second[0]); len(given) != 0 {
 		t.Errorf("given up: %v", given)
 	}
-	if ends := b.Failed(late, first, false); len(ends) != 0 {
+	if ends := b.CallFailed(late, first, false); len(ends) != 0 {
 		t.Errorf("ends %+v, though the second call is under way", ends)
 	}
 }
@@ -93,18 +93,18 @@
 func TestAPieceWithoutInputsIsNotMadeAgain(t *testing.T) {
 	scenarios := []struct {
 		name string
-		end  func(b *Batcher, c *Call) []JobEnd
+		end  func(b *Batcher, c *Call) []FinishedJob
 	}{
-		{"the call fails", func(b *Batcher, c *Call) []JobEnd { return b.Failed(start, c, false) }},
-		{"there was no room", func(b *Batcher, c *Call) []JobEnd {
-			ends, _ := b.Done(start, c, []ItemResult{{Handle: "h"}, {Fate: proto.PiecesNoRoom}})
+		{"the call fails", func(b *Batcher, c *Call) []FinishedJob { return b.CallFailed(start, c, false) }},
+		{"there was no room", func(b *Batcher, c *Call) []FinishedJob {
+			ends, _ := b.CallDone(start, c, []ItemResult{{Handle: "h"}, {Outcome: proto.PiecesNoRoom}})
 			return ends
 		}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			b := batcher(listed("t1", "p", "z"), listed("t2", "p", "z"))
-			b.began = start.Add(-spec.Keep)
+			b := batcher(testTarget("t1", "p", "z"), testTarget("t2", "p", "z"))
+			b.began = start.Add(-batchSpec.ResultLifetime)
 			add(t, b, reader("a", 2))
 			c := next(b, start)[0]
 			b.fetched(start, c)
@@ -112,7 +112,7 @@
 				t.Fatal("an overdue piece was sent again without its inputs")
 			}
 			ends := s.end(b, c)
-			if len(ends) != 1 || ends[0].Answer.Fate != proto.PiecesLost || !ends[0].Answer.InputsFreed {
+			if len(ends) != 1 || ends[0].Answer.Outcome != proto.PiecesLost || !ends[0].Answer.InputsFreed {
 				t.Errorf("ends %+v: the request's stages have to be done anew", ends)
 			}
 		})
--- a/relay/batchlimits.go
+++ b/relay/batchlimits.go
@@ -3,7 +3,7 @@
 import "time"
 
 // setTerms takes over what targets have said of the work that they take, and the part of their limits that this batcher may use.
-func (b *Batcher) setTerms(terms []targetTerms, liveShare float64) {
+func (b *Batcher) setTargetLimits(terms []targetLimits, liveShare float64) {
 	b.liveShare = liveShare
 	for _, t := range b.targets {
 		t.limited = false
@@ -11,7 +11,7 @@
 	for _, said := range terms {
 		if t := b.targets[said.id]; t != nil {
 			t.limit, t.limited = said.limit, said.limit != noLimit
-			t.restUntil = said.restUntil
+			t.restUntil = said.backoffUntil
 		}
 	}
 }
--- a/relay/batchqueue.go
+++ b/relay/batchqueue.go
@@ -11,16 +11,16 @@
 // share is the target time that a piece costs in a full call, or that its result takes of the target's room if that
 // is more.
 func (b *Batcher) share(bytes int) float64 {
-	work := b.model.callCost()/float64(max(1, b.spec.Most)) + b.model.pieceCost(bytes)
-	if b.spec.Room == 0 {
+	work := b.model.callCost()/float64(max(1, b.spec.MaxPieces)) + b.model.pieceCost(bytes)
+	if b.spec.MaxResultBytes == 0 {
 		return work
 	}
-	return max(work, b.hold*float64(bytes)/float64(b.spec.Room))
+	return max(work, b.hold*float64(bytes)/float64(b.spec.MaxResultBytes))
 }
 
-// Wait is the time until a job with such a turn would begin, from the work ahead of it and the targets in service. One
+// WaitTime is the time until a job with such a turn would begin, from the work ahead of it and the targets in service. One
 // that is left out for a while counts from then on: a pool that refused one call each is not out of service.
-func (b *Batcher) Wait(now, turn time.Time) time.Duration {
+func (b *Batcher) WaitTime(now, turn time.Time) time.Duration {
 	free := b.capacity(now)
 	if len(free) == 0 {
 		return time.Minute
@@ -28,7 +28,7 @@
 	work := 0.0
 	for _, j := range b.jobs {
 		if j.left() > 0 && !j.done && (!j.late || turn.Sub(now) >= allTurns) && !j.order.After(turn) {
-			work += float64(j.left()) * b.share(j.Ask.Bytes)
+			work += float64(j.left()) * b.share(j.Params.ResultBytes)
 		}
 	}
 	return free.taken(work)
@@ -54,7 +54,7 @@
 func (b *Batcher) freeIn(now time.Time, t *batchTarget) float64 {
 	in := max(0, float64(t.outTo.Sub(now)), float64(t.restUntil.Sub(now)), float64(b.allowedIn(now, t)))
 	if t.call != nil {
-		in = max(in, float64(t.call.Began.Add(t.call.Expected).Sub(now)))
+		in = max(in, float64(t.call.StartedAt.Add(t.call.Expected).Sub(now)))
 	}
 	return in
 }
@@ -73,30 +73,30 @@
 	return time.Duration(at + work/speed)
 }
 
-// Queue is how long a job like this one would wait for its turn if it came now.
-func (b *Batcher) Queue(now time.Time, j *Job) time.Duration {
-	return b.Wait(now, now.Add(j.order.Sub(j.since)))
+// QueueTime is how long a job like this one would wait for its turn if it came now.
+func (b *Batcher) QueueTime(now time.Time, j *Job) time.Duration {
+	return b.WaitTime(now, now.Add(j.order.Sub(j.since)))
 }
 
 // length is how long a call with a job's pieces and a usual share of others takes.
 func (b *Batcher) length(j *Job) float64 {
-	n := float64(min(j.Ask.Pieces, b.spec.Most))
-	own := b.model.callCost() + n*b.model.pieceCost(j.Ask.Bytes)
-	return (own + b.fullCall(j.Ask.Bytes)) / 2
+	n := float64(min(j.Params.Pieces, b.spec.MaxPieces))
+	own := b.model.callCost() + n*b.model.pieceCost(j.Params.ResultBytes)
+	return (own + b.fullCall(j.Params.ResultBytes)) / 2
 }
 
 // canBeLate tells whether a job that will not be in time is still made well before its result is of no use: with all
 // that waits ahead of it, and as much again that may come.
 func (b *Batcher) canBeLate(now time.Time, j *Job) bool {
-	ahead := b.Wait(now, now.Add(allTurns))
-	return time.Duration(lateMargin*float64(ahead)+j.length) < time.Duration(latePart*float64(j.End.Sub(now)))
+	ahead := b.WaitTime(now, now.Add(allTurns))
+	return time.Duration(lateMargin*float64(ahead)+j.length) < time.Duration(latePart*float64(j.Deadline.Sub(now)))
 }
 
 // sort puts the jobs in their turn. Those that can no longer be in time come last, so that they do not make others
 // late as well.
 func (b *Batcher) sort(now time.Time) {
 	for _, j := range b.jobs {
-		late := !j.Ask.Begun && now.Add(time.Duration(j.length)).After(j.Due)
+		late := !j.Params.AnswerStarted && now.Add(time.Duration(j.length)).After(j.Due)
 		b.resort = b.resort || late != j.late
 		j.late = late
 	}
@@ -117,7 +117,7 @@
 
 // giveUp ends the late jobs that will not be made in the time for which their results are of use, so that their callers
 // hear of it now. The jobs are in the order of their turns, so the late ones come last.
-func (b *Batcher) giveUp(now time.Time) []JobEnd {
+func (b *Batcher) giveUp(now time.Time) []FinishedJob {
 	if now.Sub(b.lastLook) < giveUpEvery {
 		return nil
 	}
@@ -126,36 +126,36 @@
 	if len(free) == 0 {
 		return nil
 	}
-	var ends []JobEnd
+	var ends []FinishedJob
 	work := 0.0
 	for _, j := range b.jobs {
 		j.length = b.length(j)
 		if j.done || j.left() == 0 {
 			continue
 		}
-		if j.late && j.missing == j.Ask.Pieces {
-			if start := free.taken(work); now.Add(start + time.Duration(j.length)).After(j.End) {
+		if j.late && j.missing == j.Params.Pieces {
+			if start := free.taken(work); now.Add(start + time.Duration(j.length)).After(j.Deadline) {
 				ends = append(ends, b.end(j, proto.PiecesAnswer{
-					Fate: proto.PiecesRefused, Queued: now.Sub(j.since), Queue: start, Wait: max(retryFloor, start), Detail: "more urgent work leaves no time for the stage",
+					Outcome: proto.PiecesRefused, QueuedFor: now.Sub(j.since), QueueDelay: start, RetryAfter: max(minRetryWait, start), Detail: "more urgent work leaves no time for the stage",
 				}))
 				continue
 			}
 		}
-		work += float64(j.left()) * b.share(j.Ask.Bytes)
+		work += float64(j.left()) * b.share(j.Params.ResultBytes)
 	}
 	return ends
 }
 
-func (b *Batcher) expire(now time.Time) []JobEnd {
-	var ends []JobEnd
+func (b *Batcher) expire(now time.Time) []FinishedJob {
+	var ends []FinishedJob
 	b.jobs = slices.DeleteFunc(b.jobs, func(j *Job) bool {
 		if j.done {
 			return true
 		}
-		if !now.After(j.End) {
+		if !now.After(j.Deadline) {
 			return false
 		}
-		ends = append(ends, b.end(j, proto.PiecesAnswer{Fate: proto.PiecesLate, Queued: now.Sub(j.since), Detail: "the time for the stage was over in the queue"}))
+		ends = append(ends, b.end(j, proto.PiecesAnswer{Outcome: proto.PiecesLate, QueuedFor: now.Sub(j.since), Detail: "the time for the stage was over in the queue"}))
 		return true
 	})
 	for _, t := range b.targets {
--- a/relay/batchqueue_test.go
+++ b/relay/batchqueue_test.go
@@ -16,7 +16,7 @@
 	const goal = 2 * time.Second
 	step := time.Duration(rankShare * float64(goal))
 	ranked := func(j *Job, rank int) *Job {
-		j.Ask.Rank, j.Ask.Goal = rank, goal
+		j.Params.Rank, j.Params.LatencyGoal = rank, goal
 		return j
 	}
 	scenarios := []struct {
@@ -31,9 +31,9 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			b := batcher(listed("t1", "p", "z"))
+			b := batcher(testTarget("t1", "p", "z"))
 			add(t, b, s.jobs...)
-			if got := next(b, start)[0].Items[0].Job.Ask.Request; got != s.want {
+			if got := next(b, start)[0].Items[0].Job.Params.RequestID; got != s.want {
 				t.Errorf("first %s, want %s", got, s.want)
 			}
 		})
@@ -41,18 +41,18 @@
 }
 
 func TestWhatCannotBeInTimeIsRefusedBeforeAnythingRan(t *testing.T) {
-	b := batcher(listed("t1", "p", "z"))
-	b.spec.Room = 0
+	b := batcher(testTarget("t1", "p", "z"))
+	b.spec.MaxResultBytes = 0
 	add(t, b, job("a", 8), job("b", 8), job("c", 8))
 	next(b, start)
 	late := job("late", 8)
-	late.Due, late.End, late.Ask.First = start.Add(time.Second), start.Add(4*time.Second), true
+	late.Due, late.Deadline, late.Params.NoWorkDone = start.Add(time.Second), start.Add(4*time.Second), true
 	late.order = late.Due
 	for _, j := range b.jobs {
 		j.order = start
 	}
 	refused := b.Add(start, late)
-	if refused == nil || refused.Fate != proto.PiecesRefused || refused.Wait < retryFloor {
+	if refused == nil || refused.Outcome != proto.PiecesRefused || refused.RetryAfter < minRetryWait {
 		t.Fatalf("answer %+v", refused)
 	}
 	begun := job("begun", 8)
@@ -63,43 +63,43 @@
 }
 
 func TestAJobThatWillBeLateButSurelyMadeIsTaken(t *testing.T) {
-	b := batcher(listed("t1", "p", "z"))
-	b.spec.Room = 0
+	b := batcher(testTarget("t1", "p", "z"))
+	b.spec.MaxResultBytes = 0
 	add(t, b, job("a", 8), job("b", 8), job("c", 8))
 	first := next(b, start)[0]
 	late := job("late", 8)
-	late.Due, late.End, late.Ask.First = start.Add(500*time.Millisecond), start.Add(20*time.Second), true
+	late.Due, late.Deadline, late.Params.NoWorkDone = start.Add(500*time.Millisecond), start.Add(20*time.Second), true
 	if refused := b.Add(start, late); refused != nil {
 		t.Fatalf("refused: %+v", refused)
 	}
 	now := start
 	for _, want := range []string{"b", "c", "late"} {
 		now = now.Add(first.Expected)
-		b.Done(now, first, results(first))
+		b.CallDone(now, first, results(first))
 		first = next(b, now)[0]
-		if got := first.Items[0].Job.Ask.Request; got != want {
+		if got := first.Items[0].Job.Params.RequestID; got != want {
 			t.Errorf("%s is made before %s: what cannot be in time makes others late", got, want)
 		}
 	}
 }
 
 func TestALateJobThatWillNotBeMadeIsGivenUpAtOnce(t *testing.T) {
-	b := batcher(listed("t1", "p", "z"))
-	b.spec.Room = 0
+	b := batcher(testTarget("t1", "p", "z"))
+	b.spec.MaxResultBytes = 0
 	add(t, b, job("busy", 8))
 	next(b, start)
 	late, stream := job("late", 8), job("stream", 8)
-	late.Due, late.End = start, start.Add(4*time.Second)
-	stream.Due, stream.End, stream.Ask.Begun = start, start.Add(4*time.Second), true
+	late.Due, late.Deadline = start, start.Add(4*time.Second)
+	stream.Due, stream.Deadline, stream.Params.AnswerStarted = start, start.Add(4*time.Second), true
 	add(t, b, late, stream)
-	if _, ends := b.Next(start); len(ends) != 0 {
+	if _, ends := b.NextCalls(start); len(ends) != 0 {
 		t.Fatalf("given up with an empty queue: %+v", ends[0].Answer)
 	}
 	for i := range 10 {
 		add(t, b, job(fmt.Sprint("urgent", i), 8))
 	}
-	_, ends := b.Next(start.Add(giveUpEvery))
-	if len(ends) != 1 || ends[0].Job != late || ends[0].Answer.Fate != proto.PiecesRefused || ends[0].Answer.Wait < time.Second {
+	_, ends := b.NextCalls(start.Add(giveUpEvery))
+	if len(ends) != 1 || ends[0].Job != late || ends[0].Answer.Outcome != proto.PiecesRefused || ends[0].Answer.RetryAfter < time.Second {
 		t.Errorf("ends %+v: the late job, and not the stream that its caller has a part of, is given up", ends)
 	}
 }
@@ -107,7 +107,7 @@
 func TestTheLastIdleTargetIsLeftToUrgentWork(t *testing.T) {
 	ranked := func(rank, pieces int, due time.Duration) *Job {
 		j := job(fmt.Sprintf("r%d-%d-%v ", rank, pieces, due), pieces)
-		j.Ask.Rank, j.Due = rank, start.Add(due)
+		j.Params.Rank, j.Due = rank, start.Add(due)
 		return j
 	}
 	scenarios := []struct {
@@ -122,7 +122,7 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			b := batcher(listed("t1", "p", "z"), listed("t2", "p", "z"))
+			b := batcher(testTarget("t1", "p", "z"), testTarget("t2", "p", "z"))
 			add(t, b, job("busy", 8))
 			if len(next(b, start)) != 1 {
 				t.Fatal("one target is not busy")
@@ -136,22 +136,22 @@
 }
 
 func TestAnswersTellOfTheQueue(t *testing.T) {
-	b := batcher(listed("t1", "p", "z"))
-	b.spec.Room = 0
+	b := batcher(testTarget("t1", "p", "z"))
+	b.spec.MaxResultBytes = 0
 	asked := job("a", 8)
 	add(t, b, asked)
-	if got := b.Queue(start, asked); got == 0 {
+	if got := b.QueueTime(start, asked); got == 0 {
 		t.Error("no queue although all of the target's next call is taken")
 	}
 	next(b, start)
-	full := b.Queue(start, asked)
+	full := b.QueueTime(start, asked)
 	add(t, b, job("b", 8), job("c", 8))
-	if more := b.Queue(start, asked); more <= full {
+	if more := b.QueueTime(start, asked); more <= full {
 		t.Errorf("a queue of %v with two more calls ahead, %v before", more, full)
 	}
 	late := job("d", 1)
-	late.Ask.First, late.Due, late.End = true, start.Add(10*time.Millisecond), start.Add(4*time.Second)
-	if refused := b.Add(start, late); refused == nil || refused.Queue == 0 {
+	late.Params.NoWorkDone, late.Due, late.Deadline = true, start.Add(10*time.Millisecond), start.Add(4*time.Second)
+	if refused := b.Add(start, late); refused == nil || refused.QueueDelay == 0 {
 		t.Errorf("a refusal does not tell of the queue: %+v", refused)
 	}
 }
--- a/relay/batchrestart.go
+++ b/relay/batchrestart.go
@@ -1,13 +1,13 @@
 package relay
 
 // endRun gives up what a target that has started again had made or was making: its results went with the run.
-func (b *Batcher) endRun(t *batchTarget) []JobEnd {
+func (b *Batcher) endRun(t *batchTarget) []FinishedJob {
 	lost := map[string]bool{}
 	for _, k := range t.leaves {
 		lost[k.handle] = true
 	}
 	b.dropTarget(t.spec.ID, t)
-	var ends []JobEnd
+	var ends []FinishedJob
 	for _, j := range b.jobs {
 		if !j.done {
 			ends = append(ends, b.loseResults(j, lost)...)
@@ -20,7 +20,7 @@
 	return ends
 }
 
-func (b *Batcher) loseResults(j *Job, lost map[string]bool) []JobEnd {
+func (b *Batcher) loseResults(j *Job, lost map[string]bool) []FinishedJob {
 	found := false
 	for piece, handle := range j.handles {
 		if handle != "" && lost[handle] {
@@ -29,14 +29,14 @@
 		}
 	}
 	if found && j.inputsFreed {
-		return []JobEnd{b.withoutInputs(j)}
+		return []FinishedJob{b.withoutInputs(j)}
 	}
 	return nil
 }
 
 // loseCall queues the pieces of a call again whose target's run is over.
-func (b *Batcher) loseCall(c *Call) []JobEnd {
-	var ends []JobEnd
+func (b *Batcher) loseCall(c *Call) []FinishedJob {
+	var ends []FinishedJob
 	for _, item := range c.Items {
 		switch j := item.Job; {
 		case j.done:
--- a/relay/batchresult.go
+++ b/relay/batchresult.go
@@ -8,25 +8,25 @@
 	"emberlead/proto"
 )
 
-// Done takes in the results of a call in the order of its items and returns the jobs that ended, with the handles
+// CallDone takes in the results of a call in the order of its items and returns the jobs that ended, with the handles
 // that nobody needs any more.
-func (b *Batcher) Done(now time.Time, c *Call, results []ItemResult) (ends []JobEnd, unused []string) {
+func (b *Batcher) CallDone(now time.Time, c *Call, results []ItemResult) (ends []FinishedJob, unused []string) {
 	if c.void {
 		return nil, nil
 	}
 	t := b.finish(c)
-	b.learn(t, c, results, now.Sub(c.Began))
+	b.learn(t, c, results, now.Sub(c.StartedAt))
 	for n, item := range c.Items {
 		r := results[n]
 		j := item.Job
 		if r.Handle == "" {
-			b.giveBack(t, j.Ask.Bytes)
+			b.giveBack(t, j.Params.ResultBytes)
 			if !j.done {
-				ends = append(ends, b.lacking(now, t, c, item, r.Fate)...)
+				ends = append(ends, b.lacking(now, t, c, item, r.Outcome)...)
 			}
 			continue
 		}
-		b.keep(now, t, r.Handle, j.Ask.Bytes, c.Began)
+		b.keep(now, t, r.Handle, j.Params.ResultBytes, c.StartedAt)
 		if j.done || !j.set(item.Piece, r.Handle) {
 			unused = append(unused, r.Handle)
 			continue
@@ -34,7 +34,7 @@
 		j.zone = c.Target.Zone
 		if j.missing == 0 {
 			ends = append(ends, b.end(j, proto.PiecesAnswer{
-				Fate: proto.PiecesDone, Handles: j.handles, Zone: j.zone, Queued: c.Began.Sub(j.since), Made: now.Sub(c.Began),
+				Outcome: proto.PiecesDone, Handles: j.handles, Zone: j.zone, QueuedFor: c.StartedAt.Sub(j.since), CallTime: now.Sub(c.StartedAt),
 			}))
 		}
 	}
@@ -42,17 +42,17 @@
 }
 
 // lacking queues a piece again that the target had no room for or failed at; without its inputs it cannot be made.
-func (b *Batcher) lacking(now time.Time, t *batchTarget, c *Call, item CallItem, fate proto.PieceFate) []JobEnd {
+func (b *Batcher) lacking(now time.Time, t *batchTarget, c *Call, item CallItem, fate proto.PieceOutcome) []FinishedJob {
 	j := item.Job
 	if j.inputsFreed {
-		return []JobEnd{b.withoutInputs(j)}
+		return []FinishedJob{b.withoutInputs(j)}
 	}
 	switch fate {
 	case proto.PiecesLost, proto.PiecesLate:
 		if c.overdue {
 			return nil
 		}
-		return []JobEnd{b.end(j, proto.PiecesAnswer{Fate: fate, Detail: "a target could not make a piece: its input is gone or its time over"})}
+		return []FinishedJob{b.end(j, proto.PiecesAnswer{Outcome: fate, Detail: "a target could not make a piece: its input is gone or its time over"})}
 	case proto.PiecesNoRoom:
 		b.learnRoom(now, t)
 	default:
@@ -66,7 +66,7 @@
 	if b.atWork(j, item.Piece) {
 		return nil
 	}
-	return []JobEnd{b.end(j, proto.PiecesAnswer{Fate: proto.PiecesFailed, Detail: "several targets failed at a piece"})}
+	return []FinishedJob{b.end(j, proto.PiecesAnswer{Outcome: proto.PiecesFailed, Detail: "several targets failed at a piece"})}
 }
 
 func (b *Batcher) finish(c *Call) *batchTarget {
@@ -81,9 +81,9 @@
 	return t
 }
 
-// Failed takes in a call that gave no results. With busy set the target refused it for want of a slot. The pieces
+// CallFailed takes in a call that gave no results. With busy set the target refused it for want of a slot. The pieces
 // are sent again unless they were too often.
-func (b *Batcher) Failed(now time.Time, c *Call, busy bool) []JobEnd {
+func (b *Batcher) CallFailed(now time.Time, c *Call, busy bool) []FinishedJob {
 	if c.void {
 		return nil
 	}
@@ -91,18 +91,18 @@
 	if t != nil {
 		b.leaveOut(now, t, busy)
 	}
-	var ends []JobEnd
+	var ends []FinishedJob
 	seen := map[*Job][]int{}
 	for _, item := range c.Items {
 		seen[item.Job] = append(seen[item.Job], item.Piece)
-		b.giveBack(t, item.Job.Ask.Bytes)
+		b.giveBack(t, item.Job.Params.ResultBytes)
 	}
 	for j, pieces := range seen {
 		if !c.overdue || j.inputsFreed || b.unattended(j, pieces) {
 			ends = append(ends, b.again(j, pieces, c.Target.ID, busy)...)
 		}
 	}
-	slices.SortFunc(ends, func(x, y JobEnd) int { return cmp.Compare(x.Job.Ask.Request, y.Job.Ask.Request) })
+	slices.SortFunc(ends, func(x, y FinishedJob) int { return cmp.Compare(x.Job.Params.RequestID, y.Job.Params.RequestID) })
 	return ends
 }
 
@@ -110,7 +110,7 @@
 func (b *Batcher) requeue(now time.Time) {
 	for _, t := range b.targets {
 		c := t.call
-		if c == nil || c.overdue || now.Before(c.Began.Add(time.Duration(overdueAt*float64(c.Expected)))) {
+		if c == nil || c.overdue || now.Before(c.StartedAt.Add(time.Duration(overdueAt*float64(c.Expected)))) {
 			continue
 		}
 		c.overdue = true
@@ -133,12 +133,12 @@
 }
 
 // again queues the pieces of a call that failed.
-func (b *Batcher) again(j *Job, pieces []int, target string, busy bool) []JobEnd {
+func (b *Batcher) again(j *Job, pieces []int, target string, busy bool) []FinishedJob {
 	if j.done {
 		return nil
 	}
 	if j.inputsFreed {
-		return []JobEnd{b.withoutInputs(j)}
+		return []FinishedJob{b.withoutInputs(j)}
 	}
 	if !busy {
 		j.tries++
@@ -147,7 +147,7 @@
 		if b.atWork(j, pieces...) {
 			return nil
 		}
-		return []JobEnd{b.end(j, proto.PiecesAnswer{Fate: proto.PiecesFailed, Detail: "calls to several targets failed"})}
+		return []FinishedJob{b.end(j, proto.PiecesAnswer{Outcome: proto.PiecesFailed, Detail: "calls to several targets failed"})}
 	}
 	j.exclude = target
 	j.alone = j.tries >= aloneAfter
@@ -156,11 +156,11 @@
 }
 
 // refuseJobs ends the queued jobs of requests that are not worked on any more.
-func (b *Batcher) refuseJobs() []JobEnd {
-	var ends []JobEnd
+func (b *Batcher) refuseJobs() []FinishedJob {
+	var ends []FinishedJob
 	for _, j := range b.jobs {
-		if !j.done && j.left() > 0 && b.refuses(j.Ask.Digest) {
-			ends = append(ends, b.end(j, proto.PiecesAnswer{Fate: proto.PiecesFailed, Detail: "targets ended that worked on the request"}))
+		if !j.done && j.left() > 0 && b.refuses(j.Params.Digest) {
+			ends = append(ends, b.end(j, proto.PiecesAnswer{Outcome: proto.PiecesFailed, Detail: "targets ended that worked on the request"}))
 		}
 	}
 	return ends
--- a/relay/batchroom.go
+++ b/relay/batchroom.go
@@ -11,17 +11,17 @@
 	if t == nil {
 		return
 	}
-	t.hidden = max(0, b.spec.Room-t.room)
+	t.hidden = max(0, b.spec.MaxResultBytes-t.room)
 	t.hiddenAt = now
 	t.outTo = now.Add(roomWait)
 }
 
 // hiddenNow is how many bytes of unknown results a target still keeps.
 func (b *Batcher) hiddenNow(now time.Time, t *batchTarget) int64 {
-	if t.hidden == 0 || b.spec.Keep == 0 {
+	if t.hidden == 0 || b.spec.ResultLifetime == 0 {
 		return 0
 	}
-	left := 1 - float64(now.Sub(t.hiddenAt))/(hiddenShare*float64(b.spec.Keep))
+	left := 1 - float64(now.Sub(t.hiddenAt))/(hiddenShare*float64(b.spec.ResultLifetime))
 	return int64(max(0, left) * float64(t.hidden))
 }
 
@@ -35,7 +35,7 @@
 	if t == nil {
 		return
 	}
-	t.leaves = append(t.leaves, keptResult{handle: handle, bytes: int64(bytes), until: now.Add(b.spec.Keep), since: since})
+	t.leaves = append(t.leaves, keptResult{handle: handle, bytes: int64(bytes), until: now.Add(b.spec.ResultLifetime), since: since})
 	b.kept[handle] = t
 }
 
@@ -56,5 +56,5 @@
 }
 
 func (b *Batcher) hasRoom(now time.Time, t *batchTarget, j *Job, pieces int) bool {
-	return b.spec.Room == 0 || t.room+b.hiddenNow(now, t)+int64(pieces*j.Ask.Bytes) <= b.spec.Room
+	return b.spec.MaxResultBytes == 0 || t.room+b.hiddenNow(now, t)+int64(pieces*j.Params.ResultBytes) <= b.spec.MaxResultBytes
 }
--- a/relay/batchstanding.go
+++ b/relay/batchstanding.go
@@ -6,22 +6,22 @@
 )
 
 // callStanding says what becomes of a call that takes much longer than expected.
-type callStanding uint8
+type overdueAction uint8
 
 const (
 	// callWaited is a call some of whose pieces nobody else has made yet.
-	callWaited callStanding = iota
+	overdueWait overdueAction = iota
 	// callAlone is one some of whose pieces no other target can make now.
-	callAlone
+	overdueRepeat
 	// callOver is one whose pieces are all made elsewhere, not needed any more, or to be asked for again.
-	callOver
+	overdueAbandon
 )
 
 // standing tells whether a call that takes much longer than expected is still waited for. A call is not given up for one that is not
 // made: what its target has done by then would be lost, and its pieces would wait as before.
-func (b *Batcher) standing(now time.Time, c *Call) callStanding {
+func (b *Batcher) checkOverdue(now time.Time, c *Call) overdueAction {
 	if c.void {
-		return callOver
+		return overdueAbandon
 	}
 	needed, alone := false, false
 	for _, item := range c.Items {
@@ -38,18 +38,18 @@
 	}
 	switch {
 	case alone && b.mayRepeat(now, c):
-		return callAlone
+		return overdueRepeat
 	case needed:
-		return callWaited
+		return overdueWait
 	}
-	return callOver
+	return overdueAbandon
 }
 
 // hasOther tells whether a target other than that of a call can make pieces of a job; one that hangs in a call of its own cannot.
 func (b *Batcher) hasOther(now time.Time, c *Call, j *Job) bool {
 	for id, t := range b.targets {
 		hangs := t.call != nil && t.call.overdue
-		if id != c.Target.ID && !hangs && !t.spec.Leaving && !b.isOut(now, t) && j.Ask.Homes.Allow(t.spec.Region) {
+		if id != c.Target.ID && !hangs && !t.spec.Leaving && !b.isOut(now, t) && j.Params.AllowedRegions.Allows(t.spec.Region) {
 			return true
 		}
 	}
--- a/relay/budget.go
+++ b/relay/budget.go
@@ -21,49 +21,49 @@
 	budgetRemembers = 2 * budgetSteps
 )
 
-// BudgetTerms are the terms of the retry budget, for all daemons together: in any window no more further attempts than
+// RetryBudgetConfig are the terms of the retry budget, for all daemons together: in any window no more further attempts than
 // the ratio of a window's requests plus the slack.
-type BudgetTerms struct {
+type RetryBudgetConfig struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
 }
 
-// Budget limits how often requests to one pool go to a further target. What the ratio allows, each daemon earns by its
+// RetryBudget limits how often requests to one pool go to a further target. What the ratio allows, each daemon earns by its
 // own requests, so that no daemon has to know of another; the slack is divided between the daemons.
-type Budget struct {
+type RetryBudget struct {
 	mu    sync.Mutex
-	terms BudgetTerms
+	terms RetryBudgetConfig
 	// began is the start of the first step. Steps are counted on the steady clock, which no change of the time moves.
 	began        time.Time
 	asked, spent stepTotals
 }
 
-// NewBudget returns a budget of which nothing is spent.
-func NewBudget(now time.Time, terms BudgetTerms) *Budget {
-	return &Budget{terms: terms, began: now}
+// NewRetryBudget returns a budget of which nothing is spent.
+func NewRetryBudget(now time.Time, terms RetryBudgetConfig) *RetryBudget {
+	return &RetryBudget{terms: terms, began: now}
 }
 
-func (b *Budget) length() time.Duration { return b.terms.Window / budgetSteps }
+func (b *RetryBudget) length() time.Duration { return b.terms.Window / budgetSteps }
 
-func (b *Budget) step(now time.Time) int64 { return int64(now.Sub(b.began) / b.length()) }
+func (b *RetryBudget) step(now time.Time) int64 { return int64(now.Sub(b.began) / b.length()) }
 
-// Asked counts one request from a caller.
-func (b *Budget) Asked(now time.Time) {
+// RecordRequest counts one request from a caller.
+func (b *RetryBudget) RecordRequest(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.asked.add(b.step(now))
 }
 
-// BudgetState is what a budget had when a further attempt was asked for, in the window that leaves it least.
-type BudgetState struct {
+// RetryBudgetState is what a budget had when a further attempt was asked for, in the window that leaves it least.
+type RetryBudgetState struct {
 	Allowed float64
 	Spent   int
 }
 
 // Spend takes one further attempt out of the budget, or tells that none is left; share is this daemon's part of the
 // slack, from 0 to 1.
-func (b *Budget) Spend(now time.Time, share float64) (BudgetState, bool) {
+func (b *RetryBudget) Spend(now time.Time, share float64) (RetryBudgetState, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	state, left := b.look(now, share)
@@ -73,15 +73,15 @@
 	return state, left
 }
 
-// Left tells whether a further attempt is left in the budget.
-func (b *Budget) Left(now time.Time, share float64) bool {
+// Available tells whether a further attempt is left in the budget.
+func (b *RetryBudget) Available(now time.Time, share float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	_, left := b.look(now, share)
 	return left
 }
 
-func (b *Budget) look(now time.Time, share float64) (state BudgetState, left bool) {
+func (b *RetryBudget) look(now time.Time, share float64) (state RetryBudgetState, left bool) {
 	step := b.step(now)
 	b.asked.advance(step)
 	b.spent.advance(step)
@@ -92,11 +92,11 @@
 // tightest looks at all windows that an attempt in the latest step may fall into and returns the one that leaves it least.
 // Only the requests of the window itself count: those before it may have been another daemon's, which spent what they
 // earned before it died, and so the allowances of all daemons add up whoever gets the requests.
-func (b *Budget) tightest(latest int64, share float64) BudgetState {
+func (b *RetryBudget) tightest(latest int64, share float64) RetryBudgetState {
 	spread := int64((budgetSpread + b.length() - 1) / b.length())
-	var tightest BudgetState
+	var tightest RetryBudgetState
 	for first := latest - budgetSteps; first <= latest; first++ {
-		s := BudgetState{
+		s := RetryBudgetState{
 			Allowed: b.terms.Ratio*float64(b.requests(first, latest)) + b.terms.Slack*share,
 			Spent:   b.spent.between(first-spread, latest),
 		}
@@ -109,7 +109,7 @@
 
 // requests returns how many requests count for a window that begins within a step: those in it or in one that begins
 // somewhat earlier, whichever has more, without the steps that they hold in part.
-func (b *Budget) requests(first, latest int64) int {
+func (b *RetryBudget) requests(first, latest int64) int {
 	from := first - budgetLead
 	return max(b.asked.between(first+1, latest), b.asked.between(from+1, min(latest, from+budgetSteps-1)))
 }
--- a/relay/budget_test.go
+++ b/relay/budget_test.go
@@ -8,10 +8,10 @@
 
 var start = time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC)
 
-var budgetTerms = BudgetTerms{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}
+var budgetTerms = RetryBudgetConfig{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}
 
 // spendAll takes all attempts that a budget has left.
-func spendAll(b *Budget, at time.Time, share float64) int {
+func spendAll(b *RetryBudget, at time.Time, share float64) int {
 	spent := 0
 	for {
 		if _, ok := b.Spend(at, share); !ok {
@@ -22,12 +22,12 @@
 }
 
 func TestTheSlackIsDividedBetweenDaemons(t *testing.T) {
-	b := NewBudget(start, budgetTerms)
+	b := NewRetryBudget(start, budgetTerms)
 	if spent := spendAll(b, start, 0.2); spent != 10 {
 		t.Errorf("%d attempts from the slack, want 10", spent)
 	}
 	for range 100 {
-		b.Asked(start)
+		b.RecordRequest(start)
 	}
 	if earned := spendAll(b, start, 0.2); earned != 20 {
 		t.Errorf("%d attempts earned by 100 requests, want 20", earned)
@@ -41,9 +41,9 @@
 }
 
 func TestADaemonWithoutAShareSpendsWhatItEarned(t *testing.T) {
-	b := NewBudget(start, budgetTerms)
+	b := NewRetryBudget(start, budgetTerms)
 	for range 100 {
-		b.Asked(start)
+		b.RecordRequest(start)
 	}
 	if spent := spendAll(b, start, 0); spent != 20 {
 		t.Errorf("%d attempts earned by 100 requests, want 20", spent)
@@ -53,9 +53,9 @@
 // TestRequestsOfTheWindowBeforeEarnNothing has a daemon get no more requests, as one does whose callers go elsewhere: the
 // others earn by them from then on.
 func TestRequestsOfTheWindowBeforeEarnNothing(t *testing.T) {
-	b := NewBudget(start, budgetTerms)
+	b := NewRetryBudget(start, budgetTerms)
 	for range 100 {
-		b.Asked(start)
+		b.RecordRequest(start)
 	}
 	if state, ok := b.Spend(start.Add(5*time.Second), 0); ok {
 		t.Errorf("an attempt was allowed five seconds after the last request: %+v", state)
@@ -64,7 +64,7 @@
 
 // TestAnEarlierTimeGivesABudgetNothing has the clock go back, as it may between processors.
 func TestAnEarlierTimeGivesABudgetNothing(t *testing.T) {
-	b := NewBudget(start, budgetTerms)
+	b := NewRetryBudget(start, budgetTerms)
 	later := start.Add(20 * time.Second)
 	spendAll(b, later, 1)
 	if state, ok := b.Spend(later.Add(-2*time.Second), 1); ok {
@@ -106,10 +106,10 @@
 
 // budgetPlay is a history of daemons that spend as much as they may.
 type budgetPlay struct {
-	terms   BudgetTerms
+	terms   RetryBudgetConfig
 	random  *rand.Rand
 	at      time.Duration
-	budgets []*Budget
+	budgets []*RetryBudget
 	// shares are the moments from which on the daemons have a share of the slack.
 	shares         []time.Duration
 	asked, arrived []time.Duration
@@ -118,11 +118,11 @@
 func newBudgetHistory(seed uint64) *budgetPlay {
 	const daemons = 6
 	h := &budgetPlay{
-		terms: BudgetTerms{Ratio: 0.2, Slack: 52, Window: 10 * time.Second}, random: rand.New(rand.NewPCG(3, seed)),
-		budgets: make([]*Budget, daemons), shares: make([]time.Duration, daemons),
+		terms: RetryBudgetConfig{Ratio: 0.2, Slack: 52, Window: 10 * time.Second}, random: rand.New(rand.NewPCG(3, seed)),
+		budgets: make([]*RetryBudget, daemons), shares: make([]time.Duration, daemons),
 	}
 	for i := range h.budgets {
-		h.budgets[i] = NewBudget(start, h.terms)
+		h.budgets[i] = NewRetryBudget(start, h.terms)
 	}
 	return h
 }
@@ -132,7 +132,7 @@
 	now := start.Add(h.at)
 	b := h.budgets[daemon]
 	if busy := h.at%(12*time.Second) < 6*time.Second; busy || h.random.IntN(10) == 0 {
-		b.Asked(now)
+		b.RecordRequest(now)
 		h.asked = append(h.asked, h.at)
 	}
 	share := 0.0
@@ -149,7 +149,7 @@
 func (h *budgetPlay) kill(part float64) {
 	for i := range h.budgets {
 		if h.random.Float64() < part {
-			h.budgets[i] = NewBudget(start.Add(h.at), h.terms)
+			h.budgets[i] = NewRetryBudget(start.Add(h.at), h.terms)
 			h.shares[i] = h.at + h.terms.Window + budgetSpread
 		}
 	}
@@ -172,15 +172,15 @@
 // TestASteadyDeploymentUsesItsBudget has many more attempts asked for than are allowed, at an even rate.
 func TestASteadyDeploymentUsesItsBudget(t *testing.T) {
 	const daemons, length = 6, 60 * time.Second
-	terms := BudgetTerms{Ratio: 0.2, Slack: 52, Window: 10 * time.Second}
-	budgets := make([]*Budget, daemons)
+	terms := RetryBudgetConfig{Ratio: 0.2, Slack: 52, Window: 10 * time.Second}
+	budgets := make([]*RetryBudget, daemons)
 	for i := range budgets {
-		budgets[i] = NewBudget(start, terms)
+		budgets[i] = NewRetryBudget(start, terms)
 	}
 	requests, spent := 0, 0
 	for at := time.Duration(0); at < length; at += 5 * time.Millisecond {
 		b := budgets[requests%daemons]
-		b.Asked(start.Add(at))
+		b.RecordRequest(start.Add(at))
 		requests++
 		if _, ok := b.Spend(start.Add(at), 1.0/daemons); ok {
 			spent++
--- a/relay/cache.go
+++ b/relay/cache.go
@@ -10,7 +10,7 @@
 	// cacheShare is the part of an engine's memory that is taken to keep prompt parts; running requests have the rest.
 	cacheShare = 0.6
 	// cacheDefault is the memory of an engine in tokens before the configuration states it.
-	cacheDefault = 200_000
+	defaultCacheTokens = 200_000
 )
 
 // promptCache is what an engine is thought to keep of the prompts that were sent to it, the longest unused going
@@ -27,7 +27,7 @@
 
 // missing is how many tokens of a prompt's shared parts an engine has to read: a part is only of use if all before
 // it are kept as well.
-func (c *promptCache) missing(shared []proto.PromptShare) int {
+func (c *promptCache) missingTokens(shared []proto.PromptPart) int {
 	for i, part := range shared {
 		if c.parts[part.ID] == nil {
 			sum := 0
@@ -41,7 +41,7 @@
 }
 
 // read notes that an engine reads a prompt's shared parts.
-func (c *promptCache) read(now time.Time, shared []proto.PromptShare, most int) {
+func (c *promptCache) record(now time.Time, shared []proto.PromptPart, most int) {
 	if c.parts == nil {
 		c.parts = map[string]*cachedPart{}
 	}
--- a/relay/callmodel.go
+++ b/relay/callmodel.go
@@ -69,7 +69,7 @@
 	amounts := map[int]float64{}
 	for i, item := range c.Items {
 		if results == nil || results[i].Handle != "" {
-			amounts[item.Job.Ask.Bytes]++
+			amounts[item.Job.Params.ResultBytes]++
 		}
 	}
 	if len(amounts) > 0 {
--- a/relay/choice.go
+++ b/relay/choice.go
@@ -26,49 +26,49 @@
 	// strayCost is what an engine of the other group adds: a long prompt holds up the streams beside it.
 	strayCost = float64(250 * time.Millisecond)
 	// groupLeast and groupMost bound the part of the engines that takes the routes with long prompts.
-	groupLeast, groupMost = 0.4, 0.75
+	minLongShare, maxLongShare = 0.4, 0.75
 	// longRatio is how long a route's prompts must be against the average of the pool to count as long.
-	longRatio = 0.6
+	longPromptRatio = 0.6
 	// promptHalf is the half-life of the averages of prompts; routes change within seconds in a burst.
-	promptHalf = 10 * time.Second
+	promptHalfLife = 10 * time.Second
 )
 
 // ZoneCosts are what another availability zone counts for in the choice of a target, as a delay. They are the
 // operator's: a platform where what crosses zones is dear wants them higher, at the expense of slower answers.
 type ZoneCosts struct {
 	// Request is what any request to another zone counts for, two ways included.
-	Request time.Duration
+	PerRequest time.Duration
 	// Megabyte is what a megabyte of inputs from another zone counts for.
-	Megabyte time.Duration
+	PerMegabyte time.Duration
 }
 
 // DefaultZoneCosts suits zones a millisecond or two apart: a megabyte counts for as much as reading some 300 prompt
 // tokens, so that inputs cross zones where the engine there keeps a shared part that is longer.
 func DefaultZoneCosts() ZoneCosts {
-	return ZoneCosts{Request: 3 * time.Millisecond, Megabyte: 9 * time.Millisecond}
+	return ZoneCosts{PerRequest: 3 * time.Millisecond, PerMegabyte: 9 * time.Millisecond}
 }
 
-// Want describes what a target is chosen for.
-type Want struct {
+// TargetCriteria describes what a target is chosen for.
+type TargetCriteria struct {
 	// Shared are the parts of the prompt that others may share, and OwnTokens the size of the rest.
-	Shared    []proto.PromptShare
-	OwnTokens int
+	SharedParts []proto.PromptPart
+	OwnTokens   int
 	// Zone is the daemon's own zone, or that of large inputs.
 	Zone string
 	// Inputs is about how many bytes of inputs lie in Zone.
-	Inputs int
+	InputBytes int
 	// Route tells apart the kinds of requests, whose prompts differ.
 	Route string
 	// Engine says that targets are model engines.
 	Engine bool
 	// Gap is the longest pause between events that is still in time; 0 if there is no bound.
-	Gap time.Duration
+	MaxPause time.Duration
 	// Tried holds the targets that were tried before.
 	Tried map[string]bool
 	// Rank is the urgency of the request, 0 first.
 	Rank int
 	// Homes are the regions that the target must be in.
-	Homes proto.Homes
+	AllowedRegions proto.AllowedRegions
 	// Elsewhere says that another daemon sends the request, from which no target wants rest that is not in Tried.
 	Elsewhere bool
 	// Cold holds the cold targets that may be chosen, and Limited those with a limit.
@@ -77,7 +77,7 @@
 
 // Pick returns the target with the least expected delay, with an attempt begun on it, or nil if there is none: also where each that
 // is in good health has as many requests as it may have at a time.
-func (f *Fleet) Pick(now time.Time, pool string, w Want) *Target {
+func (f *Fleet) Pick(now time.Time, pool string, w TargetCriteria) *Target {
 	p := f.pool(pool)
 	if p == nil {
 		return nil
@@ -85,7 +85,7 @@
 	p.lock()
 	defer p.mu.Unlock()
 	if w.Engine {
-		p.notePrompt(now, w)
+		p.recordPrompt(now, w)
 	}
 	best, crowded := p.best(now, w, false)
 	if best == nil && !crowded {
@@ -94,13 +94,13 @@
 	if best == nil {
 		return nil
 	}
-	best.noteChosen(now)
+	best.recordChosen(now)
 	best.take(now, w, p.cacheMost())
 	return best
 }
 
 // Has tells whether a pool has a target that an attempt may go to.
-func (f *Fleet) Has(now time.Time, pool string, w Want) bool {
+func (f *Fleet) Has(now time.Time, pool string, w TargetCriteria) bool {
 	p := f.pool(pool)
 	if p == nil {
 		return false
@@ -114,15 +114,15 @@
 	return best != nil
 }
 
-// Late notes that an attempt takes longer than it should; a whole answer makes up for it.
-func (f *Fleet) Late(now time.Time, t *Target) {
+// ReportSlow notes that an attempt takes longer than it should; a whole answer makes up for it.
+func (f *Fleet) ReportSlow(now time.Time, t *Target) {
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
 	t.health.failed(now)
 }
 
-// Take begins an attempt on a target that another daemon chose; nil if it may get no work.
-func (f *Fleet) Take(now time.Time, pool, id string, w Want) *Target {
+// PickByID begins an attempt on a target that another daemon chose; nil if it may get no work.
+func (f *Fleet) PickByID(now time.Time, pool, id string, w TargetCriteria) *Target {
 	p := f.pool(pool)
 	if p == nil {
 		return nil
@@ -130,49 +130,49 @@
 	p.lock()
 	defer p.mu.Unlock()
 	t := p.targets[id]
-	if t == nil || t.closed() || t.rests(now) || !w.Homes.Allow(t.Spec.Region) || p.isCold(now, t) && !w.Cold[id] {
+	if t == nil || t.closed() || t.rests(now) || !w.AllowedRegions.Allows(t.Spec.Region) || p.isCold(now, t) && !w.Cold[id] {
 		return nil
 	}
 	if w.Engine {
-		p.notePrompt(now, w)
+		p.recordPrompt(now, w)
 	}
-	t.noteChosen(now)
+	t.recordChosen(now)
 	t.take(now, w, p.cacheMost())
 	return t
 }
 
-func (t *Target) take(now time.Time, w Want, cacheMost int) {
+func (t *Target) take(now time.Time, w TargetCriteria, cacheMost int) {
 	t.active++
 	if !w.Engine {
 		return
 	}
-	t.strain += w.strain()
-	t.give(now, w)
-	t.cache.read(now, w.Shared, cacheMost)
+	t.pauseWeight += w.strain()
+	t.startPrompt(now, w)
+	t.cache.record(now, w.SharedParts, cacheMost)
 }
 
 // strain is how much a pause of a millisecond counts for a stream: the shorter the pauses that its route allows, the
 // more.
-func (w *Want) strain() float64 {
-	if w.Gap <= 0 {
+func (w *TargetCriteria) strain() float64 {
+	if w.MaxPause <= 0 {
 		return 0
 	}
-	return float64(time.Millisecond) / float64(w.Gap)
+	return float64(time.Millisecond) / float64(w.MaxPause)
 }
 
 // cacheMost is how many tokens of prompt parts an engine of the pool is taken to keep.
 func (p *targetPool) cacheMost() int {
 	if p.memory == 0 {
-		return cacheShare * cacheDefault
+		return cacheShare * defaultCacheTokens
 	}
 	return int(cacheShare * float64(p.memory))
 }
 
 // best returns the cheapest target, and whether one was left out since it is crowded; without any in good health, one that was
 // left out is better than none.
-func (p *targetPool) best(now time.Time, w Want, failing bool) (best *Target, crowded bool) {
+func (p *targetPool) best(now time.Time, w TargetCriteria, failing bool) (best *Target, crowded bool) {
 	home := p.homeOf(now, w)
-	long := p.isLong(now, w.Route)
+	long := p.hasLongPrompts(now, w.Route)
 	p.token, p.stream = p.model.rates()
 	least := math.Inf(1)
 	// The search begins at another target each time, so that equal ones share the work.
@@ -180,7 +180,7 @@
 	for i := range p.list {
 		t := p.list[(p.turn+i)%len(p.list)]
 		cold := p.isCold(now, t)
-		if !p.isOpen(now, t, &w) || !failing && (t.doubted || t.health.out(now)) {
+		if !p.isOpen(now, t, &w) || !failing && (t.suspected || t.health.ejected(now)) {
 			continue
 		}
 		if !failing && p.crowded(now, t) {
@@ -199,19 +199,19 @@
 }
 
 // isOpen tells whether a request may go to a target, whatever its health.
-func (p *targetPool) isOpen(now time.Time, t *Target, w *Want) bool {
+func (p *targetPool) isOpen(now time.Time, t *Target, w *TargetCriteria) bool {
 	id := t.Spec.ID
 	switch {
-	case t.closed() || w.Tried[id] || !w.Homes.Allow(t.Spec.Region):
+	case t.closed() || w.Tried[id] || !w.AllowedRegions.Allows(t.Spec.Region):
 		return false
-	case p.isCold(now, t) && !w.Cold[id] || t.notice.Limited && !w.Limited[id]:
+	case p.isCold(now, t) && !w.Cold[id] || t.notice.HasLimit && !w.Limited[id]:
 		return false
 	}
 	return w.Elsewhere || !t.rests(now)
 }
 
-// Crowded tells whether each target of a pool that is in good health has as many requests as it may have at a time.
-func (f *Fleet) Crowded(now time.Time, pool string) bool {
+// AtCapacity tells whether each target of a pool that is in good health has as many requests as it may have at a time.
+func (f *Fleet) AtCapacity(now time.Time, pool string) bool {
 	p := f.pool(pool)
 	if p == nil {
 		return false
@@ -220,7 +220,7 @@
 	defer p.mu.Unlock()
 	crowded := false
 	for _, t := range p.list {
-		if t.closed() || t.doubted || t.health.out(now) {
+		if t.closed() || t.suspected || t.health.ejected(now) {
 			continue
 		}
 		if !p.crowded(now, t) {
@@ -232,19 +232,19 @@
 }
 
 // homeOf picks a target for a prompt part by rendezvous hashing, so that all daemons agree without a message.
-func (p *targetPool) homeOf(now time.Time, w Want) *Target {
-	if len(w.Shared) == 0 {
+func (p *targetPool) homeOf(now time.Time, w TargetCriteria) *Target {
+	if len(w.SharedParts) == 0 {
 		return nil
 	}
-	long := p.isLong(now, w.Route)
-	part := state.Hash(w.Shared[len(w.Shared)-1].ID)
+	long := p.hasLongPrompts(now, w.Route)
+	part := state.Hash(w.SharedParts[len(w.SharedParts)-1].ID)
 	var home *Target
 	var rank uint64
 	for _, t := range p.list {
-		if t.closed() || !w.Homes.Allow(t.Spec.Region) || p.isCold(now, t) || t.notice.Limited || t.doubted || t.health.out(now) || t.long != long {
+		if t.closed() || !w.AllowedRegions.Allows(t.Spec.Region) || p.isCold(now, t) || t.notice.HasLimit || t.suspected || t.health.ejected(now) || t.longPrompts != long {
 			continue
 		}
-		h := state.Rank(part, t.hash)
+		h := state.RendezvousScore(part, t.idHash)
 		if home == nil || h > rank {
 			home, rank = t, h
 		}
@@ -252,8 +252,8 @@
 	return home
 }
 
-// Home returns the zone of the target that a request's prompt is likely to go to, or "".
-func (f *Fleet) Home(now time.Time, pool string, w Want) string {
+// HomeZone returns the zone of the target that a request's prompt is likely to go to, or "".
+func (f *Fleet) HomeZone(now time.Time, pool string, w TargetCriteria) string {
 	p := f.pool(pool)
 	if p == nil {
 		return ""
@@ -267,43 +267,43 @@
 }
 
 // cost is the expected delay of an attempt, and what it costs others.
-func (t *Target) cost(now time.Time, w Want, home *Target, long bool) float64 {
+func (t *Target) cost(now time.Time, w TargetCriteria, home *Target, long bool) float64 {
 	c := t.health.cost(now)
 	cross := t.Spec.Zone != w.Zone
 	if cross {
-		c += float64(t.pool.zones.Request) + float64(t.pool.zones.Megabyte)*float64(w.Inputs)/1e6
+		c += float64(t.pool.zones.PerRequest) + float64(t.pool.zones.PerMegabyte)*float64(w.InputBytes)/1e6
 	}
 	others := t.othersNow(now)
 	if !w.Engine {
 		load := (float64(t.active) + others) / float64(max(1, t.Spec.Slots))
-		return c + t.pace*load*slotCost
+		return c + t.slowdown*load*slotCost
 	}
-	if t.long != long {
+	if t.longPrompts != long {
 		c += strayCost
 	}
-	missing := float64(t.cache.missing(w.Shared))
+	missing := float64(t.cache.missingTokens(w.SharedParts))
 	if t == home {
 		missing *= 1 - homeBonus
 	}
 	token, stream := t.pool.token, t.pool.stream
-	queued := float64(t.unread) * token * t.pace
-	read := (float64(w.OwnTokens) + missing) * token * t.pace
+	queued := float64(t.unreadTokens) * token * t.slowdown
+	read := (float64(w.OwnTokens) + missing) * token * t.slowdown
 	// Streams beside a prompt stand still while it is read; what is queued already would hold them up anyway.
-	harm := harmWeight * t.strain * ((queued+read)*(queued+read) - queued*queued)
+	harm := harmWeight * t.pauseWeight * ((queued+read)*(queued+read) - queued*queued)
 	again := readAgain * missing * token
-	running := (float64(t.active) + others) * stream * t.pace
+	running := (float64(t.active) + others) * stream * t.slowdown
 	return c + (queued+read+harm+again+running)*float64(time.Millisecond)
 }
 
 func (t *Target) othersNow(now time.Time) float64 {
-	if t.others == 0 {
+	if t.otherLoad == 0 {
 		return 0
 	}
-	age := now.Sub(t.othersAt)
+	age := now.Sub(t.otherLoadAt)
 	if age >= othersFade {
 		return 0
 	}
-	return t.others * (1 - float64(age)/float64(othersFade))
+	return t.otherLoad * (1 - float64(age)/float64(othersFade))
 }
 
 // Load is what a target's answer said of itself.
@@ -312,51 +312,51 @@
 	Known                   bool
 }
 
-// Verdict is what an attempt showed of a target's health.
-type Verdict uint8
+// HealthVerdict is what an attempt showed of a target's health.
+type HealthVerdict uint8
 
 // Verdicts on an attempt.
 const (
 	// VerdictNone says nothing, such as when the caller left.
-	VerdictNone Verdict = iota
+	VerdictNone HealthVerdict = iota
 	// VerdictGood is a whole answer.
-	VerdictGood
+	VerdictSuccess
 	// VerdictBad is a connection that broke, no answer in time, or bytes that form no answer.
-	VerdictBad
+	VerdictFailure
 	// VerdictFull is a refusal for want of room.
-	VerdictFull
+	VerdictOverloaded
 )
 
-// Began notes that an attempt began to answer, so that its prompt is read.
-func (f *Fleet) Began(now time.Time, t *Target, w Want) {
+// RecordResponseStart notes that an attempt began to answer, so that its prompt is read.
+func (f *Fleet) RecordResponseStart(now time.Time, t *Target, w TargetCriteria) {
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
-	t.finishRead(now, w, true)
+	t.finishPrompt(now, w, true)
 }
 
-// Ended ends an attempt; began tells whether Began was called for it.
-func (f *Fleet) Ended(now time.Time, t *Target, w Want, began bool, v Verdict, load Load) {
+// FinishAttempt ends an attempt; began tells whether Began was called for it.
+func (f *Fleet) FinishAttempt(now time.Time, t *Target, w TargetCriteria, began bool, v HealthVerdict, load Load) {
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
 	t.active--
 	if w.Engine {
-		t.strain = max(0, t.strain-w.strain())
+		t.pauseWeight = max(0, t.pauseWeight-w.strain())
 	}
 	if !began {
-		t.finishRead(now, w, false)
+		t.finishPrompt(now, w, false)
 	}
 	if load.Known && !w.Engine {
-		t.others = max(0, float64(load.Running+load.Waiting-t.active-1))
-		t.othersAt = now
+		t.otherLoad = max(0, float64(load.Running+load.Waiting-t.active-1))
+		t.otherLoadAt = now
 	}
 	switch v {
-	case VerdictGood:
+	case VerdictSuccess:
 		t.health.succeeded()
-	case VerdictBad:
+	case VerdictFailure:
 		t.health.failed(now)
-	case VerdictFull:
-		t.others = max(t.others, float64(t.Spec.Slots))
-		t.othersAt = now
+	case VerdictOverloaded:
+		t.otherLoad = max(t.otherLoad, float64(t.Spec.Slots))
+		t.otherLoadAt = now
 	}
 }
 
@@ -367,8 +367,8 @@
 	return t.Spec
 }
 
-// Listed tells whether a target may still get new work.
-func (f *Fleet) Listed(t *Target) bool {
+// AcceptsWork tells whether a target may still get new work.
+func (f *Fleet) AcceptsWork(t *Target) bool {
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
 	return !t.gone && !t.leaves()
@@ -377,9 +377,9 @@
 // InService tells whether the run of a target as it was listed is still listed and has not said that it leaves.
 func (f *Fleet) InService(spec proto.RelayTarget) bool {
 	f.mu.RLock()
-	t := f.where[spec.ID]
+	t := f.byID[spec.ID]
 	f.mu.RUnlock()
-	return t != nil && f.Listed(t) && f.Spec(t).Born.Equal(spec.Born)
+	return t != nil && f.AcceptsWork(t) && f.Spec(t).StartedAt.Equal(spec.StartedAt)
 }
 
 // Out returns the targets of a pool that this daemon leaves out: for their failures, since they may have left, or since they want rest.
@@ -392,7 +392,7 @@
 	defer p.mu.Unlock()
 	var ids []string
 	for _, t := range p.list {
-		if t.doubted || t.health.out(now) || t.rests(now) {
+		if t.suspected || t.health.ejected(now) || t.rests(now) {
 			ids = append(ids, t.Spec.ID)
 		}
 	}
@@ -407,22 +407,22 @@
 	}
 	p.lock()
 	defer p.mu.Unlock()
-	return p.model.report()
+	return p.model.estimates()
 }
 
-// AdoptEngineTimes takes over what another daemon learnt of a pool's engines.
-func (f *Fleet) AdoptEngineTimes(pool string, times proto.EngineTimes) {
+// SetEngineTimes takes over what another daemon learnt of a pool's engines.
+func (f *Fleet) SetEngineTimes(pool string, times proto.EngineTimes) {
 	p := f.pool(pool)
 	if p == nil {
 		return
 	}
 	p.lock()
 	defer p.mu.Unlock()
-	p.model.adopt(times)
+	p.model.replace(times)
 }
 
-// SetMemory takes over how many tokens an engine of a pool keeps.
-func (f *Fleet) SetMemory(pool string, tokens int) {
+// SetCacheTokens takes over how many tokens an engine of a pool keeps.
+func (f *Fleet) SetCacheTokens(pool string, tokens int) {
 	f.mu.Lock()
 	p := f.poolLocked(pool)
 	f.mu.Unlock()
--- a/relay/coldsends.go
+++ b/relay/coldsends.go
@@ -22,7 +22,7 @@
 // coldSends counts what this daemon sends to the cold targets that it alone may send to. What arrives at a target within a second
 // was either on its way when the second began or was sent within it; each of the two is kept below half of what the target may get,
 // so the bound holds however long requests are on their way.
-type coldSends struct {
+type coldSendLimiter struct {
 	mu           sync.Mutex
 	targets      map[string]*coldTarget
 	sent, denied atomic.Int64
@@ -36,7 +36,7 @@
 }
 
 // left is how many requests may be sent to a target now; most is what it may get within a second.
-func (c *coldSends) left(now time.Time, id string, most int) int {
+func (c *coldSendLimiter) left(now time.Time, id string, most int) int {
 	t := c.targets[id]
 	if t == nil {
 		return most / 2
@@ -49,7 +49,7 @@
 }
 
 // allows tells whether a request of a rank may be sent.
-func (c *coldSends) allows(now time.Time, id string, most, rank int) bool {
+func (c *coldSendLimiter) allows(now time.Time, id string, most, rank int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	kept := 0
@@ -60,7 +60,7 @@
 }
 
 // take counts a request that is sent now, unless none is left.
-func (c *coldSends) take(now time.Time, id string, most int) bool {
+func (c *coldSendLimiter) take(now time.Time, id string, most int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.left(now, id, most) <= 0 {
@@ -79,7 +79,7 @@
 }
 
 // arrived notes that a request has arrived at a target, or never will.
-func (c *coldSends) arrived(id string) {
+func (c *coldSendLimiter) arrived(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if t := c.targets[id]; t != nil {
@@ -88,7 +88,7 @@
 }
 
 // sweep forgets the targets that nothing was sent to for a while.
-func (c *coldSends) sweep(now time.Time) {
+func (c *coldSendLimiter) sweep(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id := range c.targets {
@@ -101,7 +101,7 @@
 	ids, most := p.fleet.Cold(now, pool)
 	var may map[string]bool
 	for _, id := range ids {
-		if !p.peers.Sole(coldTask+id, coldSettle) || !p.cold.allows(now, id, most, rank) {
+		if !p.peers.IsSoleOwner(coldTask+id, coldSettle) || !p.coldLimiter.allows(now, id, most, rank) {
 			continue
 		}
 		if may == nil {
@@ -113,33 +113,33 @@
 }
 
 // countCold counts a request to a cold target, unless others have taken what was left.
-func (p *Placer) countCold(now time.Time, placed *Placed) bool {
+func (p *Placer) countCold(now time.Time, placed *Placement) bool {
 	_, most := p.fleet.Cold(now, placed.pool)
 	if most == 0 {
 		// All have become warm meanwhile.
 		return true
 	}
 	placed.Cold = true
-	placed.counted = p.cold.take(now, placed.Spec.ID, most)
+	placed.counted = p.coldLimiter.take(now, placed.Spec.ID, most)
 	return placed.counted
 }
 
 // arrived notes that the request has arrived at its target, or never will.
-func (p *Placed) arrived() {
+func (p *Placement) arrived() {
 	if p.counted {
 		p.counted = false
-		p.placer.cold.arrived(p.Spec.ID)
+		p.placer.coldLimiter.arrived(p.Spec.ID)
 	}
 }
 
-// ColdCounts are totals of requests for cold targets since the start.
-type ColdCounts struct {
+// ColdStats are totals of requests for cold targets since the start.
+type ColdStats struct {
 	Sent int64 `json:"sent"`
 	// Denied counts how often other requests had taken what was left of a target's allowance.
 	Denied int64 `json:"denied"`
 }
 
-// ColdCounts returns the totals.
-func (p *Placer) ColdCounts() ColdCounts {
-	return ColdCounts{Sent: p.cold.sent.Load(), Denied: p.cold.denied.Load()}
+// ColdStats returns the totals.
+func (p *Placer) ColdStats() ColdStats {
+	return ColdStats{Sent: p.coldLimiter.sent.Load(), Denied: p.coldLimiter.denied.Load()}
 }
--- a/relay/coldsends_test.go
+++ b/relay/coldsends_test.go
@@ -17,8 +17,8 @@
 
 // A cold target takes 6.7 requests a second; all daemons together may send it half as many again and five more.
 var (
-	coldSpec  = proto.ColdSpec{For: 3 * time.Second, PerSecond: 6.7}
-	coldTerms = ColdTerms{Over: 1.5, Slack: 5}
+	coldSpec  = proto.ColdSpec{WarmUpTime: 3 * time.Second, RequestsPerSecond: 6.7}
+	coldTerms = ColdConfig{Factor: 1.5, Slack: 5}
 	coldMost  = coldTerms.most(coldSpec)
 )
 
@@ -36,9 +36,9 @@
 	return nil, fmt.Errorf("cut off")
 }
 
-func (p *coldPeers) Sole(task string, _ time.Duration) bool {
+func (p *coldPeers) IsSoleOwner(task string, _ time.Duration) bool {
 	best := slices.MaxFunc(p.all, func(a, b proto.VM) int {
-		ra, rb := state.Rank(state.Hash(task), state.Hash(string(a))), state.Rank(state.Hash(task), state.Hash(string(b)))
+		ra, rb := state.RendezvousScore(state.Hash(task), state.Hash(string(a))), state.RendezvousScore(state.Hash(task), state.Hash(string(b)))
 		if ra < rb {
 			return -1
 		}
@@ -49,15 +49,15 @@
 
 // coldFleet has engines of which some are cold.
 func coldFleet(engines, cold int) *Fleet {
-	f := NewFleet(func(string) {}, WithColdTerms(coldTerms))
-	f.SetCold("p", coldSpec)
+	f := NewFleet(func(string) {}, WithColdConfig(coldTerms))
+	f.SetColdSpec("p", coldSpec)
 	for i := range engines {
-		t := listed(fmt.Sprintf("e%03d", i), "p", "z")
+		t := testTarget(fmt.Sprintf("e%03d", i), "p", "z")
 		t.Slots = 24
 		if i < cold {
-			t.ColdFor = coldSpec.For
+			t.ColdRemaining = coldSpec.WarmUpTime
 		}
-		f.Change(start, []FleetChange{put(uint64(i+1), t)})
+		f.ApplyChanges(start, []FleetChange{putChange(uint64(i+1), t)})
 	}
 	return f
 }
@@ -80,7 +80,7 @@
 func TestAColdTargetNeverGetsMoreThanItMay(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 3))
-		c := coldSends{targets: map[string]*coldTarget{}}
+		c := coldSendLimiter{targets: map[string]*coldTarget{}}
 		type onWay struct{ until time.Time }
 		var ways []onWay
 		var arrivals []time.Time
@@ -127,12 +127,12 @@
 		placers = append(placers, NewPlacer(vm, clock, hclog.NewNullLogger(), coldFleet(engineCount, engineCount), &coldPeers{self: vm, all: all}))
 	}
 	arrivals := map[string][]time.Time{}
-	var open []*Placed
+	var open []*Placement
 	served := 0
-	length := coldSpec.For - 10*time.Millisecond
+	length := coldSpec.WarmUpTime - 10*time.Millisecond
 	for range int(float64(perSecond) * length.Seconds()) {
 		clock.Advance(time.Second / perSecond)
-		placed := placers[random.IntN(daemons)].Choose(context.Background(), "p", Want{Engine: true, Route: "r", OwnTokens: 1500})
+		placed := placers[random.IntN(daemons)].Choose(context.Background(), "p", TargetCriteria{Engine: true, Route: "r", OwnTokens: 1500})
 		if placed != nil {
 			served++
 			arrivals[placed.Spec.ID] = append(arrivals[placed.Spec.ID], clock.Now())
@@ -140,7 +140,7 @@
 		}
 		// An answer begins after a tenth of a second.
 		if len(open) > perSecond/10 {
-			open[0].Ended(VerdictGood, Load{})
+			open[0].Finish(VerdictSuccess, Load{})
 			open = open[1:]
 		}
 	}
@@ -149,7 +149,7 @@
 			t.Errorf("%s got %d requests within a second, %d may", id, got, coldMost)
 		}
 	}
-	works := coldSpec.PerSecond * engineCount * length.Seconds()
+	works := coldSpec.RequestsPerSecond * engineCount * length.Seconds()
 	if float64(served) < 0.9*works {
 		t.Errorf("%d requests were served, the cold engines work through %.0f", served, works)
 	}
@@ -159,13 +159,13 @@
 	p := NewPlacer("vm", clockwork.NewFakeClockAt(start), hclog.NewNullLogger(), coldFleet(4, 2), &coldPeers{self: "vm", all: []proto.VM{"vm"}})
 	chosen := map[string]int{}
 	for range 12 {
-		chosen[p.Choose(context.Background(), "p", Want{Engine: true, Route: "r", OwnTokens: 300}).Spec.ID]++
+		chosen[p.Choose(context.Background(), "p", TargetCriteria{Engine: true, Route: "r", OwnTokens: 300}).Spec.ID]++
 	}
 	if chosen["e000"]+chosen["e001"] > 0 {
 		t.Errorf("cold targets were chosen while warm ones had room: %v", chosen)
 	}
 	for range 200 {
-		if placed := p.Choose(context.Background(), "p", Want{Engine: true, Route: "r", OwnTokens: 3000}); placed != nil {
+		if placed := p.Choose(context.Background(), "p", TargetCriteria{Engine: true, Route: "r", OwnTokens: 3000}); placed != nil {
 			chosen[placed.Spec.ID]++
 		}
 	}
@@ -178,7 +178,7 @@
 	p := NewPlacer("vm", clockwork.NewFakeClockAt(start), hclog.NewNullLogger(), coldFleet(1, 1), &coldPeers{self: "vm", all: []proto.VM{"vm"}})
 	count := func(rank int) int {
 		n := 0
-		for p.Choose(context.Background(), "p", Want{Engine: true, Route: "r", OwnTokens: 10, Rank: rank}) != nil {
+		for p.Choose(context.Background(), "p", TargetCriteria{Engine: true, Route: "r", OwnTokens: 10, Rank: rank}) != nil {
 			n++
 		}
 		return n
@@ -191,9 +191,9 @@
 // TestATargetIsColdForAsLongAsItSays follows what entries say, over time.
 func TestATargetIsColdForAsLongAsItSays(t *testing.T) {
 	entry := func(version uint64, coldFor time.Duration) []FleetChange {
-		spec := listed("e000", "p", "z")
-		spec.ColdFor = coldFor
-		return []FleetChange{put(version, spec)}
+		spec := testTarget("e000", "p", "z")
+		spec.ColdRemaining = coldFor
+		return []FleetChange{putChange(version, spec)}
 	}
 	scenarios := []struct {
 		testName string
@@ -202,30 +202,30 @@
 		cold     bool
 	}{
 		{"it has just started", func(*Fleet) {}, 0, true},
-		{"its time is over", func(*Fleet) {}, coldSpec.For, false},
-		{"it says that it is warm", func(f *Fleet) { f.Change(start, entry(9, 0)) }, 0, false},
+		{"its time is over", func(*Fleet) {}, coldSpec.WarmUpTime, false},
+		{"it says that it is warm", func(f *Fleet) { f.ApplyChanges(start, entry(9, 0)) }, 0, false},
 		{"it says that it is cold again", func(f *Fleet) {
-			f.Change(start, entry(9, 0))
-			f.Change(start.Add(time.Second), entry(10, 2*time.Second))
+			f.ApplyChanges(start, entry(9, 0))
+			f.ApplyChanges(start.Add(time.Second), entry(10, 2*time.Second))
 		}, 2 * time.Second, true},
-		{"the same entry is read again later", func(f *Fleet) { f.Change(start.Add(2*time.Second), entry(1, coldSpec.For)) }, coldSpec.For, false},
-		{"the pool has no bound", func(f *Fleet) { f.SetCold("p", proto.ColdSpec{}) }, 0, false},
+		{"the same entry is read again later", func(f *Fleet) { f.ApplyChanges(start.Add(2*time.Second), entry(1, coldSpec.WarmUpTime)) }, coldSpec.WarmUpTime, false},
+		{"the pool has no bound", func(f *Fleet) { f.SetColdSpec("p", proto.ColdSpec{}) }, 0, false},
 		{"its zone is in service again", func(f *Fleet) {
-			f.Change(start, entry(9, 0))
-			f.Evacuate(start, []proto.Evacuation{{Zone: "z", Version: rev(20)}})
-			f.Evacuate(start.Add(time.Second), []proto.Evacuation{{Zone: "z", Version: rev(21), Over: true}})
-		}, time.Second + coldSpec.For/2, true},
+			f.ApplyChanges(start, entry(9, 0))
+			f.ApplyEvacuations(start, []proto.Evacuation{{Zone: "z", Version: rev(20)}})
+			f.ApplyEvacuations(start.Add(time.Second), []proto.Evacuation{{Zone: "z", Version: rev(21), Ended: true}})
+		}, time.Second + coldSpec.WarmUpTime/2, true},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			f := coldFleet(1, 1)
 			s.change(f)
 			now := start.Add(s.after)
-			_, cold := f.WarmIn(now, "p")
+			_, cold := f.TimeUntilWarm(now, "p")
 			if usable := len(f.Usable(now, "p")) > 0; cold != s.cold || usable == s.cold {
 				t.Errorf("cold: %t, used for pieces: %t, want cold %t", cold, usable, s.cold)
 			}
-			if got := f.Pick(now, "p", Want{}); (got == nil) != s.cold {
+			if got := f.Pick(now, "p", TargetCriteria{}); (got == nil) != s.cold {
 				t.Errorf("a daemon that may send nothing to a cold target picks %v", got)
 			}
 		})
@@ -236,12 +236,12 @@
 // they may not have is not sent to the ones that fail.
 func TestACrowdedPoolSendsNothingToTargetsThatFail(t *testing.T) {
 	f := coldFleet(21, 0)
-	want := Want{Engine: true, Route: "r", OwnTokens: 20}
+	want := TargetCriteria{Engine: true, Route: "r", OwnTokens: 20}
 	failing := map[string]bool{}
 	for range 19 {
-		target := f.Pick(start, "p", Want{Engine: true, Tried: failing})
+		target := f.Pick(start, "p", TargetCriteria{Engine: true, Tried: failing})
 		failing[target.Spec.ID] = true
-		f.Ended(start, target, Want{Engine: true}, false, VerdictBad, Load{})
+		f.FinishAttempt(start, target, TargetCriteria{Engine: true}, false, VerdictFailure, Load{})
 	}
 	sent := 0
 	for range 100 {
@@ -254,7 +254,7 @@
 			t.Fatalf("%s fails, and was chosen since the others are crowded", target.Spec.ID)
 		}
 	}
-	if sent == 0 || !f.Crowded(start.Add(10*time.Millisecond), "p") {
+	if sent == 0 || !f.AtCapacity(start.Add(10*time.Millisecond), "p") {
 		t.Errorf("%d requests were sent", sent)
 	}
 }
@@ -267,15 +267,15 @@
 	first := ""
 	for i := range 60 {
 		now := start.Add(time.Duration(i) * 20 * time.Millisecond)
-		target := f.Pick(now, "p", Want{Engine: true, Route: "r", OwnTokens: 20, Shared: []proto.PromptShare{{ID: "s", Tokens: 9000}}})
+		target := f.Pick(now, "p", TargetCriteria{Engine: true, Route: "r", OwnTokens: 20, SharedParts: []proto.PromptPart{{ID: "s", Tokens: 9000}}})
 		if first == "" {
 			first = target.Spec.ID
 		}
 		if target.Spec.ID == first {
 			chosen = append(chosen, now)
 		}
-		f.Began(now, target, Want{Engine: true, OwnTokens: 20})
-		f.Ended(now, target, Want{Engine: true}, true, VerdictGood, Load{})
+		f.RecordResponseStart(now, target, TargetCriteria{Engine: true, OwnTokens: 20})
+		f.FinishAttempt(now, target, TargetCriteria{Engine: true}, true, VerdictSuccess, Load{})
 	}
 	if got := mostWithinASpan(chosen); got >= coldMost {
 		t.Errorf("one target got %d requests within a second, a cold one may get %d", got, coldMost)
@@ -285,14 +285,14 @@
 // TestTargetsThatMayGetOneRequestASecondAreUsed has cold targets work through one request a second, and nothing allowed beyond that: warm
 // ones are chosen all the same, one request after the other.
 func TestTargetsThatMayGetOneRequestASecondAreUsed(t *testing.T) {
-	f := newFleet(put(1, listed("t", "p", "z")))
-	f.SetCold("p", proto.ColdSpec{For: time.Second, PerSecond: 1})
+	f := fleetWith(putChange(1, testTarget("t", "p", "z")))
+	f.SetColdSpec("p", proto.ColdSpec{WarmUpTime: time.Second, RequestsPerSecond: 1})
 	for i := range 3 {
 		now := start.Add(time.Duration(i) * 2 * coldSpan)
-		target := f.Pick(now, "p", Want{})
+		target := f.Pick(now, "p", TargetCriteria{})
 		if target == nil {
 			t.Fatalf("request %d gets no target", i)
 		}
-		f.Ended(now, target, Want{}, false, VerdictGood, Load{})
+		f.FinishAttempt(now, target, TargetCriteria{}, false, VerdictSuccess, Load{})
 	}
 }
--- a/relay/counts.go
+++ b/relay/counts.go
@@ -18,7 +18,7 @@
 
 // Counts are totals of requests since the start.
 type Counts struct {
-	asked, whole, late, unavailable, failed, rejected, left, broken, resumed, again, crashing, notAdmitted atomic.Int64
+	received, completed, late, unavailable, failed, rejected, callerLeft, streamsBroken, streamsResumed, retried, crashing, notAdmitted atomic.Int64
 
 	mu      sync.Mutex
 	latency *hdrhistogram.Histogram
@@ -26,7 +26,7 @@
 
 // CountReport is what the metrics address shows of Counts.
 type CountReport struct {
-	Asked int64 `json:"asked"`
+	Received int64 `json:"asked"`
 	// Delivered answers were whole, Late ones of them beyond the goal.
 	Delivered int64 `json:"delivered"`
 	Late      int64 `json:"late"`
@@ -35,11 +35,11 @@
 	// Failed requests may have run.
 	Failed int64 `json:"failed"`
 	// Rejected requests were at fault themselves.
-	Rejected int64 `json:"rejected"`
-	Left     int64 `json:"callerLeft"`
-	Broken   int64 `json:"streamsBroken"`
-	Resumed  int64 `json:"streamsResumed"`
-	Retried  int64 `json:"retried"`
+	Rejected       int64 `json:"rejected"`
+	CallerLeft     int64 `json:"callerLeft"`
+	StreamsBroken  int64 `json:"streamsBroken"`
+	StreamsResumed int64 `json:"streamsResumed"`
+	Retried        int64 `json:"retried"`
 	// Crashing requests were not run, since targets ended that ran them.
 	Crashing int64 `json:"crashing"`
 	// NotAdmitted requests were refused before they were begun, since engines had too much to do.
@@ -48,8 +48,8 @@
 	LatencyMillis map[string]float64 `json:"latencyMillis"`
 }
 
-func (c *Counts) delivered(took time.Duration, inTime bool) {
-	c.whole.Add(1)
+func (c *Counts) recordDelivered(took time.Duration, inTime bool) {
+	c.completed.Add(1)
 	if !inTime {
 		c.late.Add(1)
 	}
@@ -62,7 +62,7 @@
 	_ = c.latency.RecordValue(min(latencyMost, max(latencyLeast, took.Microseconds())))
 }
 
-func (c *Counts) refused(status int) {
+func (c *Counts) recordRefused(status int) {
 	switch {
 	case status == http.StatusServiceUnavailable:
 		c.unavailable.Add(1)
@@ -76,8 +76,8 @@
 // Report returns the totals.
 func (c *Counts) Report() CountReport {
 	r := CountReport{
-		Asked: c.asked.Load(), Delivered: c.whole.Load(), Late: c.late.Load(), NotRun: c.unavailable.Load(), Failed: c.failed.Load(),
-		Rejected: c.rejected.Load(), Left: c.left.Load(), Broken: c.broken.Load(), Resumed: c.resumed.Load(), Retried: c.again.Load(), Crashing: c.crashing.Load(), NotAdmitted: c.notAdmitted.Load(),
+		Received: c.received.Load(), Delivered: c.completed.Load(), Late: c.late.Load(), NotRun: c.unavailable.Load(), Failed: c.failed.Load(),
+		Rejected: c.rejected.Load(), CallerLeft: c.callerLeft.Load(), StreamsBroken: c.streamsBroken.Load(), StreamsResumed: c.streamsResumed.Load(), Retried: c.retried.Load(), Crashing: c.crashing.Load(), NotAdmitted: c.notAdmitted.Load(),
 		LatencyMillis: map[string]float64{},
 	}
 	c.mu.Lock()
--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -41,11 +41,11 @@
 	crashesDropped = 4
 )
 
-// Crashes remembers which requests were at work at targets when these ended, whoever saw it. A nil *Crashes knows nothing.
+// CrashTracker remembers which requests were at work at targets when these ended, whoever saw it. A nil *Crashes knows nothing.
 //
 // An end under a request is a fact that is only ever added, or marked as answered for: daemons that know different ones come
 // to agree by telling each other what they know, in any order and any number of times.
-type Crashes struct {
+type CrashTracker struct {
 	self  proto.VM
 	clock clockwork.Clock
 	log   hclog.Logger
@@ -76,9 +76,9 @@
 	answered bool
 }
 
-// NewCrashes returns a memory of no ends; news is told of each end that it learns.
-func NewCrashes(self proto.VM, clock clockwork.Clock, log hclog.Logger, news EndListener) *Crashes {
-	return &Crashes{self: self, clock: clock, log: log, news: news, requests: map[proto.RequestDigest]crashRecord{}}
+// NewCrashTracker returns a memory of no ends; news is told of each end that it learns.
+func NewCrashTracker(self proto.VM, clock clockwork.Clock, log hclog.Logger, news EndListener) *CrashTracker {
+	return &CrashTracker{self: self, clock: clock, log: log, news: news, requests: map[proto.RequestDigest]crashRecord{}}
 }
 
 // counted returns how many ends count against the request.
@@ -92,8 +92,8 @@
 	return n
 }
 
-// Refuses tells whether a request ended so many targets that it is run no more, and by what evidence.
-func (c *Crashes) Refuses(request proto.RequestDigest) (Evidence, bool) {
+// Blocks tells whether a request ended so many targets that it is run no more, and by what evidence.
+func (c *CrashTracker) Blocks(request proto.RequestDigest) (Evidence, bool) {
 	if c == nil || c.refused.Load() == 0 {
 		return Evidence{}, false
 	}
@@ -107,7 +107,7 @@
 }
 
 // Suspects tells whether an end of a target counts against a request.
-func (c *Crashes) Suspects(request proto.RequestDigest) bool {
+func (c *CrashTracker) Suspects(request proto.RequestDigest) bool {
 	if c == nil || c.suspected.Load() == 0 {
 		return false
 	}
@@ -117,17 +117,17 @@
 }
 
 // Ended notes that a run of a target ended while requests were at work there.
-func (c *Crashes) Ended(run proto.RunName, at time.Time, requests []proto.RequestDigest) {
+func (c *CrashTracker) Ended(run proto.RunName, at time.Time, requests []proto.RequestDigest) {
 	if c == nil || len(requests) == 0 {
 		return
 	}
-	end := proto.TargetEnd{Run: run, By: c.self, Age: c.clock.Now().Sub(at), Requests: requests}
-	c.Learn(proto.TargetEnds{Ends: []proto.TargetEnd{end}}, c.self)
+	end := proto.TargetEnd{Run: run, Reporter: c.self, Age: c.clock.Now().Sub(at), Requests: requests}
+	c.Merge(proto.TargetEnds{Ends: []proto.TargetEnd{end}}, c.self)
 }
 
 // Answered notes that a target gave the whole answer to a request: it does not end each target that runs it, so the ends
 // known so far had other causes.
-func (c *Crashes) Answered(request proto.RequestDigest) {
+func (c *CrashTracker) Answered(request proto.RequestDigest) {
 	if c == nil {
 		return
 	}
@@ -137,7 +137,7 @@
 }
 
 // clear marks the ends under a request as answered for.
-func (c *Crashes) clear(now time.Time, request proto.RequestDigest) {
+func (c *CrashTracker) clear(now time.Time, request proto.RequestDigest) {
 	if !c.Suspects(request) {
 		return
 	}
@@ -145,15 +145,15 @@
 	c.mu.Lock()
 	for run, e := range c.requests[request] {
 		if !e.answered {
-			m.Ends = append(m.Ends, proto.TargetEnd{Run: run, By: e.by, Age: now.Sub(e.at), Requests: []proto.RequestDigest{request}, Answered: true})
+			m.Ends = append(m.Ends, proto.TargetEnd{Run: run, Reporter: e.by, Age: now.Sub(e.at), Requests: []proto.RequestDigest{request}, Answered: true})
 		}
 	}
 	c.mu.Unlock()
-	c.Learn(m, c.self)
+	c.Merge(m, c.self)
 }
 
-// Learn takes in ends that this daemon saw, or another one told.
-func (c *Crashes) Learn(m proto.TargetEnds, from proto.VM) {
+// Merge takes in ends that this daemon saw, or another one told.
+func (c *CrashTracker) Merge(m proto.TargetEnds, from proto.VM) {
 	if c == nil {
 		return
 	}
@@ -183,18 +183,18 @@
 
 // speakFor clears requests that would be refused and that a target has answered here a short time before, unless too many
 // targets ended since.
-func (c *Crashes) speakFor(now time.Time, requests []proto.RequestDigest) {
+func (c *CrashTracker) speakFor(now time.Time, requests []proto.RequestDigest) {
 	for _, request := range requests {
 		answered, known := c.answers.last(request)
 		if known && now.Sub(answered) <= answerCounts && c.endsSince(request, answered) < crashPopular {
-			c.log.Info("a request is not refused, since a target has answered it lately", "digest", request.String(), "age", brief(now.Sub(answered)))
+			c.log.Info("a request is not refused, since a target has answered it lately", "digest", request.String(), "age", formatDuration(now.Sub(answered)))
 			c.clear(now, request)
 		}
 	}
 }
 
 // endsSince returns how many targets ended under a request after a moment, also those that do not count any more.
-func (c *Crashes) endsSince(request proto.RequestDigest, at time.Time) int {
+func (c *CrashTracker) endsSince(request proto.RequestDigest, at time.Time) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
@@ -208,13 +208,13 @@
 
 // learnEnd takes in one end and returns the requests for which it is news, and those that are refused from now on; the lock is
 // held.
-func (c *Crashes) learnEnd(now time.Time, end proto.TargetEnd) (news, refused []proto.RequestDigest) {
+func (c *CrashTracker) learnEnd(now time.Time, end proto.TargetEnd) (news, refused []proto.RequestDigest) {
 	if end.Age > crashKept {
 		return nil, nil
 	}
 	for _, request := range end.Requests {
 		before := c.requests[request].counted()
-		if !c.put(request, end.Run, crash{at: now.Add(-end.Age), by: end.By, answered: end.Answered}) {
+		if !c.put(request, end.Run, crash{at: now.Add(-end.Age), by: end.Reporter, answered: end.Answered}) {
 			continue
 		}
 		news = append(news, request)
@@ -228,7 +228,7 @@
 }
 
 // put adds an end, or marks one as answered for, and tells whether that is news; the lock is held.
-func (c *Crashes) put(request proto.RequestDigest, run proto.RunName, e crash) bool {
+func (c *CrashTracker) put(request proto.RequestDigest, run proto.RunName, e crash) bool {
 	record := c.requests[request]
 	if record == nil {
 		record = crashRecord{}
@@ -250,7 +250,7 @@
 }
 
 // drop forgets an end; the lock is held.
-func (c *Crashes) drop(request proto.RequestDigest, run proto.RunName) {
+func (c *CrashTracker) drop(request proto.RequestDigest, run proto.RunName) {
 	record := c.requests[request]
 	before := record.counted()
 	c.digest ^= record[run].digest(request, run)
@@ -263,7 +263,7 @@
 }
 
 // recount keeps the totals when the ends that count against a request change.
-func (c *Crashes) recount(before, after int) {
+func (c *CrashTracker) recount(before, after int) {
 	c.suspected.Add(int64(min(1, after) - min(1, before)))
 	c.refused.Add(int64(min(1, after/crashLimit) - min(1, before/crashLimit)))
 }
@@ -275,18 +275,18 @@
 	if e.answered {
 		key[8] = 1
 	}
-	return state.Rank(xxhash.Sum64(key[:]), state.Hash(string(run)))
+	return state.RendezvousScore(xxhash.Sum64(key[:]), state.Hash(string(run)))
 }
 
 // Digest is equal at daemons that know the same ends; 0 if none is known.
-func (c *Crashes) Digest() uint64 {
+func (c *CrashTracker) Digest() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.digest
 }
 
-// All returns all ends that are known.
-func (c *Crashes) All() proto.TargetEnds {
+// Snapshot returns all ends that are known.
+func (c *CrashTracker) Snapshot() proto.TargetEnds {
 	type key struct {
 		run      proto.RunName
 		answered bool
@@ -298,7 +298,7 @@
 		for run, e := range record {
 			k := key{run, e.answered}
 			if ends[k] == nil {
-				ends[k] = &proto.TargetEnd{Run: run, By: e.by, Age: now.Sub(e.at), Answered: e.answered}
+				ends[k] = &proto.TargetEnd{Run: run, Reporter: e.by, Age: now.Sub(e.at), Answered: e.answered}
 			}
 			ends[k].Requests = append(ends[k].Requests, request)
 		}
@@ -314,7 +314,7 @@
 }
 
 // Sweep forgets ends that are too old to count; it comes every second or so.
-func (c *Crashes) Sweep() {
+func (c *CrashTracker) Sweep() {
 	now := c.clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -329,7 +329,7 @@
 
 // makeRoom forgets ends under requests that are least suspected, the oldest first, when there are too many; the lock is
 // held. What is refused stays refused.
-func (c *Crashes) makeRoom() {
+func (c *CrashTracker) makeRoom() {
 	if c.size <= crashesMost {
 		return
 	}
--- a/relay/crashes_test.go
+++ b/relay/crashes_test.go
@@ -15,27 +15,27 @@
 	"emberlead/proto"
 )
 
-func newCrashes(clock clockwork.Clock) *Crashes {
-	return NewCrashes("self", clock, hclog.NewNullLogger(), nil)
+func newTestCrashTracker(clock clockwork.Clock) *CrashTracker {
+	return NewCrashTracker("self", clock, hclog.NewNullLogger(), nil)
 }
 
 func runName(n int) proto.RunName { return proto.RunName(fmt.Sprintf("t-%d", n)) }
 
 func TestWhatTargetsEndsSayOfARequest(t *testing.T) {
 	const request = proto.RequestDigest(7)
-	type step func(c *Crashes, clock *clockwork.FakeClock)
+	type step func(c *CrashTracker, clock *clockwork.FakeClock)
 	ended := func(run int) step {
-		return func(c *Crashes, clock *clockwork.FakeClock) {
+		return func(c *CrashTracker, clock *clockwork.FakeClock) {
 			c.Ended(runName(run), clock.Now(), []proto.RequestDigest{request})
 		}
 	}
-	answered := func(c *Crashes, _ *clockwork.FakeClock) { c.Answered(request) }
+	answered := func(c *CrashTracker, _ *clockwork.FakeClock) { c.Answered(request) }
 	after := func(d time.Duration) step {
-		return func(c *Crashes, clock *clockwork.FakeClock) { clock.Advance(d); c.Sweep() }
+		return func(c *CrashTracker, clock *clockwork.FakeClock) { clock.Advance(d); c.Sweep() }
 	}
 	told := func(run int, age time.Duration) step {
-		return func(c *Crashes, _ *clockwork.FakeClock) {
-			c.Learn(proto.TargetEnds{Ends: []proto.TargetEnd{{Run: runName(run), By: "other", Age: age, Requests: []proto.RequestDigest{request}}}}, "other")
+		return func(c *CrashTracker, _ *clockwork.FakeClock) {
+			c.Merge(proto.TargetEnds{Ends: []proto.TargetEnd{{Run: runName(run), Reporter: "other", Age: age, Requests: []proto.RequestDigest{request}}}}, "other")
 		}
 	}
 	scenarios := []struct {
@@ -66,18 +66,18 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			clock := clockwork.NewFakeClockAt(start)
-			c := newCrashes(clock)
+			c := newTestCrashTracker(clock)
 			for _, step := range s.steps {
 				step(c, clock)
 			}
-			evidence, refused := c.Refuses(request)
+			evidence, refused := c.Blocks(request)
 			if refused != s.refused || c.Suspects(request) != s.suspected {
 				t.Errorf("refused %v, suspected %v", refused, c.Suspects(request))
 			}
 			if refused && (len(evidence.Ends) < crashLimit || evidence.ComeBack <= 0 || evidence.ComeBack > crashKept) {
 				t.Errorf("evidence %+v", evidence)
 			}
-			if _, other := c.Refuses(request + 1); other || c.Suspects(request+1) {
+			if _, other := c.Blocks(request + 1); other || c.Suspects(request+1) {
 				t.Error("another request is suspected")
 			}
 		})
@@ -87,20 +87,20 @@
 // TestARefusalNamesTheTimeAfterWhichTheRequestIsRunAgain waits for that time, and for a little less.
 func TestARefusalNamesTheTimeAfterWhichTheRequestIsRunAgain(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(start)
-	c := newCrashes(clock)
+	c := newTestCrashTracker(clock)
 	for run := range 4 {
 		c.Ended(runName(run), clock.Now(), []proto.RequestDigest{1})
 		clock.Advance(time.Minute)
 	}
-	evidence, _ := c.Refuses(1)
+	evidence, _ := c.Blocks(1)
 	clock.Advance(evidence.ComeBack - time.Second)
 	c.Sweep()
-	if _, refused := c.Refuses(1); !refused {
+	if _, refused := c.Blocks(1); !refused {
 		t.Error("it is run before the time that was named")
 	}
 	clock.Advance(2 * time.Second)
 	c.Sweep()
-	if _, refused := c.Refuses(1); refused {
+	if _, refused := c.Blocks(1); refused {
 		t.Error("it is refused after the time that was named")
 	}
 }
@@ -114,7 +114,7 @@
 	properties.Property("equal after telling", prop.ForAll(func(seed uint64) bool {
 		random := rand.New(rand.NewPCG(seed, 1))
 		clock := clockwork.NewFakeClockAt(start)
-		daemons := []*Crashes{newCrashes(clock), newCrashes(clock), newCrashes(clock)}
+		daemons := []*CrashTracker{newTestCrashTracker(clock), newTestCrashTracker(clock), newTestCrashTracker(clock)}
 		for range 60 {
 			d := daemons[random.IntN(len(daemons))]
 			request := proto.RequestDigest(random.IntN(6))
@@ -124,14 +124,14 @@
 			}
 			d.Ended(runName(random.IntN(12)), clock.Now(), []proto.RequestDigest{request, proto.RequestDigest(random.IntN(6))})
 			if random.IntN(4) == 0 {
-				daemons[random.IntN(len(daemons))].Learn(d.All(), "other")
+				daemons[random.IntN(len(daemons))].Merge(d.Snapshot(), "other")
 			}
 			clock.Advance(time.Second)
 		}
 		for range 2 {
 			for _, from := range daemons {
 				for _, to := range daemons {
-					to.Learn(from.All(), "other")
+					to.Merge(from.Snapshot(), "other")
 				}
 			}
 		}
@@ -140,8 +140,8 @@
 				return false
 			}
 			for request := range proto.RequestDigest(6) {
-				_, one := d.Refuses(request)
-				_, other := daemons[0].Refuses(request)
+				_, one := d.Blocks(request)
+				_, other := daemons[0].Blocks(request)
 				if one != other {
 					return false
 				}
@@ -156,7 +156,7 @@
 func TestTheMemoryOfEndsIsBounded(t *testing.T) {
 	const guilty = proto.RequestDigest(1 << 60)
 	clock := clockwork.NewFakeClockAt(start)
-	c := newCrashes(clock)
+	c := newTestCrashTracker(clock)
 	next := proto.RequestDigest(1)
 	for run := range 3 * crashesMost / 50 {
 		at := make([]proto.RequestDigest, 0, 51)
@@ -173,7 +173,7 @@
 	if n := c.Counts().Ends; n > crashesMost {
 		t.Errorf("%d ends are remembered", n)
 	}
-	if _, refused := c.Refuses(guilty); !refused {
+	if _, refused := c.Blocks(guilty); !refused {
 		t.Error("what ends targets is forgotten for what does not")
 	}
 	if c.Suspects(next-50) != true {
@@ -198,7 +198,7 @@
 type wavePool struct {
 	random  *rand.Rand
 	clock   *clockwork.FakeClock
-	crashes *Crashes
+	crashes *CrashTracker
 	// runs name the targets' runs, and back is when those that ended are back.
 	runs [12]int
 	back [12]time.Time
@@ -257,7 +257,7 @@
 			if w.ends == 2 {
 				p.hitTwice++
 			}
-			if _, refused := p.crashes.Refuses(w.digest); refused {
+			if _, refused := p.crashes.Blocks(w.digest); refused {
 				p.refused++
 				continue
 			}
@@ -295,7 +295,7 @@
 	begun, hitTwice, refused := 0, 0, 0
 	for seed := range uint64(20) {
 		clock := clockwork.NewFakeClockAt(start)
-		p := &wavePool{random: rand.New(rand.NewPCG(seed, 2)), clock: clock, crashes: newCrashes(clock)}
+		p := &wavePool{random: rand.New(rand.NewPCG(seed, 2)), clock: clock, crashes: newTestCrashTracker(clock)}
 		for range 60 {
 			for range 10 + p.random.IntN(10) {
 				p.step()
@@ -315,10 +315,10 @@
 func TestARequestThatAllSendAlikeIsServed(t *testing.T) {
 	const alike = proto.RequestDigest(5)
 	clock := clockwork.NewFakeClockAt(start)
-	c := newCrashes(clock)
+	c := newTestCrashTracker(clock)
 	runs := 0
 	for range 20 {
-		if _, refused := c.Refuses(alike); refused {
+		if _, refused := c.Blocks(alike); refused {
 			t.Fatalf("refused after %d ends", runs)
 		}
 		c.Answered(alike)
--- a/relay/crashing.go
+++ b/relay/crashing.go
@@ -9,7 +9,7 @@
 // refuseCrashing refuses a request that ended so many targets that it is run no more, at once and with the time after which
 // it may be tried again. It may have run under this id already, if the last of these targets ended by that.
 func (f *flow) refuseCrashing() *failure {
-	evidence, refused := f.server.crashes.Refuses(f.digest)
+	evidence, refused := f.server.crashes.Blocks(f.digest)
 	if !refused {
 		return nil
 	}
@@ -19,23 +19,23 @@
 }
 
 // noteEnd notes what an attempt's end says of the request and of the run of its target.
-func (a *attempt) noteEnd(end *attemptEnd) {
+func (a *attempt) recordOutcome(end *attemptResult) {
 	f := a.race.flow
 	switch {
 	case a.answered:
 		f.server.crashes.Answered(f.digest)
-		f.server.ends.Lives(a.placed.Spec)
-	case end.otherTarget || errors.Is(end.err, syscall.ECONNREFUSED):
+		f.server.ends.RecordAlive(a.placement.Spec)
+	case end.misdirected || errors.Is(end.err, syscall.ECONNREFUSED):
 		a.noteTargetGone(end.reason)
-	case end.done || end.answer != nil || end.notRun && end.sent:
-		f.server.ends.Lives(a.placed.Spec)
+	case end.done || end.response != nil || end.notRun && end.sent:
+		f.server.ends.RecordAlive(a.placement.Spec)
 	case end.notRun:
 		// The target never had the request.
 	case context.Cause(a.ctx) != nil:
 		// It was silent, so it may have ended long before its entry went, or not at all.
-		f.server.ends.Failed(a.placed.Spec, false, f.digest)
-	case f.server.fleet.Listed(a.placed.Target):
-		f.server.ends.Failed(a.placed.Spec, true, f.digest)
+		f.server.ends.RecordFailure(a.placement.Spec, false, f.digest)
+	case f.server.fleet.AcceptsWork(a.placement.Target):
+		f.server.ends.RecordFailure(a.placement.Spec, true, f.digest)
 	default:
 		// What a target that leaves has not done by its end says nothing of the request.
 	}
@@ -44,7 +44,7 @@
 // noteTargetGone notes that a target has ended whose entry says that it is in service.
 func (a *attempt) noteTargetGone(cause string) {
 	s := a.race.flow.server
-	if s.fleet.Listed(a.placed.Target) {
-		s.ends.Ended(a.placed.Spec, cause)
+	if s.fleet.AcceptsWork(a.placement.Target) {
+		s.ends.RecordEnd(a.placement.Spec, cause)
 	}
 }
--- a/relay/crashreport.go
+++ b/relay/crashreport.go
@@ -34,7 +34,7 @@
 			continue
 		}
 		times = append(times, c.at)
-		e.Ends = append(e.Ends, EvidenceEnd{Run: run, By: c.by, Age: brief(now.Sub(c.at))})
+		e.Ends = append(e.Ends, EvidenceEnd{Run: run, By: c.by, Age: formatDuration(now.Sub(c.at))})
 	}
 	slices.SortFunc(times, time.Time.Compare)
 	slices.SortFunc(e.Ends, func(a, b EvidenceEnd) int {
@@ -42,7 +42,7 @@
 	})
 	// It is run again once fewer ends than the limit are left.
 	last := times[len(times)-crashLimit]
-	e.ComeBack = max(retryFloor, last.Add(crashKept).Sub(now))
+	e.ComeBack = max(minRetryWait, last.Add(crashKept).Sub(now))
 	return e
 }
 
@@ -56,15 +56,15 @@
 
 // noteLearnt logs what is known now that was not before: one line for all ends that came together, since a wave of ends
 // brings some hundred.
-func (c *Crashes) noteLearnt(fresh proto.TargetEnds, refused []proto.RequestDigest, from proto.VM) {
+func (c *CrashTracker) noteLearnt(fresh proto.TargetEnds, refused []proto.RequestDigest, from proto.VM) {
 	var learnt []learntEnd
 	for _, end := range fresh.Ends[:min(crashesLogged, len(fresh.Ends))] {
-		learnt = append(learnt, learntEnd{EvidenceEnd{end.Run, end.By, brief(end.Age)}, len(end.Requests), end.Answered})
+		learnt = append(learnt, learntEnd{EvidenceEnd{end.Run, end.Reporter, formatDuration(end.Age)}, len(end.Requests), end.Answered})
 	}
 	c.log.Info("requests were at work when targets ended", "from", from, "count", len(fresh.Ends), "ends", learnt)
 	for _, request := range refused {
-		evidence, _ := c.Refuses(request)
-		c.log.Warn("a request is refused from now on, since targets end that run it", "digest", request.String(), "ends", evidence.Ends, "for", brief(evidence.ComeBack), "from", from)
+		evidence, _ := c.Blocks(request)
+		c.log.Warn("a request is refused from now on, since targets end that run it", "digest", request.String(), "ends", evidence.Ends, "for", formatDuration(evidence.ComeBack), "from", from)
 	}
 }
 
@@ -78,7 +78,7 @@
 }
 
 // Counts returns what is remembered now.
-func (c *Crashes) Counts() CrashCounts {
+func (c *CrashTracker) Counts() CrashCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return CrashCounts{Ends: c.size, Suspected: c.suspected.Load(), Refused: c.refused.Load()}
--- a/relay/endwatch.go
+++ b/relay/endwatch.go
@@ -35,14 +35,14 @@
 	Refuses(ctx context.Context, to netip.AddrPort) bool
 }
 
-// EndWatch finds out which requests were at work at a target when it ended. An attempt may fail for many reasons, so it
+// CrashDetector finds out which requests were at work at a target when it ended. An attempt may fail for many reasons, so it
 // stays open whether its target has ended until the target's address turns connections away or its entry goes. A nil
 // *EndWatch watches nothing.
-type EndWatch struct {
+type CrashDetector struct {
 	clock   clockwork.Clock
 	log     hclog.Logger
 	prober  Prober
-	crashes *Crashes
+	crashes *CrashTracker
 
 	mu   sync.Mutex
 	runs map[proto.RunName]*watchedRun
@@ -64,14 +64,14 @@
 	at      time.Time
 }
 
-// NewEndWatch returns a watch that tells crashes what it finds out.
-func NewEndWatch(clock clockwork.Clock, log hclog.Logger, prober Prober, crashes *Crashes) *EndWatch {
-	return &EndWatch{clock: clock, log: log, prober: prober, crashes: crashes, runs: map[proto.RunName]*watchedRun{}}
+// NewCrashDetector returns a watch that tells crashes what it finds out.
+func NewCrashDetector(clock clockwork.Clock, log hclog.Logger, prober Prober, crashes *CrashTracker) *CrashDetector {
+	return &CrashDetector{clock: clock, log: log, prober: prober, crashes: crashes, runs: map[proto.RunName]*watchedRun{}}
 }
 
-// Failed notes that an attempt or call failed while a target may have been at work on requests; broken says that the target
+// RecordFailure notes that an attempt or call failed while a target may have been at work on requests; broken says that the target
 // closed the connection, so that it may have ended just now.
-func (w *EndWatch) Failed(target proto.RelayTarget, broken bool, requests ...proto.RequestDigest) {
+func (w *CrashDetector) RecordFailure(target proto.RelayTarget, broken bool, requests ...proto.RequestDigest) {
 	if w == nil {
 		return
 	}
@@ -94,8 +94,8 @@
 	}
 }
 
-// Ended notes that a run of a target ended without having said that it would leave.
-func (w *EndWatch) Ended(target proto.RelayTarget, cause string) {
+// RecordEnd notes that a run of a target ended without having said that it would leave.
+func (w *CrashDetector) RecordEnd(target proto.RelayTarget, cause string) {
 	if w == nil {
 		return
 	}
@@ -113,7 +113,7 @@
 }
 
 // run returns what is known of a run; the lock is held.
-func (w *EndWatch) run(name proto.RunName) *watchedRun {
+func (w *CrashDetector) run(name proto.RunName) *watchedRun {
 	r := w.runs[name]
 	if r == nil {
 		r = &watchedRun{}
@@ -123,9 +123,9 @@
 	return r
 }
 
-// Lives notes that a run of a target answered, after what looked like its end: its address may have refused connections
+// RecordAlive notes that a run of a target answered, after what looked like its end: its address may have refused connections
 // before it listened there.
-func (w *EndWatch) Lives(target proto.RelayTarget) {
+func (w *CrashDetector) RecordAlive(target proto.RelayTarget) {
 	if w == nil || w.watched.Load() == 0 {
 		return
 	}
@@ -151,7 +151,7 @@
 }
 
 // check looks whether a target that broke attempts off has ended.
-func (w *EndWatch) check(target proto.RelayTarget) {
+func (w *CrashDetector) check(target proto.RelayTarget) {
 	for n := range endChecks {
 		if n > 0 {
 			w.clock.Sleep(endPause)
@@ -160,7 +160,7 @@
 		refuses := w.prober.Refuses(ctx, target.Address)
 		cancel()
 		if refuses {
-			w.Ended(target, "its address refuses connections")
+			w.RecordEnd(target, "its address refuses connections")
 			break
 		}
 	}
@@ -172,7 +172,7 @@
 }
 
 // Sweep forgets attempts and runs that are too old to matter; it comes several times a second.
-func (w *EndWatch) Sweep() {
+func (w *CrashDetector) Sweep() {
 	if w == nil {
 		return
 	}
--- a/relay/endwatch_test.go
+++ b/relay/endwatch_test.go
@@ -50,11 +50,11 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			clock := clockwork.NewFakeClockAt(start)
-			c := newCrashes(clock)
+			c := newTestCrashTracker(clock)
 			prober := &standProber{answers: s.refuses, done: make(chan struct{})}
-			w := NewEndWatch(clock, hclog.NewNullLogger(), prober, c)
-			target := listed("t", "p", "z")
-			w.Failed(target, s.broken, 1, 2)
+			w := NewCrashDetector(clock, hclog.NewNullLogger(), prober, c)
+			target := testTarget("t", "p", "z")
+			w.RecordFailure(target, s.broken, 1, 2)
 			for try := range s.tries {
 				if try > 0 {
 					if err := clock.BlockUntilContext(context.Background(), 1); err != nil {
@@ -68,7 +68,7 @@
 			if s.goneAfter > 0 {
 				clock.Advance(s.goneAfter)
 				w.Sweep()
-				w.Ended(target, "its entry is gone")
+				w.RecordEnd(target, "its entry is gone")
 			}
 			if c.Suspects(1) != s.accused || c.Suspects(2) != s.accused {
 				t.Errorf("suspected: %v", c.Suspects(1))
@@ -86,7 +86,7 @@
 }
 
 // checks tells whether it is being found out whether a run has ended.
-func (w *EndWatch) checks(name proto.RunName) bool {
+func (w *CrashDetector) checks(name proto.RunName) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.runs[name] != nil && w.runs[name].checking
@@ -105,18 +105,18 @@
 // TestAttemptsThatFailAfterTheEndIsKnownCountAtOnce has two requests fail at a run whose end another one's failure showed.
 func TestAttemptsThatFailAfterTheEndIsKnownCountAtOnce(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(start)
-	c := newCrashes(clock)
-	w := NewEndWatch(clock, hclog.NewNullLogger(), &standProber{}, c)
-	target := listed("t", "p", "z")
-	w.Ended(target, "its entry is gone")
-	w.Failed(target, true, 1, 1)
-	w.Failed(target, false, 2)
+	c := newTestCrashTracker(clock)
+	w := NewCrashDetector(clock, hclog.NewNullLogger(), &standProber{}, c)
+	target := testTarget("t", "p", "z")
+	w.RecordEnd(target, "its entry is gone")
+	w.RecordFailure(target, true, 1, 1)
+	w.RecordFailure(target, false, 2)
 	if !c.Suspects(1) || !c.Suspects(2) || c.Counts().Ends != 2 {
 		t.Errorf("remembered: %+v", c.Counts())
 	}
 	next := target
-	next.Born = start
-	w.Failed(next, false, 3)
+	next.StartedAt = start
+	w.RecordFailure(next, false, 3)
 	if c.Suspects(3) {
 		t.Error("a failure at the target's next run counts as one at the last")
 	}
@@ -125,18 +125,18 @@
 // TestATargetThatAnswersHasNotEnded has a target refuse connections before it listens.
 func TestATargetThatAnswersHasNotEnded(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(start)
-	c := newCrashes(clock)
-	w := NewEndWatch(clock, hclog.NewNullLogger(), &standProber{}, c)
-	target := listed("t", "p", "z")
-	w.Ended(target, "its address refuses connections")
-	w.Lives(target)
-	w.Failed(target, false, 1)
+	c := newTestCrashTracker(clock)
+	w := NewCrashDetector(clock, hclog.NewNullLogger(), &standProber{}, c)
+	target := testTarget("t", "p", "z")
+	w.RecordEnd(target, "its address refuses connections")
+	w.RecordAlive(target)
+	w.RecordFailure(target, false, 1)
 	if c.Suspects(1) {
 		t.Error("a failure at a target that answered since counts as one at its end")
 	}
 	clock.Advance(endTold + endOpen)
 	w.Sweep()
-	w.Lives(target)
+	w.RecordAlive(target)
 	if n := w.watched.Load(); n != 0 {
 		t.Errorf("%d runs are watched", n)
 	}
@@ -144,7 +144,7 @@
 
 // TestWhichTargetsAreOverWithoutHavingLeft lists what the fleet says of targets that go.
 func TestWhichTargetsAreOverWithoutHavingLeft(t *testing.T) {
-	leaving := run("a", firstBorn)
+	leaving := targetRun("a", firstRunStart)
 	leaving.Leaving = true
 	scenarios := []struct {
 		name    string
@@ -152,16 +152,16 @@
 		crashed bool
 	}{
 		{"its entry goes", []FleetChange{{ID: "a", Version: rev(3), Removed: true}}, true},
-		{"it starts again", []FleetChange{put(3, run("a", secondBorn))}, true},
-		{"it leaves and goes", []FleetChange{put(3, leaving), {ID: "a", Version: rev(4), Removed: true}}, false},
-		{"it leaves and starts again", []FleetChange{put(3, leaving), put(4, run("a", secondBorn))}, false},
+		{"it starts again", []FleetChange{putChange(3, targetRun("a", secondRunStart))}, true},
+		{"it leaves and goes", []FleetChange{putChange(3, leaving), {ID: "a", Version: rev(4), Removed: true}}, false},
+		{"it leaves and starts again", []FleetChange{putChange(3, leaving), putChange(4, targetRun("a", secondRunStart))}, false},
 		{"its entry cannot be used", []FleetChange{{ID: "a", Version: rev(3), Unusable: true}}, false},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			f := newFleet(put(1, run("a", firstBorn)))
+			f := fleetWith(putChange(1, targetRun("a", firstRunStart)))
 			crashed := false
-			for _, n := range f.Change(start, s.changes) {
+			for _, n := range f.ApplyChanges(start, s.changes) {
 				crashed = crashed || n.Crashed()
 			}
 			if crashed != s.crashed {
@@ -175,7 +175,7 @@
 func TestWhatAnAttemptsEndSaysOfTheRequest(t *testing.T) {
 	const request = proto.RequestDigest(7)
 	gone := []FleetChange{{ID: "t", Version: rev(2), Removed: true}}
-	leaves := listed("t", "p", "z")
+	leaves := testTarget("t", "p", "z")
 	leaves.Leaving = true
 	refusedConn := &SendError{Err: syscall.ECONNREFUSED}
 	scenarios := []struct {
@@ -184,38 +184,38 @@
 		before   []FleetChange
 		cause    error
 		answered bool
-		end      attemptEnd
+		end      attemptResult
 		suspect  bool
 		// known says that the target is known to have ended before its entry goes.
 		known bool
 	}{
-		{name: "the connection breaks", end: attemptEnd{sent: true}, suspect: true},
-		{name: "it breaks at a target that leaves", before: []FleetChange{put(2, leaves)}, end: attemptEnd{sent: true}},
-		{name: "it breaks after the entry went", before: gone, end: attemptEnd{sent: true}},
-		{name: "silence", cause: errOvertaken, end: attemptEnd{sent: true}, suspect: true},
-		{name: "silence, and the entry went before it was noticed", before: gone, cause: errTimeUp, end: attemptEnd{sent: true}, suspect: true},
-		{name: "silence of a target that leaves", before: []FleetChange{put(2, leaves)}, cause: errOvertaken, end: attemptEnd{sent: true}},
-		{name: "the target has started again", cause: errRestarted, end: attemptEnd{sent: true}, suspect: true},
-		{name: "the caller left", cause: context.Canceled, end: attemptEnd{sent: true}, suspect: true},
-		{name: "a whole answer", answered: true, end: attemptEnd{done: true, sent: true}},
-		{name: "an answer that says that the target failed", end: attemptEnd{sent: true, answer: &wholeAnswer{status: 500}}},
-		{name: "a refusal", end: attemptEnd{sent: true, notRun: true}},
-		{name: "another target has the address", end: attemptEnd{sent: true, notRun: true, otherTarget: true}, known: true},
-		{name: "the address refuses connections", end: attemptEnd{notRun: true, err: refusedConn}, known: true},
+		{name: "the connection breaks", end: attemptResult{sent: true}, suspect: true},
+		{name: "it breaks at a target that leaves", before: []FleetChange{putChange(2, leaves)}, end: attemptResult{sent: true}},
+		{name: "it breaks after the entry went", before: gone, end: attemptResult{sent: true}},
+		{name: "silence", cause: errSuperseded, end: attemptResult{sent: true}, suspect: true},
+		{name: "silence, and the entry went before it was noticed", before: gone, cause: errDeadlineReached, end: attemptResult{sent: true}, suspect: true},
+		{name: "silence of a target that leaves", before: []FleetChange{putChange(2, leaves)}, cause: errSuperseded, end: attemptResult{sent: true}},
+		{name: "the target has started again", cause: errTargetRestarted, end: attemptResult{sent: true}, suspect: true},
+		{name: "the caller left", cause: context.Canceled, end: attemptResult{sent: true}, suspect: true},
+		{name: "a whole answer", answered: true, end: attemptResult{done: true, sent: true}},
+		{name: "an answer that says that the target failed", end: attemptResult{sent: true, response: &bufferedResponse{status: 500}}},
+		{name: "a refusal", end: attemptResult{sent: true, notRun: true}},
+		{name: "another target has the address", end: attemptResult{sent: true, notRun: true, misdirected: true}, known: true},
+		{name: "the address refuses connections", end: attemptResult{notRun: true, err: refusedConn}, known: true},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			clock := clockwork.NewFakeClockAt(start)
-			c := newCrashes(clock)
-			w := NewEndWatch(clock, hclog.NewNullLogger(), &standProber{answers: []bool{false}, done: make(chan struct{}, endChecks)}, c)
-			fleet := newFleet(put(1, listed("t", "p", "z")))
-			target := fleet.Pick(start, "p", Want{Zone: "z"})
+			c := newTestCrashTracker(clock)
+			w := NewCrashDetector(clock, hclog.NewNullLogger(), &standProber{answers: []bool{false}, done: make(chan struct{}, endChecks)}, c)
+			fleet := fleetWith(putChange(1, testTarget("t", "p", "z")))
+			target := fleet.Pick(start, "p", TargetCriteria{Zone: "z"})
 			ctx, cancel := context.WithCancelCause(context.Background())
-			a := &attempt{race: &race{flow: &flow{server: &Server{crashes: c, ends: w, fleet: fleet}, digest: request}}, ctx: ctx, placed: &Placed{Target: target, Spec: fleet.Spec(target)}, answered: s.answered}
+			a := &attempt{race: &race{flow: &flow{server: &Server{crashes: c, ends: w, fleet: fleet}, digest: request}}, ctx: ctx, placement: &Placement{Target: target, Spec: fleet.Spec(target)}, answered: s.answered}
 			change := func(changes []FleetChange) {
-				for _, n := range fleet.Change(clock.Now(), changes) {
+				for _, n := range fleet.ApplyChanges(clock.Now(), changes) {
 					if n.Crashed() {
-						w.Ended(n.Target, "its entry is gone")
+						w.RecordEnd(n.Target, "its entry is gone")
 					}
 				}
 			}
@@ -223,7 +223,7 @@
 			if s.cause != nil {
 				cancel(s.cause)
 			}
-			a.noteEnd(&s.end)
+			a.recordOutcome(&s.end)
 			if known := w.ended("t"); known != (s.known || len(s.before) > 0 && s.before[0].Removed) {
 				t.Errorf("known to have ended: %v", known)
 			}
@@ -237,7 +237,7 @@
 }
 
 // ended tells whether a run is known to have ended.
-func (w *EndWatch) ended(name proto.RunName) bool {
+func (w *CrashDetector) ended(name proto.RunName) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.runs[name] != nil && w.runs[name].ended
--- a/relay/enginemodel.go
+++ b/relay/enginemodel.go
@@ -69,24 +69,24 @@
 	return m.times.of(workToken) / millisecond, m.times.of(workStream) / millisecond
 }
 
-func (m *engineModel) report() proto.EngineTimes {
+func (m *engineModel) estimates() proto.EngineTimes {
 	return proto.EngineTimes{
-		Start: time.Duration(m.times.of(workStart)), Token: time.Duration(m.times.of(workToken)), Stream: time.Duration(m.times.of(workStream)),
+		PerRequest: time.Duration(m.times.of(workStart)), PerPromptToken: time.Duration(m.times.of(workToken)), PerConcurrentRequest: time.Duration(m.times.of(workStream)),
 	}
 }
 
 // adopt takes over the estimates of a daemon that has seen more.
-func (m *engineModel) adopt(t proto.EngineTimes) {
-	if t.Token == 0 {
+func (m *engineModel) replace(t proto.EngineTimes) {
+	if t.PerPromptToken == 0 {
 		return
 	}
-	m.times.set(workStart, float64(t.Start))
-	m.times.set(workToken, float64(t.Token))
-	m.times.set(workStream, float64(t.Stream))
+	m.times.set(workStart, float64(t.PerRequest))
+	m.times.set(workToken, float64(t.PerPromptToken))
+	m.times.set(workStream, float64(t.PerConcurrentRequest))
 }
 
 // promptRead is a prompt that an engine was given and has not read yet, as far as is known.
-type promptRead struct {
+type unreadPrompt struct {
 	own, tokens int
 	began       time.Time
 	// cold says that the engine was cold, so that its time says nothing of what it does later.
@@ -96,28 +96,28 @@
 }
 
 // give notes that an engine was given a prompt.
-func (t *Target) give(now time.Time, w Want) {
-	missing := t.cache.missing(w.Shared)
+func (t *Target) startPrompt(now time.Time, w TargetCriteria) {
+	missing := t.cache.missingTokens(w.SharedParts)
 	if r := t.pool.prompts[w.Route]; r != nil {
-		r.missing.Add(now, promptHalf, float64(missing))
+		r.missing.Add(now, promptHalfLife, float64(missing))
 	}
 	read := w.OwnTokens + missing
-	t.unread += read
-	work := map[engineWork]float64{workStart: 1, workToken: float64(t.unread), workStream: float64(t.active)}
-	t.reads = append(t.reads, promptRead{own: w.OwnTokens, tokens: read, began: now, cold: now.Before(t.coldUntil), work: work})
+	t.unreadTokens += read
+	work := map[engineWork]float64{workStart: 1, workToken: float64(t.unreadTokens), workStream: float64(t.active)}
+	t.unreadPrompts = append(t.unreadPrompts, unreadPrompt{own: w.OwnTokens, tokens: read, began: now, cold: now.Before(t.coldUntil), work: work})
 }
 
 // finishRead ends the oldest reading of a prompt of such a size, and learns from it if it ended well.
-func (t *Target) finishRead(now time.Time, w Want, learn bool) {
-	i := slices.IndexFunc(t.reads, func(r promptRead) bool { return r.own == w.OwnTokens })
+func (t *Target) finishPrompt(now time.Time, w TargetCriteria, learn bool) {
+	i := slices.IndexFunc(t.unreadPrompts, func(r unreadPrompt) bool { return r.own == w.OwnTokens })
 	if i < 0 {
 		return
 	}
-	r := t.reads[i]
-	t.unread -= r.tokens
-	t.reads = slices.Delete(t.reads, i, i+1)
+	r := t.unreadPrompts[i]
+	t.unreadTokens -= r.tokens
+	t.unreadPrompts = slices.Delete(t.unreadPrompts, i, i+1)
 	if learn {
-		t.pool.read.Add(now, rateHalf, float64(r.tokens))
+		t.pool.recentReadTokens.Add(now, rateHalfLife, float64(r.tokens))
 	}
 	if !learn || r.cold {
 		return
@@ -125,8 +125,8 @@
 	model := &t.pool.model
 	took := float64(now.Sub(r.began))
 	ratio := took / model.times.sum(r.work)
-	t.pace = min(paceMost, max(paceLeast, t.pace+enginePace*(ratio-t.pace)))
-	model.times.observe(r.work, took/(t.pace/t.pool.usualPace()))
+	t.slowdown = min(paceMost, max(paceLeast, t.slowdown+enginePace*(ratio-t.slowdown)))
+	model.times.observe(r.work, took/(t.slowdown/t.pool.usualPace()))
 }
 
 // usualPace is the pace of the middle one of the pool's targets.
@@ -134,10 +134,10 @@
 	if len(p.list) == 0 {
 		return 1
 	}
-	p.paces = p.paces[:0]
+	p.slowdowns = p.slowdowns[:0]
 	for _, t := range p.list {
-		p.paces = append(p.paces, t.pace)
+		p.slowdowns = append(p.slowdowns, t.slowdown)
 	}
-	slices.Sort(p.paces)
-	return p.paces[len(p.paces)/2]
+	slices.Sort(p.slowdowns)
+	return p.slowdowns[len(p.slowdowns)/2]
 }
--- a/relay/eras_test.go
+++ b/relay/eras_test.go
@@ -22,7 +22,7 @@
 }
 
 func leavingTarget(id string) proto.RelayTarget {
-	t := listed(id, "p", "z")
+	t := testTarget(id, "p", "z")
 	t.Leaving = true
 	return t
 }
@@ -34,8 +34,8 @@
 		at     time.Duration
 		change FleetChange
 	}
-	copied := []FleetChange{putIn(2, 1, listed("a", "p", "z")), putIn(2, 2, listed("b", "p", "z"))}
-	born := run("a", secondBorn)
+	copied := []FleetChange{putIn(2, 1, testTarget("a", "p", "z")), putIn(2, 2, testTarget("b", "p", "z"))}
+	born := targetRun("a", secondRunStart)
 	scenarios := []struct {
 		testName string
 		lost     []FleetChange
@@ -49,30 +49,30 @@
 		{"a left and went", []FleetChange{putIn(1, 19, leavingTarget("a")), removedIn(1, 20, "a")}, nil, 0, "b "},
 		{"a went without a word", []FleetChange{removedIn(1, 20, "a")}, nil, 0, "b "},
 		{"a went and goes again", []FleetChange{removedIn(1, 20, "a")}, []step{{time.Second, removedIn(2, 12, "a")}}, restoredDoubt, "b "},
-		{"a went, and was there again before the restoration was known", []FleetChange{removedIn(1, 20, "a")}, []step{{time.Second, putIn(2, 15, listed("a", "p", "z"))}}, time.Second, "a b "},
-		{"a left, and its older entry is written again first", []FleetChange{putIn(1, 19, leavingTarget("a")), removedIn(1, 20, "a")}, []step{{time.Second, putIn(2, 11, listed("a", "p", "z"))}}, time.Second, "b "},
+		{"a went, and was there again before the restoration was known", []FleetChange{removedIn(1, 20, "a")}, []step{{time.Second, putIn(2, 15, testTarget("a", "p", "z"))}}, time.Second, "a b "},
+		{"a left, and its older entry is written again first", []FleetChange{putIn(1, 19, leavingTarget("a")), removedIn(1, 20, "a")}, []step{{time.Second, putIn(2, 11, testTarget("a", "p", "z"))}}, time.Second, "b "},
 		{"a left, and a later run of it starts", []FleetChange{putIn(1, 19, leavingTarget("a")), removedIn(1, 20, "a")}, []step{{time.Second, putIn(2, 15, born)}}, time.Second, "a b "},
 		{"a left, and its entry stays for long", []FleetChange{removedIn(1, 20, "a")}, nil, restoredDoubt, "a b "},
-		{"c came, and is not written again", []FleetChange{putIn(1, 15, listed("c", "p", "z"))}, nil, lapseWait, "a b "},
-		{"c came, and is written again", []FleetChange{putIn(1, 15, listed("c", "p", "z"))}, []step{{time.Second, putIn(2, 11, listed("c", "p", "z"))}}, lapseWait, "a b c "},
-		{"c came a moment ago", []FleetChange{putIn(1, 15, listed("c", "p", "z"))}, nil, lapseWait - 1, "a b c "},
+		{"c came, and is not written again", []FleetChange{putIn(1, 15, testTarget("c", "p", "z"))}, nil, lapseWait, "a b "},
+		{"c came, and is written again", []FleetChange{putIn(1, 15, testTarget("c", "p", "z"))}, []step{{time.Second, putIn(2, 11, testTarget("c", "p", "z"))}}, lapseWait, "a b c "},
+		{"c came a moment ago", []FleetChange{putIn(1, 15, testTarget("c", "p", "z"))}, nil, lapseWait - 1, "a b c "},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			f := newFleet(putIn(1, 1, listed("a", "p", "z")), putIn(1, 2, listed("b", "p", "z")))
-			f.Change(start, s.lost)
+			f := fleetWith(putIn(1, 1, testTarget("a", "p", "z")), putIn(1, 2, testTarget("b", "p", "z")))
+			f.ApplyChanges(start, s.lost)
 			if _, taken := f.Replace(start, inEra(2, 10), copied, false); !taken {
 				t.Fatal("the list of a later era was refused, its version being lower")
 			}
 			for _, step := range s.then {
-				f.Change(start.Add(step.at), []FleetChange{step.change})
+				f.ApplyChanges(start.Add(step.at), []FleetChange{step.change})
 			}
 			now := start.Add(s.at)
 			f.Sweep(now)
-			for _, id := range f.VoidOver(now) {
-				f.Change(now, []FleetChange{putIn(2, 1, listed(id, "p", "z"))})
+			for _, id := range f.ExpireInvalid(now) {
+				f.ApplyChanges(now, []FleetChange{putIn(2, 1, testTarget(id, "p", "z"))})
 			}
-			if got := names(f, "p"); got != s.usable {
+			if got := usableIDs(f, "p"); got != s.usable {
 				t.Errorf("usable %q, want %q", got, s.usable)
 			}
 		})
@@ -82,17 +82,17 @@
 // TestADaemonThatStartsIsToldWhatTheCopyGotWrong reads the copy by a daemon that never knew that a had left.
 func TestADaemonThatStartsIsToldWhatTheCopyGotWrong(t *testing.T) {
 	for _, lost := range []FleetChange{putIn(1, 20, leavingTarget("a")), removedIn(1, 20, "a")} {
-		knew := newFleet(putIn(1, 1, listed("a", "p", "z")), putIn(1, 2, listed("b", "p", "z")), lost)
-		copied := []FleetChange{putIn(2, 1, listed("a", "p", "z")), putIn(2, 2, listed("b", "p", "z"))}
+		knew := fleetWith(putIn(1, 1, testTarget("a", "p", "z")), putIn(1, 2, testTarget("b", "p", "z")), lost)
+		copied := []FleetChange{putIn(2, 1, testTarget("a", "p", "z")), putIn(2, 2, testTarget("b", "p", "z"))}
 		knew.Replace(start, inEra(2, 10), copied, false)
 		starts := NewFleet(func(string) {})
 		starts.Replace(start, inEra(2, 10), copied, false)
-		starts.LearnVoid(start, knew.Void())
-		if got := names(starts, "p"); got != "b " || starts.VoidDigest() != knew.VoidDigest() {
-			t.Errorf("usable: %q, digests %d and %d", got, starts.VoidDigest(), knew.VoidDigest())
+		starts.MergeInvalid(start, knew.InvalidEntries())
+		if got := usableIDs(starts, "p"); got != "b " || starts.InvalidDigest() != knew.InvalidDigest() {
+			t.Errorf("usable: %q, digests %d and %d", got, starts.InvalidDigest(), knew.InvalidDigest())
 		}
 		late := start.Add(restoredDoubt)
-		if len(knew.VoidOver(late)) != 1 || knew.LearnVoid(late, starts.Void()) != nil || len(knew.Void()) > 0 {
+		if len(knew.ExpireInvalid(late)) != 1 || knew.MergeInvalid(late, starts.InvalidEntries()) != nil || len(knew.InvalidEntries()) > 0 {
 			t.Error("daemons keep telling each other of an entry that stayed")
 		}
 	}
@@ -103,7 +103,7 @@
 		return proto.Evacuation{Zone: "y", Version: inEra(era, version)}
 	}
 	over := func(era, version uint64) proto.Evacuation {
-		return proto.Evacuation{Zone: "y", Version: inEra(era, version), Over: true}
+		return proto.Evacuation{Zone: "y", Version: inEra(era, version), Ended: true}
 	}
 	type step struct {
 		at   time.Duration
@@ -129,16 +129,16 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			f := newFleet(putIn(1, 1, listed("a", "p", "y")))
+			f := fleetWith(putIn(1, 1, testTarget("a", "p", "y")))
 			for _, e := range s.before {
-				f.Evacuate(start, []proto.Evacuation{e})
+				f.ApplyEvacuations(start, []proto.Evacuation{e})
 			}
-			f.Evacuate(start, f.EvacuationsAsOf(inEra(2, 10), s.copied))
+			f.ApplyEvacuations(start, f.EvacuationsFromList(inEra(2, 10), s.copied))
 			for _, step := range s.then {
-				f.Evacuate(start.Add(step.at), []proto.Evacuation{step.news})
+				f.ApplyEvacuations(start.Add(step.at), []proto.Evacuation{step.news})
 			}
-			f.Evacuate(start.Add(s.at), f.HeldEvacuations(start.Add(s.at)))
-			if got := fmt.Sprint(f.Evacuated()); got != s.want {
+			f.ApplyEvacuations(start.Add(s.at), f.ExpiredEvacuations(start.Add(s.at)))
+			if got := fmt.Sprint(f.EvacuatedZones()); got != s.want {
 				t.Errorf("evacuated: %s, want %s", got, s.want)
 			}
 		})
@@ -148,19 +148,19 @@
 // TestAnEvacuationThatTheStoreLostIsKeptByThoseWhoStart has a daemon be told of it that reads the store's list only then, and tell the
 // first one what it believes.
 func TestAnEvacuationThatTheStoreLostIsKeptByThoseWhoStart(t *testing.T) {
-	knew, starts := newFleet(putIn(1, 1, listed("a", "p", "y"))), newFleet(putIn(2, 1, listed("a", "p", "y")))
-	knew.Evacuate(start, []proto.Evacuation{{Zone: "y", Version: inEra(1, 20)}})
-	knew.Evacuate(start, knew.EvacuationsAsOf(inEra(2, 10), nil))
-	starts.Evacuate(start, knew.Evacuations())
-	starts.Evacuate(start, starts.EvacuationsAsOf(inEra(2, 15), nil))
-	knew.Evacuate(start, starts.Evacuations())
-	if len(knew.Evacuated()) != 1 || len(starts.Evacuated()) != 1 {
-		t.Errorf("evacuated: %v and %v", knew.Evacuated(), starts.Evacuated())
+	knew, starts := fleetWith(putIn(1, 1, testTarget("a", "p", "y"))), fleetWith(putIn(2, 1, testTarget("a", "p", "y")))
+	knew.ApplyEvacuations(start, []proto.Evacuation{{Zone: "y", Version: inEra(1, 20)}})
+	knew.ApplyEvacuations(start, knew.EvacuationsFromList(inEra(2, 10), nil))
+	starts.ApplyEvacuations(start, knew.Evacuations())
+	starts.ApplyEvacuations(start, starts.EvacuationsFromList(inEra(2, 15), nil))
+	knew.ApplyEvacuations(start, starts.Evacuations())
+	if len(knew.EvacuatedZones()) != 1 || len(starts.EvacuatedZones()) != 1 {
+		t.Errorf("evacuated: %v and %v", knew.EvacuatedZones(), starts.EvacuatedZones())
 	}
-	knew.Evacuate(start, knew.HeldEvacuations(start.Add(rewriteWait)))
-	starts.Evacuate(start, knew.Evacuations())
-	if len(starts.Evacuated()) > 0 || starts.EvacuationsVersion() != knew.EvacuationsVersion() {
-		t.Errorf("evacuated after the wait: %v as of %s", starts.Evacuated(), starts.EvacuationsVersion())
+	knew.ApplyEvacuations(start, knew.ExpiredEvacuations(start.Add(rewriteWait)))
+	starts.ApplyEvacuations(start, knew.Evacuations())
+	if len(starts.EvacuatedZones()) > 0 || starts.EvacuationsVersion() != knew.EvacuationsVersion() {
+		t.Errorf("evacuated after the wait: %v as of %s", starts.EvacuatedZones(), starts.EvacuationsVersion())
 	}
 }
 
@@ -202,7 +202,7 @@
 	case w.live[id] && left:
 		c.Target = leavingTarget(id)
 	case w.live[id]:
-		c.Target = listed(id, "p", "z")
+		c.Target = testTarget(id, "p", "z")
 	default:
 		c.Removed = true
 	}
@@ -292,18 +292,18 @@
 	case i == 2 && w.random.IntN(3) > 0:
 		return
 	case i == 2:
-		f.LearnVoid(w.now, w.fleets[0].Void())
+		f.MergeInvalid(w.now, w.fleets[0].InvalidEntries())
 		f.Replace(w.now, asOf, whole, w.random.IntN(2) == 0)
 	case w.seen[i].Era != w.era || i == 1:
 		f.Replace(w.now, asOf, whole, false)
 	default:
-		f.Change(w.now, changed)
+		f.ApplyChanges(w.now, changed)
 	}
 	w.seen[i] = asOf
 	f.Sweep(w.now)
-	for _, id := range f.VoidOver(w.now) {
+	for _, id := range f.ExpireInvalid(w.now) {
 		if row, listed := w.rows[id]; listed && !row.Removed {
-			f.Change(w.now, []FleetChange{row})
+			f.ApplyChanges(w.now, []FleetChange{row})
 		}
 	}
 }
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -13,8 +13,8 @@
 type attemptNews struct {
 	attempt *attempt
 	// in is the head of the answer, whose body is not to be read; nil if there is none, and then err says why.
-	in    *Incoming
-	reply Reply
+	in    *TargetResponse
+	reply ResponseInfo
 	// events are whole events of a stream, which goes on.
 	events []byte
 	// body is that of a whole answer.
@@ -73,10 +73,10 @@
 
 // answers tells whether the target has begun to answer, or has answered.
 func (n *attemptNews) answers() bool {
-	return len(n.events) > 0 || n.in != nil && (n.err == nil || errors.Is(n.err, io.EOF)) && !n.reply.NotRun && !n.reply.OtherTarget
+	return len(n.events) > 0 || n.in != nil && (n.err == nil || errors.Is(n.err, io.EOF)) && !n.reply.NotRun && !n.reply.Misdirected
 }
 
-func (x *exchange) run(out *Outgoing) {
+func (x *exchange) run(out *TargetRequest) {
 	in, err := x.server.sender.Send(x.ctx, x.to, out)
 	if err != nil {
 		x.tell(&attemptNews{err: err})
@@ -91,10 +91,10 @@
 }
 
 // read reads an answer to its end and returns the last message about it.
-func (x *exchange) read(in *Incoming) *attemptNews {
-	news := &attemptNews{in: in, reply: x.server.dialect.ReadReply(in.Status, in.Header)}
+func (x *exchange) read(in *TargetResponse) *attemptNews {
+	news := &attemptNews{in: in, reply: x.server.dialect.ParseResponse(in.Status, in.Header)}
 	switch {
-	case news.reply.NotRun || news.reply.OtherTarget:
+	case news.reply.NotRun || news.reply.Misdirected:
 		_, _ = io.Copy(io.Discard, io.LimitReader(in.Body, answerMost))
 	case x.mismatched(in, news.reply):
 		news.mismatch = true
@@ -108,8 +108,8 @@
 }
 
 // mismatched tells whether an answer cannot be that of the request.
-func (x *exchange) mismatched(in *Incoming, reply Reply) bool {
-	return in.Status/100 == http.StatusOK/100 && (!reply.Stamped || reply.Encoded || reply.Request != x.request)
+func (x *exchange) mismatched(in *TargetResponse, reply ResponseInfo) bool {
+	return in.Status/100 == http.StatusOK/100 && (!reply.Stamped || reply.ContentEncoded || reply.RequestID != x.request)
 }
 
 // readStream tells the events of a stream as they come, each when it is whole, and notes in the last message how it ended.
--- a/relay/fetches.go
+++ b/relay/fetches.go
@@ -10,7 +10,7 @@
 // stages of other requests wait for.
 const (
 	// fetchPrior is the time that is allowed at first: some megabytes take milliseconds over any link of a platform.
-	fetchPrior = 150 * time.Millisecond
+	initialKeepTime = 150 * time.Millisecond
 	// fetchLeast and fetchMost bound what is allowed: a request's way there, and longer than any target works.
 	fetchLeast = 40 * time.Millisecond
 	fetchMost  = 4 * time.Second
@@ -21,7 +21,7 @@
 )
 
 // fetches learns for each pool how long after a request was sent its target has fetched the inputs.
-type fetches struct {
+type fetchTimes struct {
 	mu    sync.Mutex
 	waits map[string]time.Duration
 	// grown is when the time of a pool was last made longer.
@@ -29,24 +29,24 @@
 }
 
 // wait is how long to keep the inputs of a request that was just sent.
-func (f *fetches) wait(pool string) time.Duration {
+func (f *fetchTimes) keepTime(pool string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.of(pool)
 }
 
-func (f *fetches) of(pool string) time.Duration {
+func (f *fetchTimes) of(pool string) time.Duration {
 	if wait, ok := f.waits[pool]; ok {
 		return wait
 	}
-	return fetchPrior
+	return initialKeepTime
 }
 
 // done takes in what came of a request that was sent at a time, and whose inputs were freed before its target showed that it has
 // them; it returns how long those of the next one are kept. Requests that were sent before the time was last made longer say nothing of
 // the longer one: when a target ends, all that read its results find them gone at once, and the time would go to its bound, with
 // results kept until the ends of calls, and too little room for new ones.
-func (f *fetches) done(now, sent time.Time, pool string, fetched bool) time.Duration {
+func (f *fetchTimes) observe(now, sent time.Time, pool string, fetched bool) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.waits == nil {
--- a/relay/fetches_test.go
+++ b/relay/fetches_test.go
@@ -19,28 +19,28 @@
 		fetched, tooEarly int
 		least, most       time.Duration
 	}{
-		{"nothing known", 0, 0, fetchPrior, fetchPrior},
-		{"always fetched", 70, 0, fetchPrior / 3, fetchPrior * 6 / 10},
+		{"nothing known", 0, 0, initialKeepTime, initialKeepTime},
+		{"always fetched", 70, 0, initialKeepTime / 3, initialKeepTime * 6 / 10},
 		{"fetched for ever", 10_000, 0, fetchLeast, fetchLeast},
-		{"too early once", 0, 1, 2 * fetchPrior, 2 * fetchPrior},
+		{"too early once", 0, 1, 2 * initialKeepTime, 2 * initialKeepTime},
 		{"too early again and again", 0, 100, fetchMost, fetchMost},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			var f fetches
+			var f fetchTimes
 			now := start
 			for range s.fetched {
 				now = now.Add(time.Second)
-				f.done(now, now, "p", true)
+				f.observe(now, now, "p", true)
 			}
 			for range s.tooEarly {
 				now = now.Add(time.Second)
-				f.done(now, now, "p", false)
+				f.observe(now, now, "p", false)
 			}
-			if got := f.wait("p"); got < s.least || got > s.most {
+			if got := f.keepTime("p"); got < s.least || got > s.most {
 				t.Errorf("kept for %v, want %v to %v", got, s.least, s.most)
 			}
-			if got := f.wait("another"); got != fetchPrior {
+			if got := f.keepTime("another"); got != initialKeepTime {
 				t.Errorf("another pool's are kept for %v", got)
 			}
 		})
@@ -51,30 +51,30 @@
 // each of them finds inputs gone, and none of it says that inputs are given up too early. Kept for seconds, they would leave a target of
 // the pool, which has room for the results of two calls, no room for full ones.
 func TestResultsThatGoWithTheirTargetCountOnce(t *testing.T) {
-	var f fetches
+	var f fetchTimes
 	ended := start.Add(time.Second)
 	for i := range 30 {
 		sent := ended.Add(-time.Duration(i) * 10 * time.Millisecond)
-		f.done(ended.Add(time.Duration(i)*5*time.Millisecond), sent, "p", false)
+		f.observe(ended.Add(time.Duration(i)*5*time.Millisecond), sent, "p", false)
 	}
-	if got := f.wait("p"); got > 2*fetchPrior {
-		t.Errorf("inputs are kept for %s after one end, %s before", got, fetchPrior)
+	if got := f.keepTime("p"); got > 2*initialKeepTime {
+		t.Errorf("inputs are kept for %s after one end, %s before", got, initialKeepTime)
 	}
 	later := ended.Add(time.Second)
-	if f.done(later, later.Add(-100*time.Millisecond), "p", false); f.wait("p") != 4*fetchPrior {
-		t.Errorf("kept for %s: a request that was sent since does not count", f.wait("p"))
+	if f.observe(later, later.Add(-100*time.Millisecond), "p", false); f.keepTime("p") != 4*initialKeepTime {
+		t.Errorf("kept for %s: a request that was sent since does not count", f.keepTime("p"))
 	}
 }
 
 // sentFlow is a request whose stage is done and that was just sent to a target.
 func sentFlow(t *testing.T, clock clockwork.Clock) *flow {
 	t.Helper()
-	f := stagedFlow(&ownerPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}}, 1)
+	f := newStagedFlow(&recordingPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}}, 1)
 	if fail, _ := f.runStages(context.Background()); fail != nil {
 		t.Fatal(fail.reason)
 	}
 	f.server.clock = clock
-	(&attempt{race: &race{flow: f}}).freeOnceFetched()
+	(&attempt{race: &race{flow: f}}).freeInputsAfterFetch()
 	return f
 }
 
@@ -82,7 +82,7 @@
 func TestInputsAreFreedOnceTheyAreFetched(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(start)
 	f := sentFlow(t, clock)
-	clock.Advance(fetchPrior - time.Nanosecond)
+	clock.Advance(initialKeepTime - time.Nanosecond)
 	if f.inputsFreed() {
 		t.Fatal("freed before the target could have fetched them")
 	}
@@ -90,9 +90,9 @@
 	for !f.inputsFreed() {
 		runtime.Gosched()
 	}
-	f.freeAll()
+	f.freeAllResults()
 	drops := 0
-	peers := f.server.peers.(*ownerPeers)
+	peers := f.server.peers.(*recordingPeers)
 	peers.mu.Lock()
 	defer peers.mu.Unlock()
 	for _, m := range peers.sent {
@@ -110,15 +110,15 @@
 func TestResultsThatAreMadeAnewAreNotFreedByAnEarlierAttempt(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(start)
 	f := sentFlow(t, clock)
-	before := f.inputs
+	before := f.stageResults
 	if fail, _ := f.runStages(context.Background()); fail != nil {
 		t.Fatal(fail.reason)
 	}
-	clock.Advance(fetchPrior)
+	clock.Advance(initialKeepTime)
 	for {
-		f.freeing.Lock()
+		f.freeMu.Lock()
 		freed := before[0].freed
-		f.freeing.Unlock()
+		f.freeMu.Unlock()
 		if freed {
 			break
 		}
@@ -132,7 +132,7 @@
 // failingSender has every target fail.
 type failingSender struct{ calls int }
 
-func (s *failingSender) Send(context.Context, netip.AddrPort, *Outgoing) (*Incoming, error) {
+func (s *failingSender) Send(context.Context, netip.AddrPort, *TargetRequest) (*TargetResponse, error) {
 	s.calls++
 	return nil, &SendError{Written: true, Err: errors.New("connection reset")}
 }
@@ -141,19 +141,19 @@
 // say that they are gone.
 func TestARetryWithoutInputsHasItsStagesDoneAnew(t *testing.T) {
 	for _, freed := range []bool{false, true} {
-		f := stagedFlow(&ownerPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}}, 1)
+		f := newStagedFlow(&recordingPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}}, 1)
 		sender := &failingSender{}
-		f.server.sender, f.server.dialect, f.server.budget = sender, standDialect{}, BudgetTerms{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}
+		f.server.sender, f.server.dialect, f.server.budget = sender, stubDialect{}, RetryBudgetConfig{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}
 		f.server.placer = NewPlacer("self", f.server.clock, f.server.log, f.server.fleet, f.server.peers)
-		f.server.fleet.Change(f.server.clock.Now(), []FleetChange{put(1, listed("e1", "engines", "z")), put(2, listed("e2", "engines", "z"))})
-		f.route.Kind, f.route.MaxTargets, f.tried = proto.RouteRepeatable, 2, map[string]bool{}
+		f.server.fleet.ApplyChanges(f.server.clock.Now(), []FleetChange{putChange(1, testTarget("e1", "engines", "z")), putChange(2, testTarget("e2", "engines", "z"))})
+		f.route.Kind, f.route.MaxTargets, f.triedTargets = proto.RouteRepeatable, 2, map[string]bool{}
 		if fail, _ := f.runStages(context.Background()); fail != nil {
 			t.Fatal(fail.reason)
 		}
 		if freed {
-			f.freeAll()
+			f.freeAllResults()
 		}
-		_, lost := f.runSelf(context.Background())
+		_, lost := f.runAttempts(context.Background())
 		if want := map[bool]int{false: 2, true: 1}[freed]; lost != freed || sender.calls != want {
 			t.Errorf("inputs freed %v: lost %v after %d attempts", freed, lost, sender.calls)
 		}
--- a/relay/fleet.go
+++ b/relay/fleet.go
@@ -17,35 +17,35 @@
 
 	pool *targetPool
 	// hash is that of the id.
-	hash   uint64
+	idHash uint64
 	health health
 	// active are this daemon's attempts in progress.
 	active int
 	// unread are the prompt tokens of attempts that have not begun to answer, and reads these attempts.
-	unread int
-	reads  []promptRead
-	cache  promptCache
+	unreadTokens  int
+	unreadPrompts []unreadPrompt
+	cache         promptCache
 	// strain is how much a pause of a millisecond counts for all streams in progress.
-	strain float64
+	pauseWeight float64
 	// others is how many attempts of other daemons the last answer showed.
-	others   float64
-	othersAt time.Time
+	otherLoad   float64
+	otherLoadAt time.Time
 	// pace is how long attempts take against what was expected.
-	pace float64
+	slowdown float64
 	// lapsedAt is when the entry went while the store was away; zero if it is listed.
 	lapsedAt  time.Time
 	lapseTold bool
 	// doubted says that another daemon, which reached the store all the time, saw the entry of a lapsed target go: it
 	// has more likely left than lapsed, and gets work only where its pool has no other target.
-	doubted bool
+	suspected bool
 	// version is the store's version at which the entry last changed.
 	version proto.Revision
 	gone    bool
 	// running ends when another run of the target is known, and end ends it.
-	running context.Context
-	end     context.CancelFunc
+	runCtx context.Context
+	end    context.CancelFunc
 	// long engines take the routes with long prompts.
-	long bool
+	longPrompts bool
 	// evacuated targets are in a zone that is to get nothing more.
 	evacuated bool
 	// coldUntil is until when the target is cold; zero if it is warm.
@@ -71,20 +71,20 @@
 	// stale says that the list is not that of the targets any more.
 	stale bool
 	// listed counts the changes of the list, and orderedOf is that of the list in order of hash.
-	listed, orderedOf uint64
-	ordered           []*Target
-	prompts           map[string]*routePrompts
-	turn              int
-	divided           time.Time
-	all               routePrompts
-	model             engineModel
-	paces             []float64
+	listVersion, sortedVersion uint64
+	sortedByHash               []*Target
+	prompts                    map[string]*promptStats
+	turn                       int
+	dividedAt                  time.Time
+	allPrompts                 promptStats
+	model                      engineModel
+	slowdowns                  []float64
 	// token and stream are what a prompt token and a stream beside it add to a first event, in milliseconds, as of the
 	// last choice.
 	token, stream float64
 	zones         ZoneCosts
 	// read is how many prompt tokens engines have lately read.
-	read state.Decay
+	recentReadTokens state.DecayingSum
 	// memory is how many tokens an engine of the pool keeps; 0 if that is not known.
 	memory int
 	// cold says how targets warm up, and coldMost how many requests a cold one may get within a second from all daemons.
@@ -106,7 +106,7 @@
 }
 
 func (p *targetPool) relist() {
-	p.listed++
+	p.listVersion++
 	p.list = p.list[:0]
 	for _, t := range p.targets {
 		p.list = append(p.list, t)
@@ -118,7 +118,7 @@
 type Fleet struct {
 	mu    sync.RWMutex
 	pools map[string]*targetPool
-	where map[string]*Target
+	byID  map[string]*Target
 	// awayAt and backAt are when the store was last found away, and when it answered again after that.
 	awayAt, backAt time.Time
 	// version is that of the newest change of any entry, which is the same at all daemons that know as much.
@@ -139,7 +139,7 @@
 	// that a restored store lacks.
 	evacuationRows map[string]uint64
 	heldSince      map[string]time.Time
-	coldTerms      ColdTerms
+	coldTerms      ColdConfig
 	// signals are those that runs of targets gave in answers.
 	signals map[proto.RunName]*targetSignals
 	tell    func([]proto.TargetNotice)
@@ -151,15 +151,15 @@
 // WithZoneCosts sets what other zones count for instead of DefaultZoneCosts.
 func WithZoneCosts(costs ZoneCosts) FleetOption { return func(f *Fleet) { f.zones = costs } }
 
-// WithNoticeNews has what targets say told to other daemons, as it becomes known here.
-func WithNoticeNews(tell func([]proto.TargetNotice)) FleetOption {
+// WithNoticeHandler has what targets say told to other daemons, as it becomes known here.
+func WithNoticeHandler(tell func([]proto.TargetNotice)) FleetOption {
 	return func(f *Fleet) { f.tell = tell }
 }
 
 // NewFleet returns an empty fleet; changed is told of each pool whose list of targets changes, without a lock held.
 func NewFleet(changed func(pool string), options ...FleetOption) *Fleet {
 	f := &Fleet{
-		pools: map[string]*targetPool{}, where: map[string]*Target{}, void: map[string]voidEntry{}, judged: map[string]proto.Revision{},
+		pools: map[string]*targetPool{}, byID: map[string]*Target{}, void: map[string]voidEntry{}, judged: map[string]proto.Revision{},
 		left: map[string]leftTarget{}, evacuations: map[string]proto.Evacuation{}, evacuationRows: map[string]uint64{}, heldSince: map[string]time.Time{},
 		changed: changed, zones: DefaultZoneCosts(), signals: map[proto.RunName]*targetSignals{}, tell: func([]proto.TargetNotice) {},
 	}
@@ -184,7 +184,7 @@
 	Removed bool
 	// Told changes come from another daemon, which knows how the store is; Lapsed says that it saw the entry go while
 	// the store was away, so that it may come back.
-	Told, Lapsed bool
+	FromPeer, Lapsed bool
 	// Restored says that the entry is missing in a copy that the store was restored from, so that it may come back.
 	Restored bool
 	// Unusable entries name no target: another writer left them, or they cannot be read.
@@ -192,10 +192,10 @@
 	Target   proto.RelayTarget
 }
 
-// Change takes in changes and returns what it did with each; one that is older than what is known is ignored.
-func (f *Fleet) Change(now time.Time, changes []FleetChange) []FleetNote {
+// ApplyChanges takes in changes and returns what it did with each; one that is older than what is known is ignored.
+func (f *Fleet) ApplyChanges(now time.Time, changes []FleetChange) []FleetEvent {
 	f.mu.Lock()
-	var notes []FleetNote
+	var notes []FleetEvent
 	for _, c := range changes {
 		f.version = proto.Latest(f.version, c.Version)
 		notes = append(notes, f.apply(now, c)...)
@@ -208,14 +208,14 @@
 // Replace takes in the whole list as of a version; entries that it lacks are removed. A list that is older than what
 // is known is refused.
 // A list of another daemon that has all changes up to that version is complete.
-func (f *Fleet) Replace(now time.Time, asOf proto.Revision, entries []FleetChange, complete bool) ([]FleetNote, bool) {
+func (f *Fleet) Replace(now time.Time, asOf proto.Revision, entries []FleetChange, complete bool) ([]FleetEvent, bool) {
 	f.mu.Lock()
 	if f.version.After(asOf) {
 		f.mu.Unlock()
 		return nil, false
 	}
 	listed := map[string]bool{}
-	var notes []FleetNote
+	var notes []FleetEvent
 	restored := asOf.Era > f.version.Era
 	if restored {
 		f.copied = asOf
@@ -225,7 +225,7 @@
 		listed[c.ID] = true
 		notes = append(notes, f.apply(now, c)...)
 	}
-	for id, t := range f.where {
+	for id, t := range f.byID {
 		switch {
 		case listed[id]:
 		case complete:
@@ -244,8 +244,8 @@
 	return notes, true
 }
 
-// FleetNote says what became of one entry, for the log.
-type FleetNote struct {
+// FleetEvent says what became of one entry, for the log.
+type FleetEvent struct {
 	Target  proto.RelayTarget
 	Outcome string
 	// Version is the store's revision of the change, zero if no change of the store brought it.
@@ -253,7 +253,7 @@
 }
 
 // Crashed tells whether the note says that a run is over which had not said that it would leave.
-func (n *FleetNote) Crashed() bool {
+func (n *FleetEvent) Crashed() bool {
 	return !n.Target.Leaving && (n.Outcome == outcomeRemoved || n.Outcome == OutcomeEnded)
 }
 
@@ -279,7 +279,7 @@
 	outcomeUnusable = "has an entry that cannot be used"
 )
 
-func (f *Fleet) announce(notes []FleetNote) {
+func (f *Fleet) announce(notes []FleetEvent) {
 	pools := map[string]bool{}
 	for _, n := range notes {
 		pools[n.Target.Pool] = true
@@ -298,8 +298,8 @@
 	return p
 }
 
-func (f *Fleet) apply(now time.Time, c FleetChange) []FleetNote {
-	t := f.where[c.ID]
+func (f *Fleet) apply(now time.Time, c FleetChange) []FleetEvent {
+	t := f.byID[c.ID]
 	if t != nil && t.version.After(c.Version) {
 		return nil
 	}
@@ -309,80 +309,80 @@
 	case c.Removed:
 		return f.remove(now, t, c)
 	case t == nil && f.isLeftOver(now, c):
-		return []FleetNote{{Target: c.Target, Outcome: outcomeLeftOver, Version: c.Version}}
+		return []FleetEvent{{Target: c.Target, Outcome: outcomeLeftOver, Version: c.Version}}
 	case t == nil:
-		return []FleetNote{f.add(now, c, health{})}
+		return []FleetEvent{f.add(now, c, health{})}
 	}
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
 	old := t.Spec
 	switch {
-	case c.Target.Born.IsZero() && !old.Born.IsZero():
+	case c.Target.StartedAt.IsZero() && !old.StartedAt.IsZero():
 		// A target that tells when its run started always does. Daemons that did not know it then must be told.
 		f.void[c.ID] = voidEntry{version: c.Version}
 		return f.unusable(t, c)
-	case c.Target.Born.Before(old.Born):
+	case c.Target.StartedAt.Before(old.StartedAt):
 		t.version = c.Version
-		return []FleetNote{{Target: c.Target, Outcome: outcomeStale, Version: c.Version}}
-	case c.Target.Born.After(old.Born) || c.Target.Pool != old.Pool:
+		return []FleetEvent{{Target: c.Target, Outcome: outcomeStale, Version: c.Version}}
+	case c.Target.StartedAt.After(old.StartedAt) || c.Target.Pool != old.Pool:
 		return f.restart(now, t, c)
 	case old.Leaving && !c.Target.Leaving && c.Version.Era > t.version.Era:
 		// The store was restored from a copy of before the target said that it leaves.
 		t.version = c.Version
 		f.voidRestored(now, c)
-		return []FleetNote{{Target: old, Outcome: outcomeLeftOver, Version: c.Version}}
+		return []FleetEvent{{Target: old, Outcome: outcomeLeftOver, Version: c.Version}}
 	}
 	if c.Version.After(t.version) {
-		t.warmsIn(now, c.Target.ColdFor)
+		t.warmsIn(now, c.Target.ColdRemaining)
 	}
 	t.Spec, t.version, t.evacuated = c.Target, c.Version, f.isEvacuated(c.Target.Zone)
-	t.lapsedAt, t.doubted = time.Time{}, false
+	t.lapsedAt, t.suspected = time.Time{}, false
 	switch {
 	case c.Target.Leaving && !old.Leaving:
-		return []FleetNote{{Target: c.Target, Outcome: outcomeLeaving}}
+		return []FleetEvent{{Target: c.Target, Outcome: outcomeLeaving}}
 	case old.Leaving != c.Target.Leaving || old.Address != c.Target.Address || old.Slots != c.Target.Slots:
-		return []FleetNote{{Target: c.Target, Outcome: outcomeUpdated}}
-	case c.Target.ColdFor > 0 && old.ColdFor == 0:
-		return []FleetNote{{Target: c.Target, Outcome: outcomeCold}}
+		return []FleetEvent{{Target: c.Target, Outcome: outcomeUpdated}}
+	case c.Target.ColdRemaining > 0 && old.ColdRemaining == 0:
+		return []FleetEvent{{Target: c.Target, Outcome: outcomeCold}}
 	}
 	return nil
 }
 
 // add lists a target of which nothing is known but its health.
-func (f *Fleet) add(now time.Time, c FleetChange, known health) FleetNote {
+func (f *Fleet) add(now time.Time, c FleetChange, known health) FleetEvent {
 	p := f.poolLocked(c.Target.Pool)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return f.addTo(now, p, c, known)
 }
 
-func (f *Fleet) addTo(now time.Time, p *targetPool, c FleetChange, known health) FleetNote {
-	t := &Target{Spec: c.Target, pool: p, hash: state.Hash(c.Target.ID), pace: 1, version: c.Version, health: known, evacuated: f.isEvacuated(c.Target.Zone)}
-	t.running, t.end = context.WithCancel(context.Background())
-	t.warmsIn(now, c.Target.ColdFor)
+func (f *Fleet) addTo(now time.Time, p *targetPool, c FleetChange, known health) FleetEvent {
+	t := &Target{Spec: c.Target, pool: p, idHash: state.Hash(c.Target.ID), slowdown: 1, version: c.Version, health: known, evacuated: f.isEvacuated(c.Target.Zone)}
+	t.runCtx, t.end = context.WithCancel(context.Background())
+	t.warmsIn(now, c.Target.ColdRemaining)
 	t.apply(f.signals[t.Spec.RunName()])
 	p.targets[c.ID] = t
-	f.where[c.ID] = t
+	f.byID[c.ID] = t
 	p.stale = true
-	return FleetNote{Target: c.Target, Outcome: outcomeAdded}
+	return FleetEvent{Target: c.Target, Outcome: outcomeAdded}
 }
 
 // restart replaces a target by its next run, or by what it is in another pool, of which nothing is known but that the last
 // one ended; the pool of the last one is locked. All that is believed of a target is in its Target, so it goes here at
 // once, and work in progress ends.
-func (f *Fleet) restart(now time.Time, t *Target, c FleetChange) []FleetNote {
+func (f *Fleet) restart(now time.Time, t *Target, c FleetChange) []FleetEvent {
 	ended := f.forget(t)
 	ended.Outcome, ended.Version = OutcomeEnded, c.Version
 	delete(f.signals, t.Spec.RunName())
 	t.end()
 	if c.Target.Pool != t.Spec.Pool {
-		return []FleetNote{ended, f.add(now, c, health{})}
+		return []FleetEvent{ended, f.add(now, c, health{})}
 	}
-	return []FleetNote{ended, f.addTo(now, t.pool, c, t.health.afterRestart(now))}
+	return []FleetEvent{ended, f.addTo(now, t.pool, c, t.health.afterRestart(now))}
 }
 
 // dropUnusable removes a target whose entry names no target any more, whatever the state of the store.
-func (f *Fleet) dropUnusable(now time.Time, t *Target, c FleetChange) []FleetNote {
+func (f *Fleet) dropUnusable(now time.Time, t *Target, c FleetChange) []FleetEvent {
 	if t == nil {
 		return nil
 	}
@@ -394,48 +394,48 @@
 	return f.unusable(t, c)
 }
 
-func (f *Fleet) unusable(t *Target, c FleetChange) []FleetNote {
+func (f *Fleet) unusable(t *Target, c FleetChange) []FleetEvent {
 	note := f.forget(t)
 	note.Outcome, note.Version = outcomeUnusable, c.Version
-	return []FleetNote{note}
+	return []FleetEvent{note}
 }
 
 // drop removes a target whatever the state of the store.
-func (f *Fleet) drop(t *Target) FleetNote {
+func (f *Fleet) drop(t *Target) FleetEvent {
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
 	return f.forget(t)
 }
 
-func (f *Fleet) remove(now time.Time, t *Target, c FleetChange) []FleetNote {
+func (f *Fleet) remove(now time.Time, t *Target, c FleetChange) []FleetEvent {
 	if t == nil {
 		return nil
 	}
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
 	lapsed := c.Lapsed
-	if !c.Told {
+	if !c.FromPeer {
 		lapsed = c.Restored || f.mayHaveLapsed(now)
 	}
 	if !t.leaves() && lapsed {
 		if !t.lapsedAt.IsZero() {
 			return nil
 		}
-		t.lapsedAt, t.lapseTold = now, c.Told
-		return []FleetNote{{Target: t.Spec, Outcome: OutcomeLapsed, Version: c.Version}}
+		t.lapsedAt, t.lapseTold = now, c.FromPeer
+		return []FleetEvent{{Target: t.Spec, Outcome: OutcomeLapsed, Version: c.Version}}
 	}
 	f.noteLeft(now, t, c.Version)
-	return []FleetNote{f.forget(t)}
+	return []FleetEvent{f.forget(t)}
 }
 
-func (f *Fleet) forget(t *Target) FleetNote {
+func (f *Fleet) forget(t *Target) FleetEvent {
 	t.gone = true
 	delete(t.pool.targets, t.Spec.ID)
-	delete(f.where, t.Spec.ID)
+	delete(f.byID, t.Spec.ID)
 	t.pool.stale = true
 	ended := t.Spec
 	ended.Leaving = t.leaves()
-	return FleetNote{Target: ended, Outcome: outcomeRemoved}
+	return FleetEvent{Target: ended, Outcome: outcomeRemoved}
 }
 
 // Size returns the number of a pool's targets, leaving and doubted ones included.
@@ -461,7 +461,7 @@
 	for _, t := range p.list {
 		switch {
 		case t.closed() || p.isCold(now, t):
-		case t.doubted:
+		case t.suspected:
 			doubted = append(doubted, t.Spec)
 		default:
 			specs = append(specs, t.Spec)
--- a/relay/fleetcold.go
+++ b/relay/fleetcold.go
@@ -16,23 +16,23 @@
 	coldCost = float64(400 * time.Millisecond)
 )
 
-// ColdTerms bound how many requests all daemons together may send to a cold target within a second: Over times what the
+// ColdConfig bound how many requests all daemons together may send to a cold target within a second: Over times what the
 // target works through, plus Slack.
-type ColdTerms struct{ Over, Slack float64 }
+type ColdConfig struct{ Factor, Slack float64 }
 
-// WithColdTerms sets the terms; without them a cold target gets what it works through.
-func WithColdTerms(terms ColdTerms) FleetOption { return func(f *Fleet) { f.coldTerms = terms } }
+// WithColdConfig sets the terms; without them a cold target gets what it works through.
+func WithColdConfig(terms ColdConfig) FleetOption { return func(f *Fleet) { f.coldTerms = terms } }
 
 // most is how many requests a cold target of a pool may get within a second; 0 if there is no bound.
-func (t ColdTerms) most(spec proto.ColdSpec) int {
-	if spec.PerSecond <= 0 {
+func (t ColdConfig) most(spec proto.ColdSpec) int {
+	if spec.RequestsPerSecond <= 0 {
 		return 0
 	}
-	return max(1, int(math.Floor(t.Over*spec.PerSecond+t.Slack)))
+	return max(1, int(math.Floor(t.Factor*spec.RequestsPerSecond+t.Slack)))
 }
 
-// SetCold takes over how the targets of a pool warm up.
-func (f *Fleet) SetCold(pool string, spec proto.ColdSpec) {
+// SetColdSpec takes over how the targets of a pool warm up.
+func (f *Fleet) SetColdSpec(pool string, spec proto.ColdSpec) {
 	f.mu.Lock()
 	p := f.poolLocked(pool)
 	f.mu.Unlock()
@@ -79,7 +79,7 @@
 }
 
 // noteChosen notes that a target gets a request; its pool is locked.
-func (t *Target) noteChosen(now time.Time) {
+func (t *Target) recordChosen(now time.Time) {
 	if t.pool.coldMost == 0 {
 		return
 	}
@@ -107,8 +107,8 @@
 	return ids, p.coldMost
 }
 
-// WarmIn returns how long it takes until a target of a pool that is cold now is warm, and false if none is cold.
-func (f *Fleet) WarmIn(now time.Time, pool string) (in time.Duration, cold bool) {
+// TimeUntilWarm returns how long it takes until a target of a pool that is cold now is warm, and false if none is cold.
+func (f *Fleet) TimeUntilWarm(now time.Time, pool string) (in time.Duration, cold bool) {
 	p := f.pool(pool)
 	if p == nil {
 		return 0, false
@@ -126,8 +126,8 @@
 	return in, cold
 }
 
-// Open returns the number of a pool's targets in some regions that are not closed, in whatever health.
-func (f *Fleet) Open(pool string, homes proto.Homes) int {
+// OpenCount returns the number of a pool's targets in some regions that are not closed, in whatever health.
+func (f *Fleet) OpenCount(pool string, homes proto.AllowedRegions) int {
 	p := f.pool(pool)
 	if p == nil {
 		return 0
@@ -136,7 +136,7 @@
 	defer p.mu.Unlock()
 	open := 0
 	for _, t := range p.list {
-		if !t.closed() && homes.Allow(t.Spec.Region) {
+		if !t.closed() && homes.Allows(t.Spec.Region) {
 			open++
 		}
 	}
--- a/relay/fleetlapse.go
+++ b/relay/fleetlapse.go
@@ -14,15 +14,15 @@
 // The platform states about two seconds; a little is added for the way to this daemon.
 const lapseWait = 2300 * time.Millisecond
 
-// StoreAway notes that the store did not answer.
-func (f *Fleet) StoreAway(now time.Time) {
+// MarkStoreDown notes that the store did not answer.
+func (f *Fleet) MarkStoreDown(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.awayAt = now
 }
 
-// StoreBack notes that the store answered.
-func (f *Fleet) StoreBack(now time.Time) {
+// MarkStoreUp notes that the store answered.
+func (f *Fleet) MarkStoreUp(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.backAt.Before(f.awayAt) || f.backAt.IsZero() {
@@ -38,13 +38,13 @@
 	return f.backAt.Before(f.awayAt) || now.Before(f.backAt.Add(lapseSeen))
 }
 
-// Lapsed returns the ids of targets that are held to have lapsed, and the version before the first of them went. A
+// LapsedTargets returns the ids of targets that are held to have lapsed, and the version before the first of them went. A
 // daemon that was told so may have been told by one that the store had turned away.
-func (f *Fleet) Lapsed(notes []FleetNote) (ids []string, before proto.Revision) {
+func (f *Fleet) LapsedTargets(notes []FleetEvent) (ids []string, before proto.Revision) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	for _, n := range notes {
-		t := f.where[n.Target.ID]
+		t := f.byID[n.Target.ID]
 		if n.Outcome != OutcomeLapsed || t == nil {
 			continue
 		}
@@ -57,16 +57,16 @@
 	return ids, before
 }
 
-// Doubt notes that another daemon saw a lapsed entry go while the store was well there.
-func (f *Fleet) Doubt(id string) []FleetNote {
+// MarkSuspected notes that another daemon saw a lapsed entry go while the store was well there.
+func (f *Fleet) MarkSuspected(id string) []FleetEvent {
 	f.mu.Lock()
-	t := f.where[id]
-	var notes []FleetNote
+	t := f.byID[id]
+	var notes []FleetEvent
 	if t != nil {
 		t.pool.mu.Lock()
-		if !t.lapsedAt.IsZero() && !t.doubted {
-			t.doubted = true
-			notes = append(notes, FleetNote{Target: t.Spec, Outcome: outcomeDoubted, Version: t.version})
+		if !t.lapsedAt.IsZero() && !t.suspected {
+			t.suspected = true
+			notes = append(notes, FleetEvent{Target: t.Spec, Outcome: outcomeDoubted, Version: t.version})
 		}
 		t.pool.mu.Unlock()
 	}
@@ -76,14 +76,14 @@
 }
 
 // Sweep removes entries that lapsed and did not come back, and notes which targets have become warm; it comes several times a second.
-func (f *Fleet) Sweep(now time.Time) []FleetNote {
+func (f *Fleet) Sweep(now time.Time) []FleetEvent {
 	f.mu.Lock()
 	own := !f.mayHaveLapsed(now)
-	var notes []FleetNote
+	var notes []FleetEvent
 	warmed := map[string]bool{}
 	f.forgetLeft(now)
 	f.forgetNotices(now)
-	for _, t := range f.where {
+	for _, t := range f.byID {
 		t.pool.mu.Lock()
 		if k := f.signals[t.Spec.RunName()]; k != nil {
 			k.listedAt = now
--- a/relay/fleetnotices.go
+++ b/relay/fleetnotices.go
@@ -10,15 +10,15 @@
 
 // notice is what other daemons are told.
 func (s *targetSignals) notice(run proto.RunName) proto.TargetNotice {
-	n := proto.TargetNotice{Target: s.target, Run: run, Leaving: s.leaving, Change: s.change}
+	n := proto.TargetNotice{Target: s.target, Run: run, Leaving: s.leaving, LimitVersion: s.change}
 	if s.limit != noLimit {
-		n.Limit, n.Limited = s.limit, true
+		n.Limit, n.HasLimit = s.limit, true
 	}
 	return n
 }
 
-// LearnNotices takes in what another daemon knows of what targets have signalled, and returns what was news here.
-func (f *Fleet) LearnNotices(now time.Time, list []proto.TargetNotice, from proto.VM) []proto.TargetNotice {
+// MergeNotices takes in what another daemon knows of what targets have signalled, and returns what was news here.
+func (f *Fleet) MergeNotices(now time.Time, list []proto.TargetNotice, from proto.VM) []proto.TargetNotice {
 	var news []proto.TargetNotice
 	pools := map[string]bool{}
 	f.mu.Lock()
@@ -45,17 +45,17 @@
 
 // lacks tells whether a notice says what is not known here. Of two limits that daemons were given at the same time the lower one holds.
 func (s *targetSignals) lacks(n proto.TargetNotice) bool {
-	newer := n.Change > s.change || n.Change == s.change && n.Limited && (s.limit == noLimit || n.Limit < s.limit)
+	newer := n.LimitVersion > s.change || n.LimitVersion == s.change && n.HasLimit && (s.limit == noLimit || n.Limit < s.limit)
 	return n.Leaving && !s.leaving || newer
 }
 
 func (s *targetSignals) learn(now time.Time, n proto.TargetNotice, from proto.VM) {
 	s.leaving = s.leaving || n.Leaving
-	if n.Change < s.change {
+	if n.LimitVersion < s.change {
 		return
 	}
-	s.limit, s.limitAt, s.limitFrom, s.change = noLimit, now, from, n.Change
-	if n.Limited {
+	s.limit, s.limitAt, s.limitFrom, s.change = noLimit, now, from, n.LimitVersion
+	if n.HasLimit {
 		s.limit = n.Limit
 	}
 }
@@ -66,7 +66,7 @@
 	defer f.mu.RUnlock()
 	var list []proto.TargetNotice
 	for run, s := range f.signals {
-		if n := s.notice(run); f.lists(run, s) && (n.Leaving || n.Change > 0) {
+		if n := s.notice(run); f.lists(run, s) && (n.Leaving || n.LimitVersion > 0) {
 			list = append(list, n)
 		}
 	}
@@ -75,7 +75,7 @@
 
 // lists tells whether a run is listed; the fleet is locked.
 func (f *Fleet) lists(run proto.RunName, s *targetSignals) bool {
-	t := f.where[s.target]
+	t := f.byID[s.target]
 	if t == nil {
 		return false
 	}
@@ -88,23 +88,23 @@
 func (f *Fleet) NoticeDigest() uint64 {
 	digest := uint64(0)
 	for _, n := range f.Notices() {
-		digest ^= state.Hash(fmt.Sprintf("%s %t %d %t %g", n.Run, n.Leaving, n.Change, n.Limited, n.Limit))
+		digest ^= state.Hash(fmt.Sprintf("%s %t %d %t %g", n.Run, n.Leaving, n.LimitVersion, n.HasLimit, n.Limit))
 	}
 	return digest
 }
 
-// NoticeCounts tell what targets have signalled of themselves that still holds.
-type NoticeCounts struct {
+// NoticeStats tell what targets have signalled of themselves that still holds.
+type NoticeStats struct {
 	Leaving int `json:"leaving"`
 	Limited int `json:"limited"`
 	Resting int `json:"resting"`
 }
 
-// NoticeCounts returns how many runs of targets leave, name a limit, or want rest from this daemon.
-func (f *Fleet) NoticeCounts(now time.Time) NoticeCounts {
+// NoticeStats returns how many runs of targets leave, name a limit, or want rest from this daemon.
+func (f *Fleet) NoticeStats(now time.Time) NoticeStats {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	var c NoticeCounts
+	var c NoticeStats
 	for _, s := range f.signals {
 		if s.leaving {
 			c.Leaving++
--- a/relay/fleetnotices_test.go
+++ b/relay/fleetnotices_test.go
@@ -16,8 +16,8 @@
 
 // bornAt is a target of a run that started so many seconds after start.
 func bornAt(seconds int) proto.RelayTarget {
-	t := listed("t", "p", "z")
-	t.Born = start.Add(time.Duration(seconds) * time.Second)
+	t := testTarget("t", "p", "z")
+	t.StartedAt = start.Add(time.Duration(seconds) * time.Second)
 	return t
 }
 
@@ -30,7 +30,7 @@
 		used     bool
 	}{
 		{"nothing changes", func(*Fleet) {}, false},
-		{"the entry is written again", func(f *Fleet) { f.Change(start, []FleetChange{put(2, bornAt(1))}) }, false},
+		{"the entry is written again", func(f *Fleet) { f.ApplyChanges(start, []FleetChange{putChange(2, bornAt(1))}) }, false},
 		{"a later answer does not say so", func(f *Fleet) {
 			f.takeSignal(start.Add(time.Minute), &signal{target: bornAt(1), sent: start.Add(time.Minute)})
 		}, false},
@@ -38,23 +38,23 @@
 			f.Replace(start, proto.Revision{Era: 1, Version: 1}, []FleetChange{putIn(1, 1, bornAt(1))}, false)
 		}, false},
 		{"another writer spoils the entry for a while", func(f *Fleet) {
-			f.Change(start, []FleetChange{{ID: "t", Version: proto.Revision{Version: 2}, Unusable: true}})
+			f.ApplyChanges(start, []FleetChange{{ID: "t", Version: proto.Revision{Version: 2}, Unusable: true}})
 			f.Sweep(start.Add(time.Minute))
-			f.Change(start.Add(time.Minute), []FleetChange{put(3, bornAt(1))})
+			f.ApplyChanges(start.Add(time.Minute), []FleetChange{putChange(3, bornAt(1))})
 		}, false},
 		{"the entry goes and comes back", func(f *Fleet) {
-			f.Change(start, []FleetChange{{ID: "t", Version: proto.Revision{Version: 2}, Removed: true}})
-			f.Change(start, []FleetChange{put(3, bornAt(1))})
+			f.ApplyChanges(start, []FleetChange{{ID: "t", Version: proto.Revision{Version: 2}, Removed: true}})
+			f.ApplyChanges(start, []FleetChange{putChange(3, bornAt(1))})
 		}, false},
-		{"the target starts again", func(f *Fleet) { f.Change(start, []FleetChange{put(2, bornAt(2))}) }, true},
+		{"the target starts again", func(f *Fleet) { f.ApplyChanges(start, []FleetChange{putChange(2, bornAt(2))}) }, true},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			f := NewFleet(func(string) {})
-			f.Change(start, []FleetChange{put(1, bornAt(1))})
+			f.ApplyChanges(start, []FleetChange{putChange(1, bornAt(1))})
 			f.takeSignal(start, &signal{Notice: Notice{Leaving: true}, target: bornAt(1), sent: start})
 			s.change(f)
-			if used := f.Pick(start.Add(time.Minute), "p", Want{}) != nil; used != s.used {
+			if used := f.Pick(start.Add(time.Minute), "p", TargetCriteria{}) != nil; used != s.used {
 				t.Errorf("used: %v", used)
 			}
 			if usable := len(f.Usable(start.Add(time.Minute), "p")) > 0; usable != s.used {
@@ -67,9 +67,9 @@
 // TestATargetThatLeavesByItsAnswersHasNotCrashed guards against requests that are held to have ended a target which left in order.
 func TestATargetThatLeavesByItsAnswersHasNotCrashed(t *testing.T) {
 	f := NewFleet(func(string) {})
-	f.Change(start, []FleetChange{put(1, bornAt(1))})
+	f.ApplyChanges(start, []FleetChange{putChange(1, bornAt(1))})
 	f.takeSignal(start, &signal{Notice: Notice{Leaving: true}, target: bornAt(1), sent: start})
-	for _, n := range f.Change(start, []FleetChange{{ID: "t", Version: proto.Revision{Version: 2}, Removed: true}}) {
+	for _, n := range f.ApplyChanges(start, []FleetChange{{ID: "t", Version: proto.Revision{Version: 2}, Removed: true}}) {
 		if n.Crashed() {
 			t.Errorf("counts as crashed: %+v", n)
 		}
@@ -82,14 +82,14 @@
 	heard := []Notice{{Limited: true, Limit: 2}, {Limited: true, Limit: 1}, {Leaving: true}}
 	for _, n := range heard {
 		f := NewFleet(func(string) {})
-		f.Change(start, []FleetChange{put(1, bornAt(1))})
+		f.ApplyChanges(start, []FleetChange{putChange(1, bornAt(1))})
 		f.takeSignal(start, &signal{Notice: n, target: bornAt(1), sent: start})
 		fleets = append(fleets, f)
 	}
 	for range 2 {
 		for _, from := range fleets {
 			for _, to := range fleets {
-				to.LearnNotices(start, from.Notices(), "other")
+				to.MergeNotices(start, from.Notices(), "other")
 			}
 		}
 	}
@@ -104,17 +104,17 @@
 // TestANewTargetUnderAnIDIsNotHeldToWhatTheLastOneSaid guards against a target that starts in another pool and does not tell its start.
 func TestANewTargetUnderAnIDIsNotHeldToWhatTheLastOneSaid(t *testing.T) {
 	f := NewFleet(func(string) {})
-	f.Change(start, []FleetChange{put(1, listed("t", "q", "z"))})
-	f.takeSignal(start, &signal{Notice: Notice{Leaving: true}, target: listed("t", "q", "z"), sent: start})
-	f.Change(start, []FleetChange{put(2, listed("t", "p", "z"))})
-	if f.Pick(start, "p", Want{}) == nil {
+	f.ApplyChanges(start, []FleetChange{putChange(1, testTarget("t", "q", "z"))})
+	f.takeSignal(start, &signal{Notice: Notice{Leaving: true}, target: testTarget("t", "q", "z"), sent: start})
+	f.ApplyChanges(start, []FleetChange{putChange(2, testTarget("t", "p", "z"))})
+	if f.Pick(start, "p", TargetCriteria{}) == nil {
 		t.Error("the target gets no work")
 	}
 }
 
 // asked has a target of the pool "p" turn this daemon away for a time.
 func asked(f *Fleet, id string, rest time.Duration) {
-	f.takeSignal(start, &signal{Notice: Notice{Rest: rest}, target: listed(id, "p", "z"), sent: start})
+	f.takeSignal(start, &signal{Notice: Notice{Backoff: rest}, target: testTarget(id, "p", "z"), sent: start})
 }
 
 // TestATargetRestsForAsLongAsItAskedFor guards against requests within a rest, and against a rest that no target can mean or that never ends.
@@ -133,15 +133,15 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			f := newFleet(put(1, listed("t", "p", "z")))
+			f := fleetWith(putChange(1, testTarget("t", "p", "z")))
 			asked(f, "t", s.rest)
-			if s.rests > 0 && f.Pick(start.Add(s.rests-time.Nanosecond), "p", Want{}) != nil {
+			if s.rests > 0 && f.Pick(start.Add(s.rests-time.Nanosecond), "p", TargetCriteria{}) != nil {
 				t.Error("the target gets work while it rests")
 			}
-			if s.rests > 0 && f.Take(start.Add(s.rests-time.Nanosecond), "p", "t", Want{}) != nil {
+			if s.rests > 0 && f.PickByID(start.Add(s.rests-time.Nanosecond), "p", "t", TargetCriteria{}) != nil {
 				t.Error("the target gets work that another daemon chose it for while it rests")
 			}
-			if f.Pick(start.Add(s.rests), "p", Want{}) == nil {
+			if f.Pick(start.Add(s.rests), "p", TargetCriteria{}) == nil {
 				t.Error("the target gets no work after its rest")
 			}
 		})
@@ -150,13 +150,13 @@
 
 // TestARestHoldsForTheDaemonThatWasTurnedAway guards against a target that no daemon uses, since the one that places for the pool was turned away.
 func TestARestHoldsForTheDaemonThatWasTurnedAway(t *testing.T) {
-	all, _ := placers(clockwork.NewFakeClockAt(start), engines(1), engines(1))
+	all, _ := newPlacers(clockwork.NewFakeClockAt(start), engineFleet(1), engineFleet(1))
 	owner, other := all["vm-0"], all["vm-1"]
-	owner.fleet.takeSignal(start, &signal{Notice: Notice{Rest: time.Second}, target: listed("e00", "p", "y"), sent: start})
-	if owner.Choose(t.Context(), "p", prompt("part", 0, 100)) != nil {
+	owner.fleet.takeSignal(start, &signal{Notice: Notice{Backoff: time.Second}, target: testTarget("e00", "p", "y"), sent: start})
+	if owner.Choose(t.Context(), "p", promptCriteria("part", 0, 100)) != nil {
 		t.Error("the daemon that was turned away sends a request")
 	}
-	if other.Choose(t.Context(), "p", prompt("part", 0, 100)) == nil {
+	if other.Choose(t.Context(), "p", promptCriteria("part", 0, 100)) == nil {
 		t.Error("another daemon sends none")
 	}
 }
@@ -164,7 +164,7 @@
 // TestARequestThatNoTargetTakesInTimeIsRefusedAtOnce guards against stages that are done for a request whose pool rests, or is at its limits.
 func TestARequestThatNoTargetTakesInTimeIsRefusedAtOnce(t *testing.T) {
 	const exhausted = 4 * time.Second
-	rest, limit := Notice{Rest: 3 * time.Second}, Notice{Limited: true, Limit: 0.25}
+	rest, limit := Notice{Backoff: 3 * time.Second}, Notice{Limited: true, Limit: 0.25}
 	scenarios := []struct {
 		testName string
 		notices  []Notice
@@ -172,9 +172,9 @@
 		wait     time.Duration
 		stages   bool
 	}{
-		{"the only target rests", []Notice{rest}, reasonRest, 3 * time.Second, false},
-		{"the only target has a limit that is used up", []Notice{limit}, reasonLimited, exhausted, false},
-		{"one rests, one is at its limit", []Notice{rest, limit}, reasonRest, 3 * time.Second, false},
+		{"the only target rests", []Notice{rest}, reasonBackoff, 3 * time.Second, false},
+		{"the only target has a limit that is used up", []Notice{limit}, reasonRateLimited, exhausted, false},
+		{"one rests, one is at its limit", []Notice{rest, limit}, reasonBackoff, 3 * time.Second, false},
 		{"a limit is not used up", []Notice{{Limited: true, Limit: 1000}}, "", 0, true},
 		{"one signals nothing", []Notice{rest, {}}, "", 0, true},
 	}
@@ -182,17 +182,17 @@
 		t.Run(s.testName, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, leave := context.WithCancel(t.Context())
-				peers := &ownerPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}, takes: func(int) time.Duration {
+				peers := &recordingPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}, takes: func(int) time.Duration {
 					leave()
 					return time.Hour
 				}}
-				f := stagedFlow(peers, 1, 1)
+				f := newStagedFlow(peers, 1, 1)
 				for i, notice := range s.notices {
-					target := listed(fmt.Sprint("e", i), "engines", "z")
-					f.server.fleet.Change(f.began, []FleetChange{put(uint64(i+1), target)})
-					f.server.fleet.takeSignal(f.began, &signal{Notice: notice, target: target, sent: f.began})
+					target := testTarget(fmt.Sprint("e", i), "engines", "z")
+					f.server.fleet.ApplyChanges(f.startedAt, []FleetChange{putChange(uint64(i+1), target)})
+					f.server.fleet.takeSignal(f.startedAt, &signal{Notice: notice, target: target, sent: f.startedAt})
 					if notice.Limit == limit.Limit {
-						f.server.placer.noteExhausted(f.began, exhausted, f.server.fleet.signalsOf(target.RunName()))
+						f.server.placer.noteExhausted(f.startedAt, exhausted, f.server.fleet.signalsOf(target.RunName()))
 					}
 				}
 				fail := f.run(ctx)
@@ -209,50 +209,50 @@
 
 // TestACallIsMadeWhenItsTargetHasRested guards against calls for pieces within a rest of the only target, and against pieces that are never made.
 func TestACallIsMadeWhenItsTargetHasRested(t *testing.T) {
-	b := NewBatcher(spec)
-	b.SetTargets([]proto.RelayTarget{listed("t", "p", "z")})
-	b.setTerms([]targetTerms{{id: "t", limit: noLimit, restUntil: start.Add(time.Second)}}, 1)
-	j := &Job{Ask: proto.PiecesAsk{Request: "r", Pieces: 1}, Due: start.Add(time.Minute), End: start.Add(time.Minute)}
+	b := NewBatcher(batchSpec)
+	b.SetTargets([]proto.RelayTarget{testTarget("t", "p", "z")})
+	b.setTargetLimits([]targetLimits{{id: "t", limit: noLimit, backoffUntil: start.Add(time.Second)}}, 1)
+	j := &Job{Params: proto.PiecesAsk{RequestID: "r", Pieces: 1}, Due: start.Add(time.Minute), Deadline: start.Add(time.Minute)}
 	if refused := b.Add(start, j); refused != nil {
 		t.Fatalf("refused: %+v", refused)
 	}
-	if calls, _ := b.Next(start.Add(time.Second - time.Nanosecond)); len(calls) > 0 {
+	if calls, _ := b.NextCalls(start.Add(time.Second - time.Nanosecond)); len(calls) > 0 {
 		t.Error("a call is made while the target rests")
 	}
-	if calls, _ := b.Next(start.Add(time.Second)); len(calls) != 1 {
+	if calls, _ := b.NextCalls(start.Add(time.Second)); len(calls) != 1 {
 		t.Errorf("%d calls are made after the rest", len(calls))
 	}
 }
 
 // TestACallIsMadeAgainOnlyAtATargetThatTakesIt guards against a second call, beside one that takes long, to a target that leaves, rests or is at its limit.
 func TestACallIsMadeAgainOnlyAtATargetThatTakesIt(t *testing.T) {
-	target := listed("t", "p", "z")
+	target := testTarget("t", "p", "z")
 	scenarios := []struct {
 		testName string
 		change   func(b *Batcher)
-		want     callStanding
+		want     overdueAction
 	}{
-		{"nothing is said", func(*Batcher) {}, callAlone},
-		{"it leaves", func(b *Batcher) { b.SetTargets(nil) }, callWaited},
+		{"nothing is said", func(*Batcher) {}, overdueRepeat},
+		{"it leaves", func(b *Batcher) { b.SetTargets(nil) }, overdueWait},
 		{"it rests", func(b *Batcher) {
-			b.setTerms([]targetTerms{{id: "t", limit: noLimit, restUntil: start.Add(time.Hour)}}, 1)
-		}, callWaited},
-		{"it is at its limit", func(b *Batcher) { b.setTerms([]targetTerms{{id: "t", limit: 1}}, 1) }, callWaited},
+			b.setTargetLimits([]targetLimits{{id: "t", limit: noLimit, backoffUntil: start.Add(time.Hour)}}, 1)
+		}, overdueWait},
+		{"it is at its limit", func(b *Batcher) { b.setTargetLimits([]targetLimits{{id: "t", limit: 1}}, 1) }, overdueWait},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			b := NewBatcher(spec)
+			b := NewBatcher(batchSpec)
 			b.SetTargets([]proto.RelayTarget{target})
-			j := &Job{Ask: proto.PiecesAsk{Request: "r", Pieces: 1}, Due: start.Add(time.Hour), End: start.Add(time.Hour)}
+			j := &Job{Params: proto.PiecesAsk{RequestID: "r", Pieces: 1}, Due: start.Add(time.Hour), Deadline: start.Add(time.Hour)}
 			if refused := b.Add(start, j); refused != nil {
 				t.Fatalf("refused: %+v", refused)
 			}
-			calls, _ := b.Next(start)
+			calls, _ := b.NextCalls(start)
 			if len(calls) != 1 {
 				t.Fatalf("%d calls", len(calls))
 			}
 			s.change(b)
-			if got := b.standing(start.Add(time.Minute), calls[0]); got != s.want {
+			if got := b.checkOverdue(start.Add(time.Minute), calls[0]); got != s.want {
 				t.Errorf("standing %d, want %d", got, s.want)
 			}
 		})
@@ -261,17 +261,17 @@
 
 // TestTheLogTellsWhatTargetsSaid guards against refusals whose log does not say which targets would have taken the request, and when.
 func TestTheLogTellsWhatTargetsSaid(t *testing.T) {
-	f := newFleet(put(1, listed("a", "p", "z")), put(2, listed("b", "p", "z")), put(3, listed("c", "p", "z")), put(4, listed("d", "p", "z")))
+	f := fleetWith(putChange(1, testTarget("a", "p", "z")), putChange(2, testTarget("b", "p", "z")), putChange(3, testTarget("c", "p", "z")), putChange(4, testTarget("d", "p", "z")))
 	asked(f, "a", 3*time.Second)
-	f.takeSignal(start, &signal{Notice: Notice{Limited: true, Limit: 0.5}, target: listed("b", "p", "z"), sent: start})
-	f.takeSignal(start, &signal{Notice: Notice{Leaving: true}, target: listed("c", "p", "z"), sent: start})
-	fourth := listed("d", "p", "z")
-	told := proto.TargetNotice{Target: "d", Run: fourth.RunName(), Limited: true, Limit: 2, Change: 1}
-	f.LearnNotices(start.Add(100*time.Millisecond), []proto.TargetNotice{told}, "vm-2")
+	f.takeSignal(start, &signal{Notice: Notice{Limited: true, Limit: 0.5}, target: testTarget("b", "p", "z"), sent: start})
+	f.takeSignal(start, &signal{Notice: Notice{Leaving: true}, target: testTarget("c", "p", "z"), sent: start})
+	fourth := testTarget("d", "p", "z")
+	told := proto.TargetNotice{Target: "d", Run: fourth.RunName(), HasLimit: true, Limit: 2, LimitVersion: 1}
+	f.MergeNotices(start.Add(100*time.Millisecond), []proto.TargetNotice{told}, "vm-2")
 	clock := clockwork.NewFakeClockAt(start.Add(400 * time.Millisecond))
 	p := NewPlacer("self", clock, hclog.NewNullLogger(), f, &scriptedPeers{silent: make(chan struct{})})
 	p.noteExhausted(clock.Now(), 700*time.Millisecond, told)
-	lines := p.signalLines("p")
+	lines := p.signalLogEntries("p")
 	for i := range lines {
 		lines[i].notice = proto.TargetNotice{}
 	}
