--- a/relay/fleetvoid.go
+++ b/relay/fleetvoid.go
@@ -34,7 +34,7 @@
 
 // noteLeft remembers a target that has left as of a revision.
 func (f *Fleet) noteLeft(now time.Time, t *Target, version proto.Revision) {
-	f.left[t.Spec.ID] = leftTarget{born: t.Spec.Born, said: t.leaves(), version: version, at: now}
+	f.left[t.Spec.ID] = leftTarget{born: t.Spec.StartedAt, said: t.leaves(), version: version, at: now}
 }
 
 func (f *Fleet) forgetLeft(now time.Time) {
@@ -50,7 +50,7 @@
 func (f *Fleet) isLeftOver(now time.Time, c FleetChange) bool {
 	l, known := f.left[c.ID]
 	switch {
-	case !known || c.Version.Era <= l.version.Era || c.Target.Born.After(l.born):
+	case !known || c.Version.Era <= l.version.Era || c.Target.StartedAt.After(l.born):
 		return false
 	case f.judged[c.ID] == c.Version || !l.said && c.Version.After(f.copied):
 		delete(f.left, c.ID)
@@ -89,8 +89,8 @@
 	}
 }
 
-// VoidOver returns the targets whose entries came back with a copy of the store so long ago that they are to be judged anew.
-func (f *Fleet) VoidOver(now time.Time) []string {
+// ExpireInvalid returns the targets whose entries came back with a copy of the store so long ago that they are to be judged anew.
+func (f *Fleet) ExpireInvalid(now time.Time) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var ids []string
@@ -106,19 +106,19 @@
 	return ids
 }
 
-// Void returns the void entries that this daemon knows of.
-func (f *Fleet) Void() []proto.VoidEntry {
+// InvalidEntries returns the void entries that this daemon knows of.
+func (f *Fleet) InvalidEntries() []proto.InvalidEntry {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	var list []proto.VoidEntry
+	var list []proto.InvalidEntry
 	for id, v := range f.void {
-		list = append(list, proto.VoidEntry{ID: id, Version: v.version, Restored: !v.until.IsZero()})
+		list = append(list, proto.InvalidEntry{ID: id, Version: v.version, Restored: !v.until.IsZero()})
 	}
 	return list
 }
 
-// VoidDigest returns a digest of the void entries, which is the same at daemons that know the same ones; 0 if none.
-func (f *Fleet) VoidDigest() uint64 {
+// InvalidDigest returns a digest of the void entries, which is the same at daemons that know the same ones; 0 if none.
+func (f *Fleet) InvalidDigest() uint64 {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	digest := uint64(0)
@@ -128,13 +128,13 @@
 	return digest
 }
 
-// LearnVoid takes in void entries that another daemon knows of: a target that is known by one is not used any more, and
+// MergeInvalid takes in void entries that another daemon knows of: a target that is known by one is not used any more, and
 // one that is read later never is.
-func (f *Fleet) LearnVoid(now time.Time, list []proto.VoidEntry) []FleetNote {
+func (f *Fleet) MergeInvalid(now time.Time, list []proto.InvalidEntry) []FleetEvent {
 	f.mu.Lock()
-	var notes []FleetNote
+	var notes []FleetEvent
 	for _, v := range list {
-		t := f.where[v.ID]
+		t := f.byID[v.ID]
 		if t != nil && t.version.After(v.Version) || !v.Version.After(f.void[v.ID].version) || f.judged[v.ID] == v.Version {
 			continue
 		}
--- a/relay/fleetzones.go
+++ b/relay/fleetzones.go
@@ -15,12 +15,12 @@
 // isEvacuated tells whether a zone is to get nothing more; the fleet is locked.
 func (f *Fleet) isEvacuated(zone string) bool {
 	e, ok := f.evacuations[zone]
-	return ok && !e.Over
+	return ok && !e.Ended
 }
 
-// Evacuate takes in evacuations and ends of them, of which the newest of a zone holds, and returns those that changed whether a
+// ApplyEvacuations takes in evacuations and ends of them, of which the newest of a zone holds, and returns those that changed whether a
 // zone gets new work. Work in progress goes on.
-func (f *Fleet) Evacuate(now time.Time, list []proto.Evacuation) []proto.Evacuation {
+func (f *Fleet) ApplyEvacuations(now time.Time, list []proto.Evacuation) []proto.Evacuation {
 	f.mu.Lock()
 	var changed []proto.Evacuation
 	pools := map[string]bool{}
@@ -31,7 +31,7 @@
 		before := f.isEvacuated(e.Zone)
 		f.takeEvacuation(now, e)
 		f.evacuatedAt = proto.Latest(f.evacuatedAt, e.Version)
-		if before == e.Over {
+		if before == e.Ended {
 			changed = append(changed, e)
 			f.markZone(now, e, pools)
 		}
@@ -45,16 +45,16 @@
 
 // replaces tells whether news of a zone holds against what is known. At the same revision its end does, since that is found out last.
 func replaces(e, known proto.Evacuation) bool {
-	return e.Version.After(known.Version) || e.Version == known.Version && e.Over && !known.Over
+	return e.Version.After(known.Version) || e.Version == known.Version && e.Ended && !known.Ended
 }
 
 // takeEvacuation remembers news of a zone.
 func (f *Fleet) takeEvacuation(now time.Time, e proto.Evacuation) {
 	delete(f.heldSince, e.Zone)
 	switch {
-	case e.Held:
+	case e.LostInRestore:
 		f.heldSince[e.Zone] = now
-	case !e.Over:
+	case !e.Ended:
 		f.evacuationRows[e.Zone] = e.Version.Version
 	}
 	f.evacuations[e.Zone] = e
@@ -63,12 +63,12 @@
 // markZone opens or closes the targets of a zone, and notes their pools. Those that come back count as cold: they may have
 // lost what they kept, and would draw all work at once since they have none.
 func (f *Fleet) markZone(now time.Time, e proto.Evacuation, pools map[string]bool) {
-	for _, t := range f.where {
+	for _, t := range f.byID {
 		t.pool.mu.Lock()
 		if t.Spec.Zone == e.Zone {
-			t.evacuated = !e.Over
-			if e.Over {
-				t.warmsIn(now, t.pool.cold.For)
+			t.evacuated = !e.Ended
+			if e.Ended {
+				t.warmsIn(now, t.pool.cold.WarmUpTime)
 			}
 			pools[t.Spec.Pool] = true
 		}
@@ -76,11 +76,11 @@
 	}
 }
 
-// EvacuationsAsOf returns what a whole list of evacuations, as of a revision of the store, says of each zone: those in the list are in
+// EvacuationsFromList returns what a whole list of evacuations, as of a revision of the store, says of each zone: those in the list are in
 // force, and others are over. A store that was restored from a copy lacks what the operator did since: an evacuation that it lacks
 // stays in force until the operator has had the time to ask for it again, and one that was over before stays over if the row is
 // still the old one.
-func (f *Fleet) EvacuationsAsOf(asOf proto.Revision, list []proto.Evacuation) []proto.Evacuation {
+func (f *Fleet) EvacuationsFromList(asOf proto.Revision, list []proto.Evacuation) []proto.Evacuation {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	var all []proto.Evacuation
@@ -88,31 +88,31 @@
 	for _, e := range list {
 		listed[e.Zone] = true
 		known := f.evacuations[e.Zone]
-		if known.Over && asOf.Era > known.Version.Era && e.Version.Version == f.evacuationRows[e.Zone] {
-			e = proto.Evacuation{Zone: e.Zone, Version: asOf, Over: true}
+		if known.Ended && asOf.Era > known.Version.Era && e.Version.Version == f.evacuationRows[e.Zone] {
+			e = proto.Evacuation{Zone: e.Zone, Version: asOf, Ended: true}
 		}
 		all = append(all, e)
 	}
 	for zone, known := range f.evacuations {
-		if listed[zone] || known.Over {
+		if listed[zone] || known.Ended {
 			continue
 		}
 		restored := asOf.Era > known.Version.Era
-		if restored || !known.Held {
-			all = append(all, proto.Evacuation{Zone: zone, Version: asOf, Over: !restored, Held: restored})
+		if restored || !known.LostInRestore {
+			all = append(all, proto.Evacuation{Zone: zone, Version: asOf, Ended: !restored, LostInRestore: restored})
 		}
 	}
 	return all
 }
 
-// HeldEvacuations returns the ends of the evacuations that a restored store lacks, and that the operator has not asked for again.
-func (f *Fleet) HeldEvacuations(now time.Time) []proto.Evacuation {
+// ExpiredEvacuations returns the ends of the evacuations that a restored store lacks, and that the operator has not asked for again.
+func (f *Fleet) ExpiredEvacuations(now time.Time) []proto.Evacuation {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	var ends []proto.Evacuation
 	for zone, since := range f.heldSince {
 		if now.Sub(since) >= rewriteWait {
-			ends = append(ends, proto.Evacuation{Zone: zone, Version: f.evacuations[zone].Version, Over: true})
+			ends = append(ends, proto.Evacuation{Zone: zone, Version: f.evacuations[zone].Version, Ended: true})
 		}
 	}
 	return ends
@@ -132,8 +132,8 @@
 	return f.evacuatedAt
 }
 
-// Evacuated returns the zones that get no new work, in order of name.
-func (f *Fleet) Evacuated() []string {
+// EvacuatedZones returns the zones that get no new work, in order of name.
+func (f *Fleet) EvacuatedZones() []string {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	var zones []string
@@ -146,12 +146,12 @@
 	return zones
 }
 
-// InZone returns the number of targets that a zone has.
-func (f *Fleet) InZone(zone string) int {
+// CountInZone returns the number of targets that a zone has.
+func (f *Fleet) CountInZone(zone string) int {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	count := 0
-	for _, t := range f.where {
+	for _, t := range f.byID {
 		t.pool.mu.Lock()
 		if t.Spec.Zone == zone {
 			count++
--- a/relay/fleetzones_test.go
+++ b/relay/fleetzones_test.go
@@ -13,7 +13,7 @@
 
 // evacuation is that of zone y, at a revision.
 func evacuation(version uint64, over bool) []proto.Evacuation {
-	return []proto.Evacuation{{Zone: "y", Version: rev(version), Over: over}}
+	return []proto.Evacuation{{Zone: "y", Version: rev(version), Ended: over}}
 }
 
 // TestAnEvacuatedZoneGetsNothing asks for a target in each way that work takes, with all targets of the other zone failing,
@@ -23,26 +23,26 @@
 		testName string
 		pick     func(f *Fleet) string
 	}{
-		{"a plain request", func(f *Fleet) string { return f.Pick(start, "p", Want{Zone: "y"}).Spec.ID }},
-		{"a prompt whose part is kept there", func(f *Fleet) string { return f.Pick(start, "p", prompt("part", 5000, 10)).Spec.ID }},
+		{"a plain request", func(f *Fleet) string { return f.Pick(start, "p", TargetCriteria{Zone: "y"}).Spec.ID }},
+		{"a prompt whose part is kept there", func(f *Fleet) string { return f.Pick(start, "p", promptCriteria("part", 5000, 10)).Spec.ID }},
 		{"all others fail", func(f *Fleet) string {
-			other := f.Pick(start, "p", Want{Zone: "z"})
+			other := f.Pick(start, "p", TargetCriteria{Zone: "z"})
 			for range 9 {
-				f.Ended(start, other, Want{}, false, VerdictBad, Load{})
+				f.FinishAttempt(start, other, TargetCriteria{}, false, VerdictFailure, Load{})
 			}
-			return f.Pick(start, "p", Want{Zone: "y"}).Spec.ID
+			return f.Pick(start, "p", TargetCriteria{Zone: "y"}).Spec.ID
 		}},
 		{"placed for another daemon", func(f *Fleet) string {
-			all, _ := placers(clockwork.NewFakeClockAt(start), f, engines(4))
-			return all["vm-1"].Choose(context.Background(), "p", prompt("part", 5000, 10)).Spec.ID
+			all, _ := newPlacers(clockwork.NewFakeClockAt(start), f, engineFleet(4))
+			return all["vm-1"].Choose(context.Background(), "p", promptCriteria("part", 5000, 10)).Spec.ID
 		}},
 		{"a call for pieces", func(f *Fleet) string { return f.Usable(start, "p")[0].ID }},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			f := engines(4)
-			f.Pick(start, "p", prompt("part", 5000, 10))
-			f.Evacuate(start, evacuation(50, false))
+			f := engineFleet(4)
+			f.Pick(start, "p", promptCriteria("part", 5000, 10))
+			f.ApplyEvacuations(start, evacuation(50, false))
 			for range 8 {
 				if got := s.pick(f); got == "e00" || got == "e02" {
 					t.Fatalf("%s is in the evacuated zone", got)
@@ -53,22 +53,22 @@
 }
 
 func TestAPoolWhoseZonesAreAllEvacuatedHasNoTarget(t *testing.T) {
-	f := newFleet(put(1, listed("a", "p", "y")))
-	f.Evacuate(start, evacuation(2, false))
-	if got := f.Pick(start, "p", Want{}); got != nil || f.Take(start, "p", "a", Want{}) != nil || len(f.Usable(start, "p")) > 0 {
+	f := fleetWith(putChange(1, testTarget("a", "p", "y")))
+	f.ApplyEvacuations(start, evacuation(2, false))
+	if got := f.Pick(start, "p", TargetCriteria{}); got != nil || f.PickByID(start, "p", "a", TargetCriteria{}) != nil || len(f.Usable(start, "p")) > 0 {
 		t.Errorf("the evacuated target gets work: %v", got)
 	}
 }
 
 // TestTheNewestWordOnAZoneHolds has news of an evacuation arrive in all orders, whole and in parts.
 func TestTheNewestWordOnAZoneHolds(t *testing.T) {
-	news := []proto.Evacuation{{Zone: "y", Version: rev(10)}, {Zone: "y", Version: rev(20), Over: true}, {Zone: "y", Version: rev(30)}}
+	news := []proto.Evacuation{{Zone: "y", Version: rev(10)}, {Zone: "y", Version: rev(20), Ended: true}, {Zone: "y", Version: rev(30)}}
 	for _, order := range [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}} {
-		f := newFleet(put(1, listed("a", "p", "y")), put(2, listed("b", "p", "z")))
+		f := fleetWith(putChange(1, testTarget("a", "p", "y")), putChange(2, testTarget("b", "p", "z")))
 		for _, i := range order {
-			f.Evacuate(start, news[i:i+1])
+			f.ApplyEvacuations(start, news[i:i+1])
 		}
-		if got := names(f, "p"); got != "b " || f.EvacuationsVersion() != rev(30) {
+		if got := usableIDs(f, "p"); got != "b " || f.EvacuationsVersion() != rev(30) {
 			t.Errorf("order %v: usable %q as of %s", order, got, f.EvacuationsVersion())
 		}
 	}
@@ -76,14 +76,14 @@
 
 // TestTargetsThatComeDuringAnEvacuationAreClosed lists a new target in the zone, and moves one there.
 func TestTargetsThatComeDuringAnEvacuationAreClosed(t *testing.T) {
-	f := newFleet(put(1, listed("a", "p", "z")), put(2, listed("b", "p", "z")))
-	f.Evacuate(start, evacuation(5, false))
-	f.Change(start, []FleetChange{put(6, listed("new", "p", "y")), put(7, listed("a", "p", "y"))})
-	if got := names(f, "p"); got != "b " {
+	f := fleetWith(putChange(1, testTarget("a", "p", "z")), putChange(2, testTarget("b", "p", "z")))
+	f.ApplyEvacuations(start, evacuation(5, false))
+	f.ApplyChanges(start, []FleetChange{putChange(6, testTarget("new", "p", "y")), putChange(7, testTarget("a", "p", "y"))})
+	if got := usableIDs(f, "p"); got != "b " {
 		t.Errorf("usable: %q", got)
 	}
-	f.Evacuate(start, evacuation(8, true))
-	if got := names(f, "p"); got != "a b new " {
+	f.ApplyEvacuations(start, evacuation(8, true))
+	if got := usableIDs(f, "p"); got != "a b new " {
 		t.Errorf("usable after the evacuation: %q", got)
 	}
 }
@@ -103,10 +103,10 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			f := newFleet(put(1, listed("a", "p", "y")))
-			f.Evacuate(start, s.known)
-			f.Evacuate(start, f.EvacuationsAsOf(rev(s.asOf), s.listed))
-			if got := fmt.Sprint(f.Evacuated()); got != s.want {
+			f := fleetWith(putChange(1, testTarget("a", "p", "y")))
+			f.ApplyEvacuations(start, s.known)
+			f.ApplyEvacuations(start, f.EvacuationsFromList(rev(s.asOf), s.listed))
+			if got := fmt.Sprint(f.EvacuatedZones()); got != s.want {
 				t.Errorf("evacuated: %s, want %s", got, s.want)
 			}
 		})
@@ -115,21 +115,21 @@
 
 // TestWorkInProgressInAnEvacuatedZoneGoesOn ends an attempt and a call there as usual.
 func TestWorkInProgressInAnEvacuatedZoneGoesOn(t *testing.T) {
-	f := newFleet(put(1, listed("a", "p", "y")))
-	attempt := f.Pick(start, "p", Want{})
-	b := NewBatcher(proto.BatchSpec{Slots: 1, Most: 2, CallCost: time.Millisecond, PieceCost: time.Millisecond, Keep: time.Second})
+	f := fleetWith(putChange(1, testTarget("a", "p", "y")))
+	attempt := f.Pick(start, "p", TargetCriteria{})
+	b := NewBatcher(proto.BatchSpec{Slots: 1, MaxPieces: 2, CallCost: time.Millisecond, PieceCost: time.Millisecond, ResultLifetime: time.Second})
 	b.SetTargets(f.Usable(start, "p"))
 	b.Add(start, job("r", 2))
-	calls, _ := b.Next(start)
-	f.Evacuate(start, evacuation(2, false))
+	calls, _ := b.NextCalls(start)
+	f.ApplyEvacuations(start, evacuation(2, false))
 	b.SetTargets(f.Usable(start, "p"))
-	f.Ended(start, attempt, Want{}, false, VerdictGood, Load{})
-	ends, _ := b.Done(start, calls[0], []ItemResult{{Handle: "h0"}, {Handle: "h1"}})
-	if len(ends) != 1 || ends[0].Answer.Fate != proto.PiecesDone || attempt.running.Err() != nil {
-		t.Errorf("ends %+v, the attempt's target %v", ends, attempt.running.Err())
+	f.FinishAttempt(start, attempt, TargetCriteria{}, false, VerdictSuccess, Load{})
+	ends, _ := b.CallDone(start, calls[0], []ItemResult{{Handle: "h0"}, {Handle: "h1"}})
+	if len(ends) != 1 || ends[0].Answer.Outcome != proto.PiecesDone || attempt.runCtx.Err() != nil {
+		t.Errorf("ends %+v, the attempt's target %v", ends, attempt.runCtx.Err())
 	}
 	b.Add(start, job("s", 2))
-	if calls, _ := b.Next(start); len(calls) > 0 {
+	if calls, _ := b.NextCalls(start); len(calls) > 0 {
 		t.Error("a call goes to the evacuated zone")
 	}
 }
--- a/relay/frees.go
+++ b/relay/frees.go
@@ -12,8 +12,8 @@
 )
 
 // frees gathers results to be freed by the target that holds them.
-type frees struct {
-	pieces *Pieces
+type freeQueue struct {
+	pieces *PieceScheduler
 	mu     sync.Mutex
 	due    map[netip.AddrPort]*freeing
 }
@@ -24,11 +24,11 @@
 	handles []string
 }
 
-func (f *frees) add(w *worker, handles []string) {
+func (f *freeQueue) enqueue(w *worker, handles []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, h := range handles {
-		maker, err := f.pieces.dialect.Maker(h)
+		maker, err := f.pieces.dialect.HandleAddress(h)
 		if err != nil {
 			f.pieces.log.Warn("a result cannot be freed", "handle", h, "error", err)
 			continue
@@ -44,15 +44,15 @@
 }
 
 // gather is how long results are gathered that a target is to free.
-func (f *frees) gather(maker netip.AddrPort) time.Duration {
+func (f *freeQueue) gather(maker netip.AddrPort) time.Duration {
 	limited, _ := f.pieces.fleet.signalsAt(maker)
 	if limited {
-		return limitedFreeEvery
+		return limitedFreeInterval
 	}
-	return freeEvery
+	return freeInterval
 }
 
-func (f *frees) flush(maker netip.AddrPort) {
+func (f *freeQueue) flush(maker netip.AddrPort) {
 	if _, restUntil := f.pieces.fleet.signalsAt(maker); f.pieces.clock.Now().Before(restUntil) {
 		f.pieces.clock.AfterFunc(f.pieces.clock.Until(restUntil), func() { f.flush(maker) })
 		return
@@ -65,7 +65,7 @@
 	go f.send(maker, next)
 }
 
-func (f *frees) send(maker netip.AddrPort, next *freeing) {
+func (f *freeQueue) send(maker netip.AddrPort, next *freeing) {
 	err := f.call(maker, next.handles)
 	if err != nil {
 		// The target drops results by itself after a time, and their room is counted until then.
@@ -77,10 +77,10 @@
 	}
 }
 
-func (f *frees) call(maker netip.AddrPort, handles []string) error {
+func (f *freeQueue) call(maker netip.AddrPort, handles []string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), freeWait)
 	defer cancel()
-	out, err := f.pieces.dialect.FreeCall(handles)
+	out, err := f.pieces.dialect.BuildFreeRequest(handles)
 	if err != nil {
 		return err
 	}
@@ -93,7 +93,7 @@
 		return &Error{Op: "free results", Kind: proto.KindUnknown, Err: err}
 	}
 	if in.Status != http.StatusOK {
-		return fault("free results", proto.KindUnknown, "the target answered with status %d", in.Status)
+		return newError("free results", proto.KindUnknown, "the target answered with status %d", in.Status)
 	}
 	return nil
 }
@@ -103,7 +103,7 @@
 	defer w.mu.Unlock()
 	now := w.pieces.clock.Now()
 	for _, h := range handles {
-		w.batch.Freed(now, h)
+		w.batcher.Freed(now, h)
 	}
 	w.turn()
 }
--- a/relay/groups.go
+++ b/relay/groups.go
@@ -13,62 +13,62 @@
 const divideEvery = 250 * time.Millisecond
 
 // routePrompts is how long the prompts of one route are, on average over the last seconds.
-type routePrompts struct {
-	tokens, requests state.Decay
+type promptStats struct {
+	tokens, requests state.DecayingSum
 	// missing are the tokens of shared parts that engines had to read.
-	missing state.Decay
+	missing state.DecayingSum
 	// gap is the longest pause between events of the route's streams that is still in time; 0 if there is no bound.
 	gap time.Duration
 }
 
-func (r *routePrompts) mean(now time.Time) float64 {
-	n := r.requests.Value(now, promptHalf)
+func (r *promptStats) mean(now time.Time) float64 {
+	n := r.requests.Value(now, promptHalfLife)
 	if n == 0 {
 		return 0
 	}
-	return r.tokens.Value(now, promptHalf) / n
+	return r.tokens.Value(now, promptHalfLife) / n
 }
 
 // notePrompt counts a request's prompt and divides the engines anew between routes with long prompts and the rest:
 // while an engine reads a long prompt, all streams beside it stand still.
-func (p *targetPool) notePrompt(now time.Time, w Want) {
+func (p *targetPool) recordPrompt(now time.Time, w TargetCriteria) {
 	if p.prompts == nil {
-		p.prompts = map[string]*routePrompts{}
+		p.prompts = map[string]*promptStats{}
 	}
 	r := p.prompts[w.Route]
 	if r == nil {
-		r = &routePrompts{}
+		r = &promptStats{}
 		p.prompts[w.Route] = r
 	}
-	r.tokens.Add(now, promptHalf, float64(w.OwnTokens))
-	r.requests.Add(now, promptHalf, 1)
-	r.gap = w.Gap
-	p.all.tokens.Add(now, promptHalf, float64(w.OwnTokens))
-	p.all.requests.Add(now, promptHalf, 1)
-	if now.Sub(p.divided) >= divideEvery || p.orderedOf != p.listed {
-		p.divided = now
+	r.tokens.Add(now, promptHalfLife, float64(w.OwnTokens))
+	r.requests.Add(now, promptHalfLife, 1)
+	r.gap = w.MaxPause
+	p.allPrompts.tokens.Add(now, promptHalfLife, float64(w.OwnTokens))
+	p.allPrompts.requests.Add(now, promptHalfLife, 1)
+	if now.Sub(p.dividedAt) >= divideEvery || p.sortedVersion != p.listVersion {
+		p.dividedAt = now
 		p.divide(now)
 	}
 }
 
-func (p *targetPool) isLong(now time.Time, route string) bool {
+func (p *targetPool) hasLongPrompts(now time.Time, route string) bool {
 	r := p.prompts[route]
-	return r == nil || r.mean(now) >= longRatio*p.all.mean(now)
+	return r == nil || r.mean(now) >= longPromptRatio*p.allPrompts.mean(now)
 }
 
 // divide marks the engines that take long prompts, in proportion to the tokens that these have.
 func (p *targetPool) divide(now time.Time) {
 	long, sum := 0.0, 0.0
 	for name, r := range p.prompts {
-		tokens := r.tokens.Value(now, promptHalf)
+		tokens := r.tokens.Value(now, promptHalfLife)
 		sum += tokens
-		if p.isLong(now, name) {
+		if p.hasLongPrompts(now, name) {
 			long += tokens
 		}
 	}
-	share := groupMost
+	share := maxLongShare
 	if sum > 0 {
-		share = min(groupMost, max(groupLeast, long/sum))
+		share = min(maxLongShare, max(minLongShare, long/sum))
 	}
 	if long == sum || long == 0 {
 		// With one kind of prompts there is nothing to keep apart.
@@ -79,18 +79,18 @@
 	}
 	first := int(math.Round(share * float64(len(p.list))))
 	for i, t := range p.byHash() {
-		t.long = i < first
+		t.longPrompts = i < first
 	}
 }
 
 // byHash orders the targets so that each daemon divides them alike, and a new one moves few others.
 func (p *targetPool) byHash() []*Target {
-	if len(p.ordered) != len(p.list) || p.orderedOf != p.listed {
-		p.orderedOf = p.listed
-		p.ordered = slices.Clone(p.list)
-		slices.SortFunc(p.ordered, func(a, b *Target) int {
-			return cmp.Compare(a.hash, b.hash)
+	if len(p.sortedByHash) != len(p.list) || p.sortedVersion != p.listVersion {
+		p.sortedVersion = p.listVersion
+		p.sortedByHash = slices.Clone(p.list)
+		slices.SortFunc(p.sortedByHash, func(a, b *Target) int {
+			return cmp.Compare(a.idHash, b.idHash)
 		})
 	}
-	return p.ordered
+	return p.sortedByHash
 }
--- a/relay/health.go
+++ b/relay/health.go
@@ -25,25 +25,25 @@
 
 // health is what requests of this daemon showed of one target.
 type health struct {
-	inRow    int
-	outUntil time.Time
-	rate     float64
+	consecutiveFailures int
+	outUntil            time.Time
+	rate                float64
 	// restarts counts the target's ends of a run, older ones for less.
-	restarts state.Decay
+	restarts state.DecayingSum
 }
 
 func (h *health) succeeded() {
-	h.inRow = 0
+	h.consecutiveFailures = 0
 	h.outUntil = time.Time{}
 	h.rate -= errorWeight * h.rate
 }
 
 func (h *health) failed(now time.Time) {
-	h.inRow++
+	h.consecutiveFailures++
 	h.rate += errorWeight * (1 - h.rate)
 	out := ejectMost
-	if h.inRow < 5 {
-		out = min(ejectMost, ejectBase<<(h.inRow-1))
+	if h.consecutiveFailures < 5 {
+		out = min(ejectMost, ejectBase<<(h.consecutiveFailures-1))
 	}
 	h.outUntil = now.Add(out)
 }
@@ -56,7 +56,7 @@
 	return next
 }
 
-func (h *health) out(now time.Time) bool { return now.Before(h.outUntil) }
+func (h *health) ejected(now time.Time) bool { return now.Before(h.outUntil) }
 
 // cost is what failures and restarts add to the expected time of an attempt.
 func (h *health) cost(now time.Time) float64 {
--- a/relay/homes_test.go
+++ b/relay/homes_test.go
@@ -15,42 +15,44 @@
 func threeRegions() *Fleet {
 	f := NewFleet(func(string) {})
 	for i := range 6 {
-		t := listed(fmt.Sprintf("e%02d", i), "p", "z")
+		t := testTarget(fmt.Sprintf("e%02d", i), "p", "z")
 		t.Region = []string{"north", "south", "east"}[i%3]
-		f.Change(start, []FleetChange{put(uint64(i+1), t)})
+		f.ApplyChanges(start, []FleetChange{putChange(uint64(i+1), t)})
 	}
 	return f
 }
 
 // TestNoTargetOutsideAHomeIsChosen asks in each way that work takes, also when all at home fail or were tried before.
 func TestNoTargetOutsideAHomeIsChosen(t *testing.T) {
-	home := proto.HomesIn([]string{"south"})
-	bound := func(w Want) Want {
-		w.Homes = home
+	home := proto.AllowRegions([]string{"south"})
+	bound := func(w TargetCriteria) TargetCriteria {
+		w.AllowedRegions = home
 		return w
 	}
 	scenarios := []struct {
 		testName string
 		pick     func(f *Fleet, i int) *Target
 	}{
-		{"a plain request", func(f *Fleet, _ int) *Target { return f.Pick(start, "p", bound(Want{Zone: "z"})) }},
-		{"prompts without number", func(f *Fleet, i int) *Target { return f.Pick(start, "p", bound(prompt(fmt.Sprint(i), 5000, 9000))) }},
+		{"a plain request", func(f *Fleet, _ int) *Target { return f.Pick(start, "p", bound(TargetCriteria{Zone: "z"})) }},
+		{"prompts without number", func(f *Fleet, i int) *Target {
+			return f.Pick(start, "p", bound(promptCriteria(fmt.Sprint(i), 5000, 9000)))
+		}},
 		{"all at home fail", func(f *Fleet, _ int) *Target {
-			got := f.Pick(start, "p", bound(Want{}))
-			f.Ended(start, got, Want{}, false, VerdictBad, Load{})
+			got := f.Pick(start, "p", bound(TargetCriteria{}))
+			f.FinishAttempt(start, got, TargetCriteria{}, false, VerdictFailure, Load{})
 			return got
 		}},
 		{"a retry", func(f *Fleet, _ int) *Target {
-			first := f.Pick(start, "p", bound(Want{}))
-			return f.Pick(start, "p", bound(Want{Tried: map[string]bool{first.Spec.ID: true}}))
+			first := f.Pick(start, "p", bound(TargetCriteria{}))
+			return f.Pick(start, "p", bound(TargetCriteria{Tried: map[string]bool{first.Spec.ID: true}}))
 		}},
 		{"a retry after all at home were tried", func(f *Fleet, _ int) *Target {
-			return f.Pick(start, "p", bound(Want{Tried: map[string]bool{"e01": true, "e04": true}}))
+			return f.Pick(start, "p", bound(TargetCriteria{Tried: map[string]bool{"e01": true, "e04": true}}))
 		}},
-		{"chosen by another daemon that does not know the home", func(f *Fleet, _ int) *Target { return f.Take(start, "p", "e00", bound(Want{})) }},
+		{"chosen by another daemon that does not know the home", func(f *Fleet, _ int) *Target { return f.PickByID(start, "p", "e00", bound(TargetCriteria{})) }},
 		{"placed for another daemon", func(f *Fleet, i int) *Target {
-			all, _ := placers(clockwork.NewFakeClockAt(start), f, threeRegions())
-			placed := all["vm-1"].Choose(context.Background(), "p", bound(prompt(fmt.Sprint(i), 5000, 9000)))
+			all, _ := newPlacers(clockwork.NewFakeClockAt(start), f, threeRegions())
+			placed := all["vm-1"].Choose(context.Background(), "p", bound(promptCriteria(fmt.Sprint(i), 5000, 9000)))
 			return placed.Target
 		}},
 	}
@@ -67,21 +69,21 @@
 }
 
 func TestBothHomesHold(t *testing.T) {
-	route, owner := proto.HomesIn([]string{"north", "south"}), proto.HomesIn([]string{"south", "east"})
+	route, owner := proto.AllowRegions([]string{"north", "south"}), proto.AllowRegions([]string{"south", "east"})
 	scenarios := []struct {
 		testName string
-		homes    proto.Homes
+		homes    proto.AllowedRegions
 		open     int
 	}{
-		{"none", proto.Homes{}.And(proto.Homes{}), 6},
-		{"the route's", route.And(proto.Homes{}), 4},
-		{"the workspace's", proto.Homes{}.And(owner), 4},
-		{"both", route.And(owner), 2},
-		{"both, which have nothing in common", route.And(proto.HomesIn([]string{"east"})), 0},
+		{"none", proto.AllowedRegions{}.Intersect(proto.AllowedRegions{}), 6},
+		{"the route's", route.Intersect(proto.AllowedRegions{}), 4},
+		{"the workspace's", proto.AllowedRegions{}.Intersect(owner), 4},
+		{"both", route.Intersect(owner), 2},
+		{"both, which have nothing in common", route.Intersect(proto.AllowRegions([]string{"east"})), 0},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			if got := threeRegions().Open("p", s.homes); got != s.open {
+			if got := threeRegions().OpenCount("p", s.homes); got != s.open {
 				t.Errorf("%d targets are open to the request, want %d", got, s.open)
 			}
 		})
@@ -91,11 +93,11 @@
 // TestPiecesAreMadeAtHome has a job that is bound to a region beside one that is not, in a pool with a target in each region; no
 // call for the first goes elsewhere, and without a target at home it is refused at once.
 func TestPiecesAreMadeAtHome(t *testing.T) {
-	spec := proto.BatchSpec{Slots: 1, Most: 4, CallCost: 10 * time.Millisecond, PieceCost: time.Millisecond, Keep: time.Second}
+	spec := proto.BatchSpec{Slots: 1, MaxPieces: 4, CallCost: 10 * time.Millisecond, PieceCost: time.Millisecond, ResultLifetime: time.Second}
 	targets := func(regions ...string) []proto.RelayTarget {
 		var list []proto.RelayTarget
 		for _, region := range regions {
-			target := listed("t-"+region, "p", "z")
+			target := testTarget("t-"+region, "p", "z")
 			target.Region = region
 			list = append(list, target)
 		}
@@ -105,7 +107,7 @@
 	b.SetTargets(targets("north", "south"))
 	for i := range 6 {
 		bound := job(fmt.Sprint("bound-", i), 2)
-		bound.Ask.Homes = proto.HomesIn([]string{"south"})
+		bound.Params.AllowedRegions = proto.AllowRegions([]string{"south"})
 		if refused := b.Add(start, bound); refused != nil {
 			t.Fatalf("refused: %s", refused.Detail)
 		}
@@ -113,19 +115,19 @@
 	}
 	made := 0
 	for range 20 {
-		calls, _ := b.Next(start)
+		calls, _ := b.NextCalls(start)
 		for _, c := range calls {
 			for _, item := range c.Items {
 				made++
-				if item.Job.Ask.Homes.Bound && c.Target.Region != "south" {
-					t.Fatalf("a piece of %s goes to %s", item.Job.Ask.Request, c.Target.ID)
+				if item.Job.Params.AllowedRegions.Restricted && c.Target.Region != "south" {
+					t.Fatalf("a piece of %s goes to %s", item.Job.Params.RequestID, c.Target.ID)
 				}
 			}
 			results := make([]ItemResult, len(c.Items))
 			for i := range results {
 				results[i].Handle = fmt.Sprint(c.Target.ID, made, i)
 			}
-			b.Done(start, c, results)
+			b.CallDone(start, c, results)
 		}
 	}
 	if made != 24 {
@@ -133,8 +135,8 @@
 	}
 	b.SetTargets(targets("north"))
 	away := job("away", 2)
-	away.Ask.Homes = proto.HomesIn([]string{"south"})
-	if refused := b.Add(start, away); refused == nil || refused.Fate != proto.PiecesRefused {
+	away.Params.AllowedRegions = proto.AllowRegions([]string{"south"})
+	if refused := b.Add(start, away); refused == nil || refused.Outcome != proto.PiecesRefused {
 		t.Errorf("a job without a target at home waits: %+v", refused)
 	}
 }
--- a/relay/job.go
+++ b/relay/job.go
@@ -9,9 +9,9 @@
 
 // Job is all pieces of one stage of one request.
 type Job struct {
-	Ask proto.PiecesAsk
+	Params proto.PiecesAsk
 	// Due is when the stage should end for the answer to be in time, and End when its result is of no use any more.
-	Due, End time.Time
+	Due, Deadline time.Time
 
 	since time.Time
 	order time.Time
@@ -64,13 +64,13 @@
 
 // Call is one batch to be sent to a target.
 type Call struct {
-	Target proto.RelayTarget
-	Items  []CallItem
-	Began  time.Time
+	Target    proto.RelayTarget
+	Items     []CallItem
+	StartedAt time.Time
 	// Expected is how long the call should take.
 	Expected time.Duration
 	// Least is the time of an empty call as the configuration states it.
-	Least time.Duration
+	BaseTime time.Duration
 
 	// overdue says that its pieces were queued again, since it takes much longer than expected.
 	overdue bool
@@ -86,12 +86,12 @@
 
 // ItemResult is what a target said of one piece: a handle, or why there is none.
 type ItemResult struct {
-	Handle string
-	Fate   proto.PieceFate
+	Handle  string
+	Outcome proto.PieceOutcome
 }
 
-// JobEnd is a job that ended with its answer.
-type JobEnd struct {
+// FinishedJob is a job that ended with its answer.
+type FinishedJob struct {
 	Job    *Job
 	Answer proto.PiecesAnswer
 }
--- a/relay/limits.go
+++ b/relay/limits.go
@@ -29,7 +29,7 @@
 )
 
 // allowance is a token bucket for the requests that a target's limit allows, which is empty at first and whose rate may change.
-type allowance struct {
+type tokenBucket struct {
 	bucket *rate.Limiter
 }
 
@@ -37,7 +37,7 @@
 func limitRate(limit, part float64) float64 { return max(limitLeast, limit) * part }
 
 // refill sets the rate, a second, from a moment on.
-func (a *allowance) refill(now time.Time, perSecond float64) {
+func (a *tokenBucket) refill(now time.Time, perSecond float64) {
 	burst := max(1, int(perSecond*limitBurst.Seconds()))
 	if a.bucket == nil {
 		a.bucket = rate.NewLimiter(rate.Limit(perSecond), burst)
@@ -49,7 +49,7 @@
 }
 
 // wait is how long it takes until a request is allowed; 0 if one is now.
-func (a *allowance) wait(now time.Time, perSecond float64) time.Duration {
+func (a *tokenBucket) wait(now time.Time, perSecond float64) time.Duration {
 	a.refill(now, perSecond)
 	lacking := 1 - a.bucket.TokensAt(now)
 	if lacking <= 0 {
@@ -59,7 +59,7 @@
 }
 
 // take counts a request, unless none is allowed.
-func (a *allowance) take(now time.Time, perSecond float64) bool {
+func (a *tokenBucket) take(now time.Time, perSecond float64) bool {
 	a.refill(now, perSecond)
 	return a.bucket.AllowN(now, 1)
 }
@@ -74,7 +74,7 @@
 
 // permit is what is known of the permits for one target.
 type permit struct {
-	allowance
+	tokenBucket
 	// exhaustedUntil is until when another daemon has none to hand out.
 	exhaustedUntil time.Time
 	asked          time.Time
@@ -116,7 +116,7 @@
 
 // handsOut tells whether this daemon hands out the permits for the targets of a pool, or else who does.
 func (p *Placer) handsOut(pool string) (owner proto.VM, own bool) {
-	owner = p.peers.Owner(placeTask+pool, nil)
+	owner = p.peers.Owner(placementTaskPrefix+pool, nil)
 	return owner, owner == "" || owner == p.self
 }
 
@@ -157,7 +157,7 @@
 	owner, own := p.handsOut(pool)
 	if !own {
 		p.log.Info("permits are handed out elsewhere", "pool", pool, "target", n.Target, "asker", to, "by", owner)
-		return proto.PermitAnswer{Wait: permitAgain}
+		return proto.PermitAnswer{RetryAfter: permitAgain}
 	}
 	share := p.peers.Share()
 	perSecond := limitRate(n.Limit, share.liveShare())
@@ -169,28 +169,28 @@
 	}
 	if !known.take(now, perSecond) {
 		p.permits.denied.Add(1)
-		return proto.PermitAnswer{Wait: known.wait(now, perSecond)}
+		return proto.PermitAnswer{RetryAfter: known.wait(now, perSecond)}
 	}
 	p.permits.granted.Add(1)
 	return proto.PermitAnswer{Granted: true}
 }
 
-// Permit answers a daemon that asks for a permit. Of what the two know of the limit, the newer holds.
-func (p *Placer) Permit(from proto.VM, ask proto.PermitAsk) proto.PermitAnswer {
+// HandlePermitAsk answers a daemon that asks for a permit. Of what the two know of the limit, the newer holds.
+func (p *Placer) HandlePermitAsk(from proto.VM, ask proto.PermitAsk) proto.PermitAnswer {
 	now := p.clock.Now()
 	if !ask.Notice.Valid() {
 		p.log.Warn("a limit in a message cannot be kept", "target", ask.Notice.Target, "limit", ask.Notice.Limit, "from", from)
-		return proto.PermitAnswer{Wait: permitAgain}
+		return proto.PermitAnswer{RetryAfter: permitAgain}
 	}
-	p.fleet.LearnNotices(now, []proto.TargetNotice{ask.Notice}, from)
-	if known := p.fleet.signalsOf(ask.Notice.Run); known.Limited {
+	p.fleet.MergeNotices(now, []proto.TargetNotice{ask.Notice}, from)
+	if known := p.fleet.signalsOf(ask.Notice.Run); known.HasLimit {
 		return p.grant(now, ask.Pool, &known, from)
 	}
 	return p.grant(now, ask.Pool, &ask.Notice, from)
 }
 
 // permitted counts a request within the limit of its target, if that names one; false means that the limit is used up.
-func (p *Placer) permitted(ctx context.Context, placed *Placed) bool {
+func (p *Placer) permitted(ctx context.Context, placed *Placement) bool {
 	n, limited := p.fleet.limitOf(placed.Target)
 	if !limited || placed.permitted {
 		return true
@@ -205,19 +205,19 @@
 	}
 	placed.permitted = answer.Granted
 	if !answer.Granted && !own {
-		p.noteExhausted(now, answer.Wait, n)
+		p.noteExhausted(now, answer.RetryAfter, n)
 	}
 	return answer.Granted
 }
 
 func (p *Placer) askPermit(ctx context.Context, owner proto.VM, pool string, n *proto.TargetNotice) proto.PermitAnswer {
-	ctx, cancel := context.WithTimeout(ctx, placeWait)
+	ctx, cancel := context.WithTimeout(ctx, placementTimeout)
 	defer cancel()
 	m, err := p.peers.Call(ctx, owner, proto.PermitAsk{Pool: pool, Notice: *n})
 	answer, ok := m.(proto.PermitAnswer)
 	if err != nil || !ok {
 		p.log.Info("no word on a permit", "pool", pool, "target", n.Target, "limit", n.Limit, "owner", owner, "error", err)
-		return proto.PermitAnswer{Wait: permitAgain}
+		return proto.PermitAnswer{RetryAfter: permitAgain}
 	}
 	return answer
 }
@@ -233,7 +233,7 @@
 }
 
 // roomIn returns how long it takes until a target of a pool that names a limit may get a request, and false if none names one.
-func (p *Placer) roomIn(pool string) (in time.Duration, limited bool) {
+func (p *Placer) limitWait(pool string) (in time.Duration, limited bool) {
 	targets := p.fleet.limited(pool)
 	if len(targets) == 0 {
 		return 0, false
@@ -242,12 +242,12 @@
 }
 
 // signalLines returns what the first targets of a pool signal, and when those with a limit may get a request.
-func (p *Placer) signalLines(pool string) []signalLine {
+func (p *Placer) signalLogEntries(pool string) []signalLine {
 	now := p.clock.Now()
 	lines := p.fleet.signalLines(now, pool)
 	for i := range lines {
-		if line := &lines[i]; line.notice.Limited {
-			line.Next = brief(p.permitsIn(now, pool, []proto.TargetNotice{line.notice})[0])
+		if line := &lines[i]; line.notice.HasLimit {
+			line.Next = formatDuration(p.permitsIn(now, pool, []proto.TargetNotice{line.notice})[0])
 		}
 	}
 	return lines
@@ -255,13 +255,13 @@
 
 // heldFor returns how long it takes until a target of a pool in some regions may get a request, by what the targets signal, and why none may
 // get one now; 0 if one may, as far as is known here.
-func (p *Placer) heldFor(pool string, homes proto.Homes) (in time.Duration, reason string) {
+func (p *Placer) signalWait(pool string, homes proto.AllowedRegions) (in time.Duration, reason string) {
 	now := p.clock.Now()
 	for i, t := range p.fleet.allHeld(now, pool, homes) {
-		left, why := t.left, reasonRest
-		if t.notice.Limited {
+		left, why := t.left, reasonBackoff
+		if t.notice.HasLimit {
 			if wait := p.permitsIn(now, pool, []proto.TargetNotice{t.notice})[0]; wait > left {
-				left, why = wait, reasonLimited
+				left, why = wait, reasonRateLimited
 			}
 		}
 		if i == 0 || left < in {
@@ -271,14 +271,14 @@
 	return in, reason
 }
 
-// PermitCounts are totals of permits for targets that name a limit, since the start.
-type PermitCounts struct {
+// PermitStats are totals of permits for targets that name a limit, since the start.
+type PermitStats struct {
 	Granted int64 `json:"granted"`
 	// Denied counts how often a limit was used up.
 	Denied int64 `json:"denied"`
 }
 
-// PermitCounts returns the totals.
-func (p *Placer) PermitCounts() PermitCounts {
-	return PermitCounts{Granted: p.permits.granted.Load(), Denied: p.permits.denied.Load()}
+// PermitStats returns the totals.
+func (p *Placer) PermitStats() PermitStats {
+	return PermitStats{Granted: p.permits.granted.Load(), Denied: p.permits.denied.Load()}
 }
--- a/relay/limits_test.go
+++ b/relay/limits_test.go
@@ -65,8 +65,8 @@
 	w := &limitFleet{clock: clockwork.NewFakeClockAt(start), random: rand.New(rand.NewPCG(seed, 11)), limit: limit}
 	for i := range daemons {
 		d := &limitDaemon{world: w, vm: proto.VM(fmt.Sprint("vm-", i))}
-		d.fleet = NewFleet(func(string) {}, WithNoticeNews(d.tell))
-		d.fleet.Change(start, []FleetChange{put(1, listed("t", "p", "z"))})
+		d.fleet = NewFleet(func(string) {}, WithNoticeHandler(d.tell))
+		d.fleet.ApplyChanges(start, []FleetChange{putChange(1, testTarget("t", "p", "z"))})
 		d.placer = NewPlacer(d.vm, w.clock, hclog.NewNullLogger(), d.fleet, d)
 		w.daemons = append(w.daemons, d)
 	}
@@ -81,7 +81,7 @@
 func (d *limitDaemon) tell(news []proto.TargetNotice) {
 	for _, other := range d.world.daemons {
 		if other != d && other.group == d.group {
-			d.world.after(limitHop, func() { other.fleet.LearnNotices(d.world.clock.Now(), news, d.vm) })
+			d.world.after(limitHop, func() { other.fleet.MergeNotices(d.world.clock.Now(), news, d.vm) })
 		}
 	}
 }
@@ -90,18 +90,18 @@
 	var owner proto.VM
 	var best uint64
 	for _, other := range d.world.daemons {
-		if rank := state.Rank(state.Hash(task), state.Hash(string(other.vm))); other.believed == d.believed && (owner == "" || rank > best) {
+		if rank := state.RendezvousScore(state.Hash(task), state.Hash(string(other.vm))); other.believed == d.believed && (owner == "" || rank > best) {
 			owner, best = other.vm, rank
 		}
 	}
 	return owner
 }
 
-func (d *limitDaemon) Silent(proto.VM) bool            { return false }
-func (d *limitDaemon) Sole(string, time.Duration) bool { return true }
+func (d *limitDaemon) Silent(proto.VM) bool                   { return false }
+func (d *limitDaemon) IsSoleOwner(string, time.Duration) bool { return true }
 func (d *limitDaemon) Send(to proto.VM, m proto.Message) {
 	if note, ok := m.(proto.PlaceNote); ok && d.reaches(to) {
-		d.world.daemon(to).placer.Note(note)
+		d.world.daemon(to).placer.HandlePlaceNote(note)
 	}
 }
 
@@ -122,9 +122,9 @@
 	}
 	switch ask := m.(type) {
 	case proto.PermitAsk:
-		return d.world.daemon(to).placer.Permit(d.vm, ask), nil
+		return d.world.daemon(to).placer.HandlePermitAsk(d.vm, ask), nil
 	case proto.PlaceAsk:
-		return d.world.daemon(to).placer.Place(ask), nil
+		return d.world.daemon(to).placer.HandlePlaceAsk(ask), nil
 	}
 	return nil, fmt.Errorf("not known")
 }
@@ -142,7 +142,7 @@
 
 // asks has a daemon send a request, if it finds a target.
 func (w *limitFleet) asks(d *limitDaemon, engine bool) {
-	placed := d.placer.Choose(context.Background(), "p", Want{Engine: engine, Route: "r", OwnTokens: 100})
+	placed := d.placer.Choose(context.Background(), "p", TargetCriteria{Engine: engine, Route: "r", OwnTokens: 100})
 	if placed == nil {
 		return
 	}
@@ -151,7 +151,7 @@
 	notice := Notice{Limit: max(0, w.limit), Limited: w.limit >= 0}
 	w.after(limitAnswer, func() {
 		d.fleet.takeSignal(w.clock.Now(), &signal{Notice: notice, target: placed.Spec, sent: sent})
-		placed.Ended(VerdictGood, Load{})
+		placed.Finish(VerdictSuccess, Load{})
 	})
 }
 
@@ -289,7 +289,7 @@
 		t.Run(s.testName, func(t *testing.T) {
 			w := newLimitFleet(1, 2, noLimit)
 			f := w.daemons[0].fleet
-			f.takeSignal(start, &signal{Notice: s.notice, target: listed("t", "p", "z"), sent: start, partial: s.partial})
+			f.takeSignal(start, &signal{Notice: s.notice, target: testTarget("t", "p", "z"), sent: start, partial: s.partial})
 			if got := len(f.limited("p")) > 0; got != s.limited {
 				t.Errorf("limited: %v", got)
 			}
@@ -306,9 +306,9 @@
 	w := newLimitFleet(1, 1, 1)
 	d := w.daemons[0]
 	w.runs(5*time.Second, 5, 1, false)
-	d.fleet.Evacuate(w.clock.Now(), []proto.Evacuation{{Zone: "z", Version: proto.Revision{Version: 5}}})
+	d.fleet.ApplyEvacuations(w.clock.Now(), []proto.Evacuation{{Zone: "z", Version: proto.Revision{Version: 5}}})
 	w.runs(2*time.Second, 5, 1, false)
-	d.fleet.Evacuate(w.clock.Now(), []proto.Evacuation{{Zone: "z", Version: proto.Revision{Version: 6}, Over: true}})
+	d.fleet.ApplyEvacuations(w.clock.Now(), []proto.Evacuation{{Zone: "z", Version: proto.Revision{Version: 6}, Ended: true}})
 	from := len(w.arrivals)
 	w.runs(5*time.Second, 5, 1, false)
 	if len(w.arrivals) == from {
@@ -319,13 +319,13 @@
 // TestADaemonThatMakesCallsBesideTheOwnerKeepsToAPart guards against two daemons that each use a target's whole limit for calls.
 func TestADaemonThatMakesCallsBesideTheOwnerKeepsToAPart(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(start)
-	p := newPieces(clock, &scriptedPeers{silent: make(chan struct{})}, &standSender{})
-	p.fleet.takeSignal(start, &signal{Notice: Notice{Limited: true, Limit: 4}, target: listed("t1", "p", "z"), sent: start})
-	w := p.worker(shard{pool: "p"})
+	p := newTestPieceScheduler(clock, &scriptedPeers{silent: make(chan struct{})}, &stubSender{})
+	p.fleet.takeSignal(start, &signal{Notice: Notice{Limited: true, Limit: 4}, target: testTarget("t1", "p", "z"), sent: start})
+	w := p.workerFor(shard{pool: "p"})
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if got := w.liveShare(); got != besideOwner {
-		t.Errorf("%g of the limit is used beside the owner, want %g", got, besideOwner)
+	if got := w.liveShare(); got != nonOwnerShare {
+		t.Errorf("%g of the limit is used beside the owner, want %g", got, nonOwnerShare)
 	}
 	w.pieces.self = "other"
 	if got := w.liveShare(); got != 1 {
@@ -339,13 +339,13 @@
 	d := w.daemons[0]
 	for i, limit := range []float64{100, 1} {
 		at := start.Add(time.Duration(i) * time.Second)
-		d.fleet.takeSignal(at, &signal{Notice: Notice{Limited: true, Limit: limit}, target: listed("t", "p", "z"), sent: at})
+		d.fleet.takeSignal(at, &signal{Notice: Notice{Limited: true, Limit: limit}, target: testTarget("t", "p", "z"), sent: at})
 	}
-	stale := proto.PermitAsk{Pool: "p", Notice: proto.TargetNotice{Target: "t", Run: "t", Limited: true, Limit: 100, Change: 1}}
+	stale := proto.PermitAsk{Pool: "p", Notice: proto.TargetNotice{Target: "t", Run: "t", HasLimit: true, Limit: 100, LimitVersion: 1}}
 	granted := 0
 	for range 100 {
 		w.clock.Advance(20 * time.Millisecond)
-		if d.placer.Permit("other", stale).Granted {
+		if d.placer.HandlePermitAsk("other", stale).Granted {
 			granted++
 		}
 	}
--- a/relay/linear_test.go
+++ b/relay/linear_test.go
@@ -96,7 +96,7 @@
 		m.times.observe(map[int]float64{theCall: 1, 1: 4}, float64(time.Second))
 	}
 	learnt := m.callCost()
-	spec.Most = 12
+	spec.MaxPieces = 12
 	m.respec(spec)
 	if m.callCost() != learnt {
 		t.Error("what was learnt is gone, though only the size of calls changed")
@@ -147,13 +147,13 @@
 }
 
 func TestAnEngineThatTurnsSlowIsLeftForOthers(t *testing.T) {
-	f := engines(6)
+	f := engineFleet(6)
 	now := start
 	slow := "e02"
 	counts := map[string]int{}
 	for i := range 400 {
-		w := prompt("", 0, 2000)
-		w.Shared = nil
+		w := promptCriteria("", 0, 2000)
+		w.SharedParts = nil
 		target := f.Pick(now, "p", w)
 		took := 150 * time.Millisecond
 		if target.Spec.ID == slow {
@@ -162,8 +162,8 @@
 		if i >= 200 {
 			counts[target.Spec.ID]++
 		}
-		f.Began(now.Add(took), target, w)
-		f.Ended(now.Add(took), target, w, true, VerdictGood, Load{})
+		f.RecordResponseStart(now.Add(took), target, w)
+		f.FinishAttempt(now.Add(took), target, w, true, VerdictSuccess, Load{})
 		now = now.Add(20 * time.Millisecond)
 	}
 	if counts[slow]*3 > 200/6 {
@@ -172,20 +172,20 @@
 }
 
 func TestAnotherDaemonStartsFromWhatThePlacerLearnt(t *testing.T) {
-	owner, other := engines(4), engines(4)
-	w := prompt("", 0, 3000)
-	w.Shared = nil
+	owner, other := engineFleet(4), engineFleet(4)
+	w := promptCriteria("", 0, 3000)
+	w.SharedParts = nil
 	for range 60 {
 		target := owner.Pick(start, "p", w)
-		owner.Began(start.Add(600*time.Millisecond), target, w)
-		owner.Ended(start.Add(time.Second), target, w, true, VerdictGood, Load{})
+		owner.RecordResponseStart(start.Add(600*time.Millisecond), target, w)
+		owner.FinishAttempt(start.Add(time.Second), target, w, true, VerdictSuccess, Load{})
 	}
-	other.AdoptEngineTimes("p", owner.EngineTimes("p"))
+	other.SetEngineTimes("p", owner.EngineTimes("p"))
 	learnt, adopted := owner.EngineTimes("p"), other.EngineTimes("p")
-	if learnt != adopted || learnt.Token <= priorToken {
+	if learnt != adopted || learnt.PerPromptToken <= priorToken {
 		t.Errorf("learnt %+v, adopted %+v", learnt, adopted)
 	}
-	other.AdoptEngineTimes("p", proto.EngineTimes{})
+	other.SetEngineTimes("p", proto.EngineTimes{})
 	if other.EngineTimes("p") != adopted {
 		t.Error("an answer that says nothing replaced what was known")
 	}
@@ -193,14 +193,14 @@
 
 // TestStreamsOfTightRoutesAreSpared offers an engine whose streams allow short pauses and one whose allow long ones.
 func TestStreamsOfTightRoutesAreSpared(t *testing.T) {
-	f := engines(2)
-	tight, loose := prompt("", 0, 10), prompt("", 0, 10)
-	tight.Gap, loose.Gap = 100*time.Millisecond, time.Second
+	f := engineFleet(2)
+	tight, loose := promptCriteria("", 0, 10), promptCriteria("", 0, 10)
+	tight.MaxPause, loose.MaxPause = 100*time.Millisecond, time.Second
 	for range 8 {
-		f.Began(start, f.Take(start, "p", "e00", tight), tight)
-		f.Began(start, f.Take(start, "p", "e01", loose), loose)
+		f.RecordResponseStart(start, f.PickByID(start, "p", "e00", tight), tight)
+		f.RecordResponseStart(start, f.PickByID(start, "p", "e01", loose), loose)
 	}
-	long := prompt("", 0, 6000)
+	long := promptCriteria("", 0, 6000)
 	if got := f.Pick(start, "p", long); got.Spec.ID != "e01" {
 		t.Errorf("a long prompt went beside the streams with short pauses")
 	}
--- a/relay/notices.go
+++ b/relay/notices.go
@@ -19,12 +19,12 @@
 	log     hclog.Logger
 }
 
-func newNoticingSender(sender Sender, dialect Dialect, fleet *Fleet, clock clockwork.Clock, log hclog.Logger) *noticingSender {
+func newNoticeSender(sender Sender, dialect Dialect, fleet *Fleet, clock clockwork.Clock, log hclog.Logger) *noticingSender {
 	return &noticingSender{sender: sender, dialect: dialect, fleet: fleet, clock: clock, log: log}
 }
 
 // Send returns the head of the answer. Its error is a *SendError.
-func (s *noticingSender) Send(ctx context.Context, to netip.AddrPort, out *Outgoing) (*Incoming, error) {
+func (s *noticingSender) Send(ctx context.Context, to netip.AddrPort, out *TargetRequest) (*TargetResponse, error) {
 	sent := s.clock.Now()
 	in, err := s.sender.Send(ctx, to, out)
 	// An answer of another target that has the address now says nothing of the one that was asked.
@@ -34,10 +34,10 @@
 	return in, err
 }
 
-func (s *noticingSender) takeSignal(sent time.Time, to netip.AddrPort, out *Outgoing, in *Incoming) {
-	h := signal{Notice: s.dialect.ReadNotice(in.Status, in.Header), target: out.Target, sent: sent}
+func (s *noticingSender) takeSignal(sent time.Time, to netip.AddrPort, out *TargetRequest, in *TargetResponse) {
+	h := signal{Notice: s.dialect.ParseNotice(in.Status, in.Header), target: out.Target, sent: sent}
 	if h.target.ID == "" {
-		if !h.Leaving && !h.Limited && h.Rest <= 0 {
+		if !h.Leaving && !h.Limited && h.Backoff <= 0 {
 			return
 		}
 		target, known := s.fleet.at(to)
@@ -53,6 +53,6 @@
 	}
 	for _, change := range s.fleet.takeSignal(s.clock.Now(), &h) {
 		s.log.Info(change.event, "target", h.target.ID, "run", h.target.RunName(), "pool", h.target.Pool, "address", to, "limit", change.limit, "before", change.before,
-			"rest", brief(change.rest), "status", in.Status, "uri", out.URI, "took", brief(s.clock.Now().Sub(sent)))
+			"rest", formatDuration(change.rest), "status", in.Status, "uri", out.URI, "took", formatDuration(s.clock.Now().Sub(sent)))
 	}
 }
--- a/relay/noticescope_test.go
+++ b/relay/noticescope_test.go
@@ -33,13 +33,13 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			f := newFleet(put(1, bornAt(1)))
+			f := fleetWith(putChange(1, bornAt(1)))
 			f.takeSignal(known, &signal{Notice: limited, target: bornAt(1), sent: start})
 			f.takeSignal(known.Add(time.Millisecond), &s.h)
 			if got := len(f.limited("p")) > 0; got != (s.limited && s.used) {
 				t.Errorf("limited: %v", got)
 			}
-			if got := f.Pick(known, "p", Want{Limited: map[string]bool{"t": true}}) != nil; got != s.used {
+			if got := f.Pick(known, "p", TargetCriteria{Limited: map[string]bool{"t": true}}) != nil; got != s.used {
 				t.Errorf("used: %v", got)
 			}
 		})
@@ -50,12 +50,12 @@
 func TestALimitThatCannotBeKeptIsNotLearnt(t *testing.T) {
 	for _, limit := range []float64{-1, math.NaN(), math.Inf(1)} {
 		w := newLimitFleet(1, 1, 1)
-		n := proto.TargetNotice{Target: "t", Run: "t", Limited: true, Limit: limit, Change: 9}
-		if news := w.daemons[0].fleet.LearnNotices(start, []proto.TargetNotice{n}, "other"); len(news) > 0 {
+		n := proto.TargetNotice{Target: "t", Run: "t", HasLimit: true, Limit: limit, LimitVersion: 9}
+		if news := w.daemons[0].fleet.MergeNotices(start, []proto.TargetNotice{n}, "other"); len(news) > 0 {
 			t.Errorf("a limit of %g was learnt", limit)
 		}
 		for range 2 {
-			if w.daemons[0].placer.Permit("other", proto.PermitAsk{Pool: "p", Notice: n}).Granted {
+			if w.daemons[0].placer.HandlePermitAsk("other", proto.PermitAsk{Pool: "p", Notice: n}).Granted {
 				t.Errorf("a permit was handed out at a limit of %g", limit)
 			}
 			w.clock.Advance(time.Minute)
@@ -65,42 +65,42 @@
 
 // TestAPlacerThatWasTurnedAwayChoosesForOthers guards against a target that no other daemon is sent to while it wants rest from the one that places.
 func TestAPlacerThatWasTurnedAwayChoosesForOthers(t *testing.T) {
-	all, _ := placers(clockwork.NewFakeClockAt(start), engines(1))
+	all, _ := newPlacers(clockwork.NewFakeClockAt(start), engineFleet(1))
 	owner := all["vm-0"]
-	owner.fleet.takeSignal(start, &signal{Notice: Notice{Rest: time.Second}, target: listed("e00", "p", "y"), sent: start})
-	if a := owner.Place(proto.PlaceAsk{Pool: "p"}); a.Target != "e00" {
+	owner.fleet.takeSignal(start, &signal{Notice: Notice{Backoff: time.Second}, target: testTarget("e00", "p", "y"), sent: start})
+	if a := owner.HandlePlaceAsk(proto.PlaceAsk{Pool: "p"}); a.Target != "e00" {
 		t.Errorf("chosen for another daemon: %+v", a)
 	}
-	if a := owner.Place(proto.PlaceAsk{Pool: "p", Without: []string{"e00"}}); a.Target != "" {
+	if a := owner.HandlePlaceAsk(proto.PlaceAsk{Pool: "p", Excluded: []string{"e00"}}); a.Target != "" {
 		t.Errorf("chosen for a daemon that the target wants rest from: %+v", a)
 	}
 }
 
 // noticeDialect reads every answer as saying the same.
 type noticeDialect struct {
-	standDialect
+	stubDialect
 	says Notice
 }
 
-func (d noticeDialect) ReadNotice(int, http.Header) Notice { return d.says }
+func (d noticeDialect) ParseNotice(int, http.Header) Notice { return d.says }
 
 // statusSender answers with a status.
 type statusSender struct{ status int }
 
-func (s statusSender) Send(context.Context, netip.AddrPort, *Outgoing) (*Incoming, error) {
-	return &Incoming{Status: s.status, Header: http.Header{}}, nil
+func (s statusSender) Send(context.Context, netip.AddrPort, *TargetRequest) (*TargetResponse, error) {
+	return &TargetResponse{Status: s.status, Header: http.Header{}}, nil
 }
 
 // TestAnAnswerOfAnotherTargetSaysNothingOfTheOneAsked guards against a target that is closed by what another one at its address says.
 func TestAnAnswerOfAnotherTargetSaysNothingOfTheOneAsked(t *testing.T) {
 	for status, leaves := range map[int]bool{http.StatusOK: true, http.StatusServiceUnavailable: true, http.StatusMisdirectedRequest: false} {
-		f := newFleet(put(1, listed("t", "p", "z")))
-		s := newNoticingSender(statusSender{status}, noticeDialect{says: Notice{Leaving: true}}, f, clockwork.NewFakeClockAt(start), hclog.NewNullLogger())
-		target := listed("t", "p", "z")
-		if _, err := s.Send(t.Context(), target.Address, &Outgoing{Target: target}); err != nil {
+		f := fleetWith(putChange(1, testTarget("t", "p", "z")))
+		s := newNoticeSender(statusSender{status}, noticeDialect{says: Notice{Leaving: true}}, f, clockwork.NewFakeClockAt(start), hclog.NewNullLogger())
+		target := testTarget("t", "p", "z")
+		if _, err := s.Send(t.Context(), target.Address, &TargetRequest{Target: target}); err != nil {
 			t.Fatal(err)
 		}
-		if closed := f.Pick(start, "p", Want{}) == nil; closed != leaves {
+		if closed := f.Pick(start, "p", TargetCriteria{}) == nil; closed != leaves {
 			t.Errorf("closed after status %d: %v", status, closed)
 		}
 	}
@@ -117,19 +117,19 @@
 		notice   Notice
 		after    time.Duration
 	}{
-		{"nothing said", Notice{}, freeEvery},
-		{"a limit", Notice{Limited: true, Limit: 1}, limitedFreeEvery},
-		{"rest", Notice{Rest: 3 * time.Second}, 3 * time.Second},
+		{"nothing said", Notice{}, freeInterval},
+		{"a limit", Notice{Limited: true, Limit: 1}, limitedFreeInterval},
+		{"rest", Notice{Backoff: 3 * time.Second}, 3 * time.Second},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			clock, sender := clockwork.NewFakeClockAt(start), &standSender{}
-			p := newPieces(clock, &scriptedPeers{silent: make(chan struct{})}, sender)
-			target := listed("m", "p", "z")
+			clock, sender := clockwork.NewFakeClockAt(start), &stubSender{}
+			p := newTestPieceScheduler(clock, &scriptedPeers{silent: make(chan struct{})}, sender)
+			target := testTarget("m", "p", "z")
 			target.Address = maker
-			p.fleet.Change(start, []FleetChange{removed(2, "t1"), put(3, target)})
+			p.fleet.ApplyChanges(start, []FleetChange{removeChange(2, "t1"), putChange(3, target)})
 			p.fleet.takeSignal(start, &signal{Notice: s.notice, target: target, sent: start})
-			p.frees.add(nil, []string{"10.0.0.1:80/a"})
+			p.freeQueue.enqueue(nil, []string{"10.0.0.1:80/a"})
 			calls := func() int {
 				sender.mu.Lock()
 				defer sender.mu.Unlock()
--- a/relay/outage.go
+++ b/relay/outage.go
@@ -23,10 +23,10 @@
 )
 
 // outageWait is when the caller of a request is to come back to a daemon that cannot serve anybody yet.
-func outageWait(r *Request) time.Duration {
-	if r.Wait == 0 {
+func outageRetryAfter(r *Request) time.Duration {
+	if r.CallerTimeout == 0 {
 		return outageUnknown
 	}
 	spread := 1 - outageSpread*float64(state.Hash(r.ID)%1000)/1000
-	return max(outageLeast, time.Duration(outagePart*spread*float64(r.Wait)))
+	return max(outageLeast, time.Duration(outagePart*spread*float64(r.CallerTimeout)))
 }
--- a/relay/outage_test.go
+++ b/relay/outage_test.go
@@ -29,7 +29,7 @@
 		t.Run(s.wait.String(), func(t *testing.T) {
 			earliest, latest := time.Hour, time.Duration(0)
 			for i := range 200 {
-				wait := outageWait(&Request{ID: fmt.Sprint("request-", i), Wait: s.wait})
+				wait := outageRetryAfter(&Request{ID: fmt.Sprint("request-", i), CallerTimeout: s.wait})
 				earliest, latest = min(earliest, wait), max(latest, wait)
 			}
 			if earliest < s.least || latest > s.most {
@@ -44,20 +44,20 @@
 
 // waitDialect reads how long a caller waits, and keeps when it is to come back.
 type waitDialect struct {
-	standDialect
+	stubDialect
 	wait, back time.Duration
 }
 
-func (d *waitDialect) ReadRequest(*http.Request) (*Request, error) {
-	return &Request{ID: "r", Wait: d.wait}, nil
+func (d *waitDialect) ParseRequest(*http.Request) (*Request, error) {
+	return &Request{ID: "r", CallerTimeout: d.wait}, nil
 }
 
-func (d *waitDialect) Refuse(_ http.Header, wait time.Duration) { d.back = wait }
+func (d *waitDialect) SetRetryAfter(_ http.Header, wait time.Duration) { d.back = wait }
 
 func TestADaemonWithoutAConfigurationSaysWhenToComeBack(t *testing.T) {
 	dialect := &waitDialect{wait: 6 * time.Second}
 	s := NewServer(ServerConfig{
-		Clock: clockwork.NewFakeClockAt(start), Log: hclog.NewNullLogger(), Dialect: dialect, Tables: &Tables{}, Limits: Limits{Open: 1},
+		Clock: clockwork.NewFakeClockAt(start), Log: hclog.NewNullLogger(), Dialect: dialect, Tables: &Tables{}, Limits: Limits{MaxOpen: 1},
 	})
 	answer := httptest.NewRecorder()
 	s.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/", nil))
--- a/relay/overload_test.go
+++ b/relay/overload_test.go
@@ -52,7 +52,7 @@
 	at     time.Time
 	begun  bool
 	tokens float64
-	placed *Placed
+	placed *Placement
 }
 
 // modelEngine reads the prompts that it was given, the urgent ones first, one after the other.
@@ -90,9 +90,9 @@
 	for i := range daemons {
 		f := NewFleet(func(string) {})
 		for e := range engines {
-			target := listed(fmt.Sprintf("e%03d", e), "p", "z")
+			target := testTarget(fmt.Sprintf("e%03d", e), "p", "z")
 			target.Slots = 24
-			f.Change(start, []FleetChange{put(uint64(e+1), target)})
+			f.ApplyChanges(start, []FleetChange{putChange(uint64(e+1), target)})
 			if o.engines[target.ID] == nil {
 				o.add(target.ID)
 			}
@@ -163,11 +163,11 @@
 	r.tries++
 	if o.admits {
 		answer, _ := p.Admit(context.Background(), proto.AdmitAsk{
-			Pool: "p", Route: r.kind.route, Digest: r.digest, Seed: o.random.Uint64(), Rank: r.kind.rank, Own: r.kind.own,
+			Pool: "p", Route: r.kind.route, Digest: r.digest, Seed: o.random.Uint64(), Rank: r.kind.rank, OwnTokens: r.kind.own,
 			Slack: r.first.Add(r.kind.goal).Sub(now) - r.kind.stages - 200*time.Millisecond,
 		})
 		if answer.Refused {
-			o.refuse(r, answer.Wait)
+			o.refuse(r, answer.RetryAfter)
 			return
 		}
 	}
@@ -187,11 +187,11 @@
 // place sends a request to an engine; one that is gone refuses the connection, and another is tried.
 func (o *overload) place(r *modelRequest) {
 	p := o.placers[o.random.IntN(len(o.placers))]
-	w := Want{
-		Engine: true, Route: r.kind.route, Rank: r.kind.rank, OwnTokens: r.kind.own, Gap: modelGap, Zone: "z", Tried: map[string]bool{},
-		Shared: []proto.PromptShare{{ID: fmt.Sprint(r.kind.route, o.random.IntN(200)), Tokens: r.kind.shared}},
+	w := TargetCriteria{
+		Engine: true, Route: r.kind.route, Rank: r.kind.rank, OwnTokens: r.kind.own, MaxPause: modelGap, Zone: "z", Tried: map[string]bool{},
+		SharedParts: []proto.PromptPart{{ID: fmt.Sprint(r.kind.route, o.random.IntN(200)), Tokens: r.kind.shared}},
 	}
-	for range attemptsMost {
+	for range maxAttempts {
 		placed := p.Choose(context.Background(), "p", w)
 		if placed == nil {
 			break
@@ -199,7 +199,7 @@
 		e := o.engines[placed.Spec.ID]
 		if e.gone {
 			w.Tried[placed.Spec.ID] = true
-			placed.Ended(VerdictBad, Load{})
+			placed.Finish(VerdictFailure, Load{})
 			continue
 		}
 		r.placed, r.tokens = placed, float64(r.kind.own+r.kind.shared/2)
@@ -210,7 +210,7 @@
 		e.queue = slices.Insert(e.queue, at, r)
 		return
 	}
-	o.refuse(r, retryFloor)
+	o.refuse(r, minRetryWait)
 }
 
 // read has an engine read for one tick.
@@ -234,8 +234,8 @@
 
 func (o *overload) firstEvent(r *modelRequest) {
 	now := o.clock.Now()
-	r.placed.Began()
-	r.placed.Ended(VerdictGood, Load{})
+	r.placed.RecordResponseStart()
+	r.placed.Finish(VerdictSuccess, Load{})
 	o.served[r.kind.route]++
 	if !now.After(r.first.Add(r.kind.goal)) {
 		o.inTime[int(now.Sub(start).Seconds())] += float64(r.kind.own + r.kind.shared/2)
@@ -248,7 +248,7 @@
 		e := o.engines[fmt.Sprintf("e%03d", i)]
 		e.gone = true
 		for _, r := range e.queue {
-			r.placed.Ended(VerdictBad, Load{})
+			r.placed.Finish(VerdictFailure, Load{})
 			r.at = o.clock.Now()
 			o.waiting = append(o.waiting, r)
 		}
@@ -259,24 +259,24 @@
 // lapse has the entries of engines that are gone be removed.
 func (o *overload) lapse(count int) {
 	for i := range count {
-		o.change(func(version uint64) FleetChange { return removed(version, fmt.Sprintf("e%03d", i)) })
+		o.change(func(version uint64) FleetChange { return removeChange(version, fmt.Sprintf("e%03d", i)) })
 	}
 }
 
 // come has new engines list themselves.
 func (o *overload) come(count int) {
 	for i := range count {
-		target := listed(fmt.Sprintf("new%03d", i), "p", "z")
+		target := testTarget(fmt.Sprintf("new%03d", i), "p", "z")
 		target.Slots = 24
 		o.add(target.ID)
-		o.change(func(version uint64) FleetChange { return put(version, target) })
+		o.change(func(version uint64) FleetChange { return putChange(version, target) })
 	}
 }
 
 func (o *overload) change(of func(version uint64) FleetChange) {
 	o.version++
 	for _, f := range o.fleets {
-		f.Change(o.clock.Now(), []FleetChange{of(1000 + o.version)})
+		f.ApplyChanges(o.clock.Now(), []FleetChange{of(1000 + o.version)})
 	}
 }
 
@@ -396,7 +396,7 @@
 	o := newOverload(t, 140, 8, 5)
 	o.play(5*time.Second, 1)
 	for _, p := range o.placers {
-		if p.saidBusy("p") || len(p.admissions) > 0 && p.admissions["p"].asked != nil {
+		if p.reportedBusy("p") || len(p.admissions) > 0 && p.admissions["p"].demand != nil {
 			t.Error("requests were admitted in a calm pool")
 		}
 	}
@@ -411,11 +411,11 @@
 		b.Run(fmt.Sprint("engines=", engines), func(b *testing.B) {
 			f := NewFleet(func(string) {})
 			for e := range engines {
-				f.Change(start, []FleetChange{put(uint64(e+1), listed(fmt.Sprintf("e%03d", e), "p", "z"))})
+				f.ApplyChanges(start, []FleetChange{putChange(uint64(e+1), testTarget(fmt.Sprintf("e%03d", e), "p", "z"))})
 			}
 			p := NewPlacer("vm", clockwork.NewFakeClockAt(start), hclog.NewNullLogger(), f, &peersOf{self: "vm", owner: "vm"})
 			for i := range b.N {
-				p.Decide(proto.AdmitAsk{Pool: "p", Route: "r", Digest: proto.RequestDigest(i), Rank: i % 6, Own: 2000, Slack: time.Second})
+				p.DecideAdmission(proto.AdmitAsk{Pool: "p", Route: "r", Digest: proto.RequestDigest(i), Rank: i % 6, OwnTokens: 2000, Slack: time.Second})
 			}
 		})
 	}
--- a/relay/piececall.go
+++ b/relay/piececall.go
@@ -37,7 +37,7 @@
 	}
 	open := 1
 	go begin()
-	overdue := p.clock.NewTimer(callSlack * max(c.Expected, c.Least))
+	overdue := p.clock.NewTimer(callSlack * max(c.Expected, c.BaseTime))
 	defer overdue.Stop()
 	for {
 		select {
@@ -48,28 +48,28 @@
 			}
 		case <-overdue.Chan():
 			switch standing := w.standing(c); {
-			case standing == callOver:
+			case standing == overdueAbandon:
 				return nil, errCallGivenUp
-			case standing == callAlone && open < callsBeside:
+			case standing == overdueRepeat && open < callsBeside:
 				p.log.Warn("a call for pieces takes long and is made again beside", "pool", w.pool, "shard", w.index, "target", c.Target.ID, "pieces", len(c.Items),
-					"took", brief(p.clock.Now().Sub(c.Began)), "expected", brief(c.Expected), "reason", "no other target may make them")
+					"took", formatDuration(p.clock.Now().Sub(c.StartedAt)), "expected", formatDuration(c.Expected), "reason", "no other target may make them")
 				open++
 				go begin()
 			}
-			overdue.Reset(max(c.Expected, c.Least, startLeast))
+			overdue.Reset(max(c.Expected, c.BaseTime, minStartTimeout))
 		}
 	}
 }
 
-func (w *worker) standing(c *Call) callStanding {
+func (w *worker) standing(c *Call) overdueAction {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.batch.standing(w.pieces.clock.Now(), c)
+	return w.batcher.checkOverdue(w.pieces.clock.Now(), c)
 }
 
 // call sends one call and reads its answer.
-func (p *Pieces) call(ctx context.Context, c *Call) ([]ItemResult, error) {
-	out, err := p.dialect.PiecesCall(c, p.clock.Now())
+func (p *PieceScheduler) call(ctx context.Context, c *Call) ([]ItemResult, error) {
+	out, err := p.dialect.BuildPiecesRequest(c, p.clock.Now())
 	if err != nil {
 		return nil, err
 	}
@@ -87,7 +87,7 @@
 		return nil, errBusy
 	}
 	if in.Status != http.StatusOK {
-		return nil, fault("call for pieces", proto.KindUnknown, "the target answered with status %d", in.Status)
+		return nil, newError("call for pieces", proto.KindUnknown, "the target answered with status %d", in.Status)
 	}
-	return p.dialect.PiecesResult(body, len(c.Items))
+	return p.dialect.ParsePiecesResponse(body, len(c.Items))
 }
--- a/relay/piececall_test.go
+++ b/relay/piececall_test.go
@@ -18,18 +18,18 @@
 // busyBeside answers only its first call, after a time, and refuses others meanwhile, as a target with one slot does.
 func busyBeside(first racer) racer {
 	var calls atomic.Int64
-	return func(ctx context.Context) (*Incoming, error) {
+	return func(ctx context.Context) (*TargetResponse, error) {
 		if calls.Add(1) > 1 {
-			return answersAfter(raceUsual, http.StatusServiceUnavailable, io.EOF)(ctx)
+			return respondsAfter(raceTypicalLatency, http.StatusServiceUnavailable, io.EOF)(ctx)
 		}
 		return first(ctx)
 	}
 }
 
 // inTurn answers each call by the next racer.
-func inTurn(racers ...racer) racer {
+func respondsInTurn(racers ...racer) racer {
 	var calls atomic.Int64
-	return func(ctx context.Context) (*Incoming, error) { return racers[calls.Add(1)-1](ctx) }
+	return func(ctx context.Context) (*TargetResponse, error) { return racers[calls.Add(1)-1](ctx) }
 }
 
 // TestACallForPiecesIsNotGivenUpForOneThatCannotBeMade has a call for a stage take twenty times as long as expected. It is given up only for
@@ -37,50 +37,50 @@
 func TestACallForPiecesIsNotGivenUpForOneThatCannotBeMade(t *testing.T) {
 	const long = 5 * time.Second
 	made := func(wait time.Duration) racer { return whole(wait, "{}") }
-	south := proto.HomesIn([]string{"south"})
+	south := proto.AllowRegions([]string{"south"})
 	scenarios := []struct {
 		testName string
 		racers   []racer
-		homes    proto.Homes
+		homes    proto.AllowedRegions
 		// leaves says that the second target leaves.
 		leaves bool
 		// most is within what time the pieces are made, and asked how often the first target is called.
 		most  time.Duration
 		asked int
 	}{
-		{"the only target is late", []racer{busyBeside(made(long))}, proto.Homes{}, false, long, 0},
-		{"the other one leaves", []racer{busyBeside(made(long)), made(0)}, proto.Homes{}, true, long, 0},
-		{"the other one is away from the regions of the request", []racer{busyBeside(made(long)), made(0)}, proto.HomesIn([]string{"north"}), false, long, 0},
-		{"the other one breaks off", []racer{busyBeside(made(long)), breaksAfter(raceUsual)}, proto.Homes{}, false, long, 0},
-		{"the only target's connection has fallen silent", []racer{inTurn(hangs, made(raceUsual))}, proto.Homes{}, false, long / 2, 2},
+		{"the only target is late", []racer{busyBeside(made(long))}, proto.AllowedRegions{}, false, long, 0},
+		{"the other one leaves", []racer{busyBeside(made(long)), made(0)}, proto.AllowedRegions{}, true, long, 0},
+		{"the other one is away from the regions of the request", []racer{busyBeside(made(long)), made(0)}, proto.AllowRegions([]string{"north"}), false, long, 0},
+		{"the other one breaks off", []racer{busyBeside(made(long)), failsAfter(raceTypicalLatency)}, proto.AllowedRegions{}, false, long, 0},
+		{"the only target's connection has fallen silent", []racer{respondsInTurn(hangs, made(raceTypicalLatency))}, proto.AllowedRegions{}, false, long / 2, 2},
 		{"the only target at home is late", []racer{made(0), busyBeside(made(long))}, south, false, long, 0},
-		{"another makes them", []racer{hangs, made(raceUsual)}, proto.Homes{}, false, long / 2, 1},
-		{"another has hung as well", []racer{busyBeside(made(long)), hangs}, proto.Homes{}, false, long, 0},
-		{"all connections have fallen silent", []racer{inTurn(hangs, made(raceUsual)), inTurn(hangs, made(raceUsual))}, proto.Homes{}, false, long / 2, 2},
+		{"another makes them", []racer{hangs, made(raceTypicalLatency)}, proto.AllowedRegions{}, false, long / 2, 1},
+		{"another has hung as well", []racer{busyBeside(made(long)), hangs}, proto.AllowedRegions{}, false, long, 0},
+		{"all connections have fallen silent", []racer{respondsInTurn(hangs, made(raceTypicalLatency)), respondsInTurn(hangs, made(raceTypicalLatency))}, proto.AllowedRegions{}, false, long / 2, 2},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				clock := clockwork.NewRealClock()
-				sender := &raceSender{racers: map[netip.AddrPort]racer{}, asked: map[netip.AddrPort]int{}, gaveUp: map[netip.AddrPort]int{}}
-				p := newPieces(clock, &scriptedPeers{silent: make(chan struct{})}, sender)
-				p.fleet.Change(clock.Now(), []FleetChange{removed(2, "t1")})
+				sender := &raceSender{racers: map[netip.AddrPort]racer{}, asked: map[netip.AddrPort]int{}, canceled: map[netip.AddrPort]int{}}
+				p := newTestPieceScheduler(clock, &scriptedPeers{silent: make(chan struct{})}, sender)
+				p.fleet.ApplyChanges(clock.Now(), []FleetChange{removeChange(2, "t1")})
 				for i, r := range s.racers {
 					sender.racers[raceAddress(i)] = r
 					target := raceTarget(i)
 					target.Leaving = s.leaves && i == 1
-					p.fleet.Change(clock.Now(), []FleetChange{put(uint64(10+i), target)})
+					p.fleet.ApplyChanges(clock.Now(), []FleetChange{putChange(uint64(10+i), target)})
 				}
 				now := clock.Now()
-				w := p.worker(shard{pool: "p"})
-				ask := proto.PiecesAsk{Pool: "p", Request: "r", Pieces: 2, Bytes: 10, Homes: s.homes}
-				answers, refused := w.add(&Job{Ask: ask, Due: now.Add(time.Hour), End: now.Add(time.Hour)})
+				w := p.workerFor(shard{pool: "p"})
+				ask := proto.PiecesAsk{Pool: "p", RequestID: "r", Pieces: 2, ResultBytes: 10, AllowedRegions: s.homes}
+				answers, refused := w.add(&Job{Params: ask, Due: now.Add(time.Hour), Deadline: now.Add(time.Hour)})
 				if refused != nil {
 					t.Fatal(refused.Detail)
 				}
 				answer := <-answers
-				if took := time.Since(now); answer.Fate != proto.PiecesDone || took > s.most+time.Second/2 {
-					t.Errorf("%s after %s: %s", answer.Fate, took, answer.Detail)
+				if took := time.Since(now); answer.Outcome != proto.PiecesDone || took > s.most+time.Second/2 {
+					t.Errorf("%s after %s: %s", answer.Outcome, took, answer.Detail)
 				}
 				if n := sender.askedOf(0); s.asked > 0 && n != s.asked {
 					t.Errorf("the first target was called %d times, want %d", n, s.asked)
--- a/relay/pieces_test.go
+++ b/relay/pieces_test.go
@@ -17,11 +17,13 @@
 )
 
 // standDialect makes one handle a piece and knows no other message.
-type standDialect struct{ Dialect }
+type stubDialect struct{ Dialect }
 
-func (standDialect) PiecesCall(*Call, time.Time) (Outgoing, error) { return Outgoing{URI: "/run"}, nil }
+func (stubDialect) BuildPiecesRequest(*Call, time.Time) (TargetRequest, error) {
+	return TargetRequest{URI: "/run"}, nil
+}
 
-func (standDialect) PiecesResult(_ []byte, n int) ([]ItemResult, error) {
+func (stubDialect) ParsePiecesResponse(_ []byte, n int) ([]ItemResult, error) {
 	made := make([]ItemResult, n)
 	for i := range made {
 		made[i].Handle = "10.0.0.1:80/" + string(rune('a'+i))
@@ -29,13 +31,15 @@
 	return made, nil
 }
 
-func (standDialect) Header(*Request, *Forward) http.Header { return http.Header{} }
+func (stubDialect) Header(*Request, *ForwardInfo) http.Header { return http.Header{} }
 
-func (standDialect) ReadNotice(int, http.Header) Notice { return Notice{} }
+func (stubDialect) ParseNotice(int, http.Header) Notice { return Notice{} }
 
-func (standDialect) FreeCall([]string) (Outgoing, error) { return Outgoing{URI: "/free"}, nil }
+func (stubDialect) BuildFreeRequest([]string) (TargetRequest, error) {
+	return TargetRequest{URI: "/free"}, nil
+}
 
-func (standDialect) Maker(string) (netip.AddrPort, error) {
+func (stubDialect) HandleAddress(string) (netip.AddrPort, error) {
 	return netip.MustParseAddrPort("10.0.0.1:80"), nil
 }
 
@@ -44,16 +48,16 @@
 func (emptyBody) Close() error { return nil }
 
 // standSender answers every call at once.
-type standSender struct {
+type stubSender struct {
 	mu    sync.Mutex
 	calls int
 }
 
-func (s *standSender) Send(context.Context, netip.AddrPort, *Outgoing) (*Incoming, error) {
+func (s *stubSender) Send(context.Context, netip.AddrPort, *TargetRequest) (*TargetResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
-	return &Incoming{Status: http.StatusOK, Header: http.Header{}, Body: emptyBody{strings.NewReader("{}")}}, nil
+	return &TargetResponse{Status: http.StatusOK, Header: http.Header{}, Body: emptyBody{strings.NewReader("{}")}}, nil
 }
 
 // scriptedPeers has one other daemon, which answers as a test says.
@@ -80,9 +84,9 @@
 	}
 }
 
-func (p *scriptedPeers) Sole(string, time.Duration) bool { return true }
+func (p *scriptedPeers) IsSoleOwner(string, time.Duration) bool { return true }
 
-func (p *scriptedPeers) Share() Share { return Share{Part: 0.5, Counted: 2} }
+func (p *scriptedPeers) Share() Share { return Share{Fraction: 0.5, Counted: 2} }
 
 func (p *scriptedPeers) Send(_ proto.VM, m proto.Message) {
 	p.mu.Lock()
@@ -94,16 +98,16 @@
 	return p.answer(ctx)
 }
 
-func newPieces(clock clockwork.Clock, peers Peers, sender Sender) *Pieces {
+func newTestPieceScheduler(clock clockwork.Clock, peers Peers, sender Sender) *PieceScheduler {
 	tables := &Tables{}
-	tables.Adopt(&proto.Routing{Version: 1, Pools: map[string]*proto.RelayPool{"p": {Name: "p", Batch: &spec}}})
-	f := newFleet(put(1, listed("t1", "p", "z")))
-	return NewPieces("self", clock, hclog.NewNullLogger(), standDialect{}, sender, peers, f, tables)
+	tables.ReplaceIfNewer(&proto.Routing{Version: 1, Pools: map[string]*proto.RelayPool{"p": {Name: "p", Batch: &batchSpec}}})
+	f := fleetWith(putChange(1, testTarget("t1", "p", "z")))
+	return NewPieceScheduler("self", clock, hclog.NewNullLogger(), stubDialect{}, sender, peers, f, tables)
 }
 
-func askPieces(p *Pieces, clock clockwork.Clock) proto.PiecesAnswer {
+func askPieces(p *PieceScheduler, clock clockwork.Clock) proto.PiecesAnswer {
 	now := clock.Now()
-	return p.Ask(context.Background(), proto.PiecesAsk{Pool: "p", Request: "r", Pieces: 2, Bytes: 10}, now.Add(time.Hour), now.Add(time.Hour))
+	return p.Run(context.Background(), proto.PiecesAsk{Pool: "p", RequestID: "r", Pieces: 2, ResultBytes: 10}, now.Add(time.Hour), now.Add(time.Hour))
 }
 
 func TestPiecesAreMadeHereWhenTheOwnerCannot(t *testing.T) {
@@ -113,23 +117,23 @@
 		calls  int
 	}{
 		{"the owner does it", func(context.Context) (proto.Message, error) {
-			return proto.PiecesAnswer{Fate: proto.PiecesDone, Handles: []string{"x", "y"}}, nil
+			return proto.PiecesAnswer{Outcome: proto.PiecesDone, Handles: []string{"x", "y"}}, nil
 		}, 0},
 		{"the owner refuses, which is its word", func(context.Context) (proto.Message, error) {
-			return proto.PiecesAnswer{Fate: proto.PiecesRefused}, nil
+			return proto.PiecesAnswer{Outcome: proto.PiecesRefused}, nil
 		}, 0},
 		{"the owner cannot be reached", func(context.Context) (proto.Message, error) { return nil, errors.New("cut off") }, 1},
 		{"the owner has just started", func(context.Context) (proto.Message, error) {
-			return proto.PiecesAnswer{Fate: proto.PiecesElsewhere}, nil
+			return proto.PiecesAnswer{Outcome: proto.PiecesElsewhere}, nil
 		}, 1},
 		{"the owner answers something else", func(context.Context) (proto.Message, error) { return proto.Done{}, nil }, 1},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			sender := &standSender{}
+			sender := &stubSender{}
 			clock := clockwork.NewRealClock()
-			answer := askPieces(newPieces(clock, &scriptedPeers{answer: s.answer, silent: make(chan struct{})}, sender), clock)
-			if s.calls > 0 && (answer.Fate != proto.PiecesDone || len(answer.Handles) != 2) {
+			answer := askPieces(newTestPieceScheduler(clock, &scriptedPeers{answer: s.answer, silent: make(chan struct{})}, sender), clock)
+			if s.calls > 0 && (answer.Outcome != proto.PiecesDone || len(answer.Handles) != 2) {
 				t.Errorf("answer %+v", answer)
 			}
 			sender.mu.Lock()
@@ -147,10 +151,10 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}}
-	sender := &standSender{}
+	sender := &stubSender{}
 	clock := clockwork.NewRealClock()
 	close(peers.silent)
-	if answer := askPieces(newPieces(clock, peers, sender), clock); answer.Fate != proto.PiecesDone {
+	if answer := askPieces(newTestPieceScheduler(clock, peers, sender), clock); answer.Outcome != proto.PiecesDone {
 		t.Errorf("answer %+v", answer)
 	}
 	peers.mu.Lock()
@@ -161,15 +165,15 @@
 }
 
 func TestAChangedPoolIsTakenOverByItsBatcher(t *testing.T) {
-	p := newPieces(clockwork.NewRealClock(), &ownerPeers{}, &standSender{})
-	w := p.worker(shard{pool: "p"})
-	changed := spec
-	changed.Most, changed.CallCost = 3*spec.Most, 2*spec.CallCost
-	p.tables.Adopt(&proto.Routing{Version: 2, Pools: map[string]*proto.RelayPool{"p": {Name: "p", Batch: &changed}}})
+	p := newTestPieceScheduler(clockwork.NewRealClock(), &recordingPeers{}, &stubSender{})
+	w := p.workerFor(shard{pool: "p"})
+	changed := batchSpec
+	changed.MaxPieces, changed.CallCost = 3*batchSpec.MaxPieces, 2*batchSpec.CallCost
+	p.tables.ReplaceIfNewer(&proto.Routing{Version: 2, Pools: map[string]*proto.RelayPool{"p": {Name: "p", Batch: &changed}}})
 	p.RoutingChanged()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.batch.spec.Most != changed.Most || w.batch.model.callCost() != float64(changed.CallCost) {
-		t.Errorf("calls of %d pieces at most that take %v", w.batch.spec.Most, time.Duration(w.batch.model.callCost()))
+	if w.batcher.spec.MaxPieces != changed.MaxPieces || w.batcher.model.callCost() != float64(changed.CallCost) {
+		t.Errorf("calls of %d pieces at most that take %v", w.batcher.spec.MaxPieces, time.Duration(w.batcher.model.callCost()))
 	}
 }
--- a/relay/place.go
+++ b/relay/place.go
@@ -16,11 +16,11 @@
 
 const (
 	// placeWait bounds the asking for a target: the way is a millisecond, and without an answer the daemon decides alone.
-	placeWait = 60 * time.Millisecond
+	placementTimeout = 60 * time.Millisecond
 	// placeLate is how long a late answer is waited for, to say that it is not used.
 	placeLate = 2 * time.Second
 	// placeTask begins the name of the task of placing the requests of a pool.
-	placeTask = "place/"
+	placementTaskPrefix = "place/"
 	// leaseMost is how long a placed request is counted when nobody says how it ended.
 	leaseMost = 25 * time.Second
 )
@@ -37,10 +37,10 @@
 	// admissions decide for the pools that this daemon places for, and busyUntil is until when requests for a pool are to be admitted
 	// by the daemon that places for it.
 	admitMu    sync.Mutex
-	admissions map[string]*admission
+	admissions map[string]*admissionController
 	busyUntil  map[string]time.Time
 	// cold counts what this daemon sends to cold targets.
-	cold coldSends
+	coldLimiter coldSendLimiter
 	// permits are those for targets that name a limit.
 	permits permits
 
@@ -52,25 +52,25 @@
 // placement is an attempt that this daemon placed for another.
 type placement struct {
 	target *Target
-	want   Want
+	want   TargetCriteria
 	began  bool
 	at     time.Time
 }
 
 // NewPlacer returns a placer that has placed nothing.
 func NewPlacer(self proto.VM, clock clockwork.Clock, log hclog.Logger, fleet *Fleet, peers Peers) *Placer {
-	return &Placer{self: self, clock: clock, log: log, fleet: fleet, peers: peers, leases: map[uint64]placement{}, cold: coldSends{targets: map[string]*coldTarget{}}, permits: newPermits(), admissions: map[string]*admission{}, busyUntil: map[string]time.Time{}}
+	return &Placer{self: self, clock: clock, log: log, fleet: fleet, peers: peers, leases: map[uint64]placement{}, coldLimiter: coldSendLimiter{targets: map[string]*coldTarget{}}, permits: newPermits(), admissions: map[string]*admissionController{}, busyUntil: map[string]time.Time{}}
 }
 
-// Placed is a target chosen for an attempt.
-type Placed struct {
+// Placement is a target chosen for an attempt.
+type Placement struct {
 	Target *Target
 	// Spec is the target's entry as it was when it was chosen; the entry may change at any time.
 	Spec proto.RelayTarget
 
 	placer *Placer
 	pool   string
-	want   Want
+	want   TargetCriteria
 	owner  proto.VM // another daemon that counts the attempt, or ""
 	lease  uint64
 	began  bool
@@ -82,7 +82,7 @@
 }
 
 // Choose returns the target for an attempt, or nil if there is none; Ended must be called for it.
-func (p *Placer) Choose(ctx context.Context, pool string, w Want) *Placed {
+func (p *Placer) Choose(ctx context.Context, pool string, w TargetCriteria) *Placement {
 	for range max(coldTries, limitTries) {
 		now := p.clock.Now()
 		w.Cold, w.Limited = p.mayBeSent(now, pool, w.Rank), p.mayBeAsked(now, pool)
@@ -91,37 +91,37 @@
 			return placed
 		}
 		// Other requests have taken what was left for the target.
-		placed.Ended(VerdictNone, Load{})
+		placed.Finish(VerdictNone, Load{})
 	}
 	w.Cold, w.Limited = nil, nil
 	placed := p.choose(ctx, pool, w)
 	if placed != nil && !p.permitted(ctx, placed) {
-		placed.Ended(VerdictNone, Load{})
+		placed.Finish(VerdictNone, Load{})
 		return nil
 	}
 	return placed
 }
 
-// ChooseAgain returns a target that has run the request before for another attempt, or nil if it may get none now; Ended must be called
+// ChooseByID returns a target that has run the request before for another attempt, or nil if it may get none now; Ended must be called
 // for it.
-func (p *Placer) ChooseAgain(ctx context.Context, pool, id string, w Want) *Placed {
+func (p *Placer) ChooseByID(ctx context.Context, pool, id string, w TargetCriteria) *Placement {
 	now := p.clock.Now()
 	w.Cold, w.Limited = p.mayBeSent(now, pool, w.Rank), p.mayBeAsked(now, pool)
-	t := p.fleet.Take(now, pool, id, w)
+	t := p.fleet.PickByID(now, pool, id, w)
 	if t == nil {
 		return nil
 	}
-	placed := &Placed{Target: t, Spec: p.fleet.Spec(t), placer: p, pool: pool, want: w}
+	placed := &Placement{Target: t, Spec: p.fleet.Spec(t), placer: p, pool: pool, want: w}
 	if w.Cold[id] && !p.countCold(now, placed) || !p.permitted(ctx, placed) {
-		placed.Ended(VerdictNone, Load{})
+		placed.Finish(VerdictNone, Load{})
 		return nil
 	}
 	return placed
 }
 
-func (p *Placer) choose(ctx context.Context, pool string, w Want) *Placed {
+func (p *Placer) choose(ctx context.Context, pool string, w TargetCriteria) *Placement {
 	if w.Engine {
-		if owner := p.peers.Owner(placeTask+pool, nil); owner != "" && owner != p.self {
+		if owner := p.peers.Owner(placementTaskPrefix+pool, nil); owner != "" && owner != p.self {
 			if placed, decided := p.remote(ctx, owner, pool, w); decided {
 				return placed
 			}
@@ -132,38 +132,38 @@
 	if t == nil {
 		return nil
 	}
-	return &Placed{Target: t, Spec: p.fleet.Spec(t), placer: p, pool: pool, want: w}
+	return &Placement{Target: t, Spec: p.fleet.Spec(t), placer: p, pool: pool, want: w}
 }
 
 // remote asks the daemon that places for the pool; it has decided unless this daemon should choose alone.
-func (p *Placer) remote(ctx context.Context, owner proto.VM, pool string, w Want) (placed *Placed, decided bool) {
+func (p *Placer) remote(ctx context.Context, owner proto.VM, pool string, w TargetCriteria) (placed *Placement, decided bool) {
 	without := p.fleet.Out(p.clock.Now(), pool)
 	for id := range w.Tried {
 		without = append(without, id)
 	}
 	a, ok, err := p.ask(ctx, owner, proto.PlaceAsk{
-		Pool: pool, Route: w.Route, Shared: w.Shared, Own: w.OwnTokens, Zone: w.Zone, Inputs: w.Inputs, Without: without, Gap: w.Gap,
-		Cold: slices.Collect(maps.Keys(w.Cold)), Homes: w.Homes,
+		Pool: pool, Route: w.Route, SharedParts: w.SharedParts, OwnTokens: w.OwnTokens, Zone: w.Zone, InputBytes: w.InputBytes, Excluded: without, MaxPause: w.MaxPause,
+		Cold: slices.Collect(maps.Keys(w.Cold)), AllowedRegions: w.AllowedRegions,
 	})
-	p.noteBusy(pool, a.Busy)
-	if err == nil && ok && a.Crowded {
+	p.recordBusy(pool, a.AdmissionRequired)
+	if err == nil && ok && a.AtCapacity {
 		return nil, true
 	}
-	if a.Limited > 0 {
-		p.noteExhausted(p.clock.Now(), a.Limited, p.fleet.limited(pool)...)
+	if a.LimitWait > 0 {
+		p.noteExhausted(p.clock.Now(), a.LimitWait, p.fleet.limited(pool)...)
 	}
 	if err != nil || !ok || a.Target == "" {
-		p.log.Info("choosing a target alone", "pool", pool, "owner", owner, "error", err, "limitsExhaustedFor", brief(a.Limited))
+		p.log.Info("choosing a target alone", "pool", pool, "owner", owner, "error", err, "limitsExhaustedFor", formatDuration(a.LimitWait))
 		return nil, false
 	}
-	p.fleet.AdoptEngineTimes(pool, a.Times)
-	t := p.fleet.Take(p.clock.Now(), pool, a.Target, w)
+	p.fleet.SetEngineTimes(pool, a.Times)
+	t := p.fleet.PickByID(p.clock.Now(), pool, a.Target, w)
 	if t == nil {
 		p.peers.Send(owner, proto.PlaceNote{Pool: pool, Lease: a.Lease})
 		p.log.Info("choosing a target alone", "pool", pool, "owner", owner, "target", a.Target, "reason", "it is not listed here")
 		return nil, false
 	}
-	return &Placed{Target: t, Spec: p.fleet.Spec(t), placer: p, pool: pool, want: w, owner: owner, lease: a.Lease, permitted: a.Permitted}, true
+	return &Placement{Target: t, Spec: p.fleet.Spec(t), placer: p, pool: pool, want: w, owner: owner, lease: a.Lease, permitted: a.Permitted}, true
 }
 
 // errLateAnswer says that the daemon that places for a pool has not answered in time.
@@ -183,7 +183,7 @@
 		m, err := p.peers.Call(ctx, owner, ask)
 		replies <- reply{m, err}
 	}()
-	timer := p.clock.NewTimer(placeWait)
+	timer := p.clock.NewTimer(placementTimeout)
 	defer timer.Stop()
 	select {
 	case r := <-replies:
@@ -202,45 +202,45 @@
 	return a, false, err
 }
 
-// Began notes that the target has read the prompt.
-func (p *Placed) Began() {
+// RecordResponseStart notes that the target has read the prompt.
+func (p *Placement) RecordResponseStart() {
 	p.began = true
 	p.arrived()
-	p.placer.fleet.Began(p.placer.clock.Now(), p.Target, p.want)
+	p.placer.fleet.RecordResponseStart(p.placer.clock.Now(), p.Target, p.want)
 	if p.owner != "" {
-		p.placer.peers.Send(p.owner, proto.PlaceNote{Pool: p.pool, Lease: p.lease, Began: true})
+		p.placer.peers.Send(p.owner, proto.PlaceNote{Pool: p.pool, Lease: p.lease, PromptRead: true})
 	}
 }
 
-// HasOther tells whether a request could go to another target than those that it was sent to, as far as is known here.
-func (p *Placer) HasOther(pool string, w Want) bool {
+// HasAlternative tells whether a request could go to another target than those that it was sent to, as far as is known here.
+func (p *Placer) HasAlternative(pool string, w TargetCriteria) bool {
 	now := p.clock.Now()
 	w.Cold, w.Limited = p.mayBeSent(now, pool, w.Rank), p.mayBeAsked(now, pool)
 	return p.fleet.Has(now, pool, w)
 }
 
-// Late notes that the attempt takes longer than it should, so that others go to other targets meanwhile.
-func (p *Placed) Late() {
-	p.placer.fleet.Late(p.placer.clock.Now(), p.Target)
+// ReportSlow notes that the attempt takes longer than it should, so that others go to other targets meanwhile.
+func (p *Placement) ReportSlow() {
+	p.placer.fleet.ReportSlow(p.placer.clock.Now(), p.Target)
 	if p.owner != "" {
 		p.placer.peers.Send(p.owner, proto.PlaceNote{Pool: p.pool, Lease: p.lease, Late: true})
 	}
 }
 
-// Ended notes how the attempt ended.
-func (p *Placed) Ended(v Verdict, load Load) {
+// Finish notes how the attempt ended.
+func (p *Placement) Finish(v HealthVerdict, load Load) {
 	p.arrived()
-	p.placer.fleet.Ended(p.placer.clock.Now(), p.Target, p.want, p.began, v, load)
+	p.placer.fleet.FinishAttempt(p.placer.clock.Now(), p.Target, p.want, p.began, v, load)
 	if p.owner != "" {
 		p.placer.peers.Send(p.owner, proto.PlaceNote{Pool: p.pool, Lease: p.lease, Verdict: uint8(v)})
 	}
 }
 
-// Place chooses a target for another daemon.
-func (p *Placer) Place(ask proto.PlaceAsk) proto.PlaceAnswer {
+// HandlePlaceAsk chooses a target for another daemon.
+func (p *Placer) HandlePlaceAsk(ask proto.PlaceAsk) proto.PlaceAnswer {
 	now := p.clock.Now()
-	w := Want{Route: ask.Route, Shared: ask.Shared, OwnTokens: ask.Own, Zone: ask.Zone, Inputs: ask.Inputs, Gap: ask.Gap, Homes: ask.Homes, Engine: true, Elsewhere: true, Tried: map[string]bool{}, Cold: map[string]bool{}}
-	for _, id := range ask.Without {
+	w := TargetCriteria{Route: ask.Route, SharedParts: ask.SharedParts, OwnTokens: ask.OwnTokens, Zone: ask.Zone, InputBytes: ask.InputBytes, MaxPause: ask.MaxPause, AllowedRegions: ask.AllowedRegions, Engine: true, Elsewhere: true, Tried: map[string]bool{}, Cold: map[string]bool{}}
+	for _, id := range ask.Excluded {
 		w.Tried[id] = true
 	}
 	for _, id := range ask.Cold {
@@ -249,19 +249,19 @@
 	busy := p.isBusy(now, ask.Pool)
 	t, permitted := p.pick(now, ask.Pool, w)
 	if t == nil {
-		in, _ := p.roomIn(ask.Pool)
-		return proto.PlaceAnswer{Crowded: p.fleet.Crowded(now, ask.Pool), Limited: in, Busy: busy}
+		in, _ := p.limitWait(ask.Pool)
+		return proto.PlaceAnswer{AtCapacity: p.fleet.AtCapacity(now, ask.Pool), LimitWait: in, AdmissionRequired: busy}
 	}
 	id, times := p.fleet.Spec(t).ID, p.fleet.EngineTimes(ask.Pool)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.next++
 	p.leases[p.next] = placement{target: t, want: w, at: now}
-	return proto.PlaceAnswer{Target: id, Lease: p.next, Times: times, Busy: busy, Permitted: permitted}
+	return proto.PlaceAnswer{Target: id, Lease: p.next, Times: times, AdmissionRequired: busy, Permitted: permitted}
 }
 
 // pick chooses a target for another daemon, and counts the request within the limit of the target if that names one.
-func (p *Placer) pick(now time.Time, pool string, w Want) (t *Target, permitted bool) {
+func (p *Placer) pick(now time.Time, pool string, w TargetCriteria) (t *Target, permitted bool) {
 	for range limitTries {
 		w.Limited = p.mayBeAsked(now, pool)
 		t = p.fleet.Pick(now, pool, w)
@@ -275,17 +275,17 @@
 		if p.grant(now, pool, &n, "").Granted {
 			return t, true
 		}
-		p.fleet.Ended(now, t, w, false, VerdictNone, Load{})
+		p.fleet.FinishAttempt(now, t, w, false, VerdictNone, Load{})
 	}
 	return nil, false
 }
 
-// Note takes in how far a placed attempt has come.
-func (p *Placer) Note(n proto.PlaceNote) {
+// HandlePlaceNote takes in how far a placed attempt has come.
+func (p *Placer) HandlePlaceNote(n proto.PlaceNote) {
 	p.mu.Lock()
 	l, ok := p.leases[n.Lease]
 	switch {
-	case ok && n.Began:
+	case ok && n.PromptRead:
 		l.began = true
 		p.leases[n.Lease] = l
 	case !n.Late:
@@ -295,18 +295,18 @@
 	switch {
 	case !ok:
 	case n.Late:
-		p.fleet.Late(p.clock.Now(), l.target)
-	case n.Began:
-		p.fleet.Began(p.clock.Now(), l.target, l.want)
+		p.fleet.ReportSlow(p.clock.Now(), l.target)
+	case n.PromptRead:
+		p.fleet.RecordResponseStart(p.clock.Now(), l.target, l.want)
 	default:
-		p.fleet.Ended(p.clock.Now(), l.target, l.want, l.began, Verdict(n.Verdict), Load{})
+		p.fleet.FinishAttempt(p.clock.Now(), l.target, l.want, l.began, HealthVerdict(n.Verdict), Load{})
 	}
 }
 
 // Sweep ends the leases of which nothing was heard for too long; it comes several times a second.
 func (p *Placer) Sweep() {
 	now := p.clock.Now()
-	p.cold.sweep(now)
+	p.coldLimiter.sweep(now)
 	p.permits.sweep(now)
 	p.sweepAdmissions(now)
 	p.mu.Lock()
@@ -320,6 +320,6 @@
 	p.mu.Unlock()
 	slices.SortFunc(over, func(a, b placement) int { return a.at.Compare(b.at) })
 	for _, l := range over {
-		p.fleet.Ended(now, l.target, l.want, l.began, VerdictNone, Load{})
+		p.fleet.FinishAttempt(now, l.target, l.want, l.began, VerdictNone, Load{})
 	}
 }
--- a/relay/place_test.go
+++ b/relay/place_test.go
@@ -25,39 +25,39 @@
 
 func (p *peersOf) Owner(string, map[proto.VM]bool) proto.VM { return p.owner }
 func (p *peersOf) Silent(proto.VM) bool                     { return p.cut }
-func (p *peersOf) Sole(string, time.Duration) bool          { return !p.cut }
+func (p *peersOf) IsSoleOwner(string, time.Duration) bool   { return !p.cut }
 
-func (p *peersOf) Share() Share { return Share{Part: 1 / float64(len(p.all)), Counted: len(p.all)} }
+func (p *peersOf) Share() Share { return Share{Fraction: 1 / float64(len(p.all)), Counted: len(p.all)} }
 
 func (p *peersOf) Send(to proto.VM, m proto.Message) {
 	if n, ok := m.(proto.PlaceNote); ok && !p.cut {
-		p.all[to].Note(n)
+		p.all[to].HandlePlaceNote(n)
 	}
 }
 
 func (p *peersOf) Call(_ context.Context, to proto.VM, m proto.Message) (proto.Message, error) {
 	if ask, ok := m.(proto.AdmitAsk); ok && !p.cut {
-		return p.all[to].Decide(ask), nil
+		return p.all[to].DecideAdmission(ask), nil
 	}
 	ask, ok := m.(proto.PlaceAsk)
 	if !ok || p.cut {
 		return nil, errors.New("cut off")
 	}
-	return p.all[to].Place(ask), nil
+	return p.all[to].HandlePlaceAsk(ask), nil
 }
 
 // engines returns a fleet of engines in two zones.
-func engines(n int) *Fleet {
+func engineFleet(n int) *Fleet {
 	f := NewFleet(func(string) {})
 	for i := range n {
-		t := listed(fmt.Sprintf("e%02d", i), "p", []string{"y", "z"}[i%2])
+		t := testTarget(fmt.Sprintf("e%02d", i), "p", []string{"y", "z"}[i%2])
 		t.Slots = 128
-		f.Change(start, []FleetChange{put(uint64(i+1), t)})
+		f.ApplyChanges(start, []FleetChange{putChange(uint64(i+1), t)})
 	}
 	return f
 }
 
-func placers(clock clockwork.Clock, fleets ...*Fleet) (map[proto.VM]*Placer, []*peersOf) {
+func newPlacers(clock clockwork.Clock, fleets ...*Fleet) (map[proto.VM]*Placer, []*peersOf) {
 	all := map[proto.VM]*Placer{}
 	var nets []*peersOf
 	for i, f := range fleets {
@@ -68,15 +68,15 @@
 	return all, nets
 }
 
-func prompt(shared string, sharedTokens, own int) Want {
-	return Want{Engine: true, Route: "r", Zone: "y", OwnTokens: own, Shared: []proto.PromptShare{{ID: shared, Tokens: sharedTokens}}}
+func promptCriteria(shared string, sharedTokens, own int) TargetCriteria {
+	return TargetCriteria{Engine: true, Route: "r", Zone: "y", OwnTokens: own, SharedParts: []proto.PromptPart{{ID: shared, Tokens: sharedTokens}}}
 }
 
 func TestThePlacerKnowsWhatAllDaemonsSent(t *testing.T) {
-	all, _ := placers(clockwork.NewFakeClockAt(start), engines(4), engines(4), engines(4))
+	all, _ := newPlacers(clockwork.NewFakeClockAt(start), engineFleet(4), engineFleet(4), engineFleet(4))
 	counts := map[string]int{}
 	for i := range 8 {
-		placed := all[proto.VM(fmt.Sprint("vm-", i%3))].Choose(context.Background(), "p", prompt(fmt.Sprint("part", i), 0, 3000))
+		placed := all[proto.VM(fmt.Sprint("vm-", i%3))].Choose(context.Background(), "p", promptCriteria(fmt.Sprint("part", i), 0, 3000))
 		counts[placed.Target.Spec.ID]++
 	}
 	for id, n := range counts {
@@ -87,26 +87,26 @@
 }
 
 func TestAPromptGoesWhereItsPartIsKept(t *testing.T) {
-	all, _ := placers(clockwork.NewFakeClockAt(start), engines(6), engines(6))
+	all, _ := newPlacers(clockwork.NewFakeClockAt(start), engineFleet(6), engineFleet(6))
 	var first string
 	for i := range 6 {
-		placed := all[proto.VM(fmt.Sprint("vm-", i%2))].Choose(context.Background(), "p", prompt("part", 6000, 500))
+		placed := all[proto.VM(fmt.Sprint("vm-", i%2))].Choose(context.Background(), "p", promptCriteria("part", 6000, 500))
 		if first == "" {
 			first = placed.Target.Spec.ID
 		}
 		if got := placed.Target.Spec.ID; got != first {
 			t.Errorf("prompt %d went to %s, its part is kept at %s", i, got, first)
 		}
-		placed.Began()
-		placed.Ended(VerdictGood, Load{})
+		placed.RecordResponseStart()
+		placed.Finish(VerdictSuccess, Load{})
 	}
 }
 
 func TestABusyHomeIsLeft(t *testing.T) {
-	all, _ := placers(clockwork.NewFakeClockAt(start), engines(6))
+	all, _ := newPlacers(clockwork.NewFakeClockAt(start), engineFleet(6))
 	ids := map[string]bool{}
 	for range 12 {
-		ids[all["vm-0"].Choose(context.Background(), "p", prompt("part", 3000, 6000)).Target.Spec.ID] = true
+		ids[all["vm-0"].Choose(context.Background(), "p", promptCriteria("part", 3000, 6000)).Target.Spec.ID] = true
 	}
 	if len(ids) < 3 {
 		t.Errorf("twelve long prompts at once went to %d engines", len(ids))
@@ -114,19 +114,19 @@
 }
 
 func TestADaemonThatDoesNotReachThePlacerChoosesAlone(t *testing.T) {
-	all, nets := placers(clockwork.NewFakeClockAt(start), engines(4), engines(4))
+	all, nets := newPlacers(clockwork.NewFakeClockAt(start), engineFleet(4), engineFleet(4))
 	nets[1].cut = true
-	placed := all["vm-1"].Choose(context.Background(), "p", prompt("part", 6000, 500))
+	placed := all["vm-1"].Choose(context.Background(), "p", promptCriteria("part", 6000, 500))
 	if placed == nil || placed.owner != "" {
 		t.Fatalf("placed %+v", placed)
 	}
-	placed.Ended(VerdictGood, Load{})
+	placed.Finish(VerdictSuccess, Load{})
 }
 
 func TestLeasesEndAndAreForgotten(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(start)
-	owner := engines(2)
-	all, nets := placers(clock, owner, engines(2))
+	owner := engineFleet(2)
+	all, nets := newPlacers(clock, owner, engineFleet(2))
 	active := func() int {
 		sum := 0
 		for _, target := range owner.pools["p"].list {
@@ -134,33 +134,33 @@
 		}
 		return sum
 	}
-	placed := all["vm-1"].Choose(context.Background(), "p", prompt("a", 0, 100))
+	placed := all["vm-1"].Choose(context.Background(), "p", promptCriteria("a", 0, 100))
 	if active() != 1 {
 		t.Fatalf("%d active at the owner", active())
 	}
-	placed.Began()
-	placed.Ended(VerdictGood, Load{})
+	placed.RecordResponseStart()
+	placed.Finish(VerdictSuccess, Load{})
 	if active() != 0 || len(all["vm-0"].leases) != 0 {
 		t.Errorf("%d active after the end", active())
 	}
-	lost := all["vm-1"].Choose(context.Background(), "p", prompt("b", 0, 100))
+	lost := all["vm-1"].Choose(context.Background(), "p", promptCriteria("b", 0, 100))
 	nets[1].cut = true
-	lost.Ended(VerdictGood, Load{})
+	lost.Finish(VerdictSuccess, Load{})
 	clock.Advance(leaseMost + time.Second)
 	all["vm-0"].Sweep()
 	if active() != 0 {
 		t.Errorf("%d active long after a note was lost", active())
 	}
 	for _, target := range owner.pools["p"].list {
-		if target.unread != 0 || len(target.reads) != 0 {
-			t.Errorf("%s has %d unread tokens", target.Spec.ID, target.unread)
+		if target.unreadTokens != 0 || len(target.unreadPrompts) != 0 {
+			t.Errorf("%s has %d unread tokens", target.Spec.ID, target.unreadTokens)
 		}
 	}
 }
 
 func TestATargetThatTheAskerLeavesOutIsNotPlaced(t *testing.T) {
-	all, _ := placers(clockwork.NewFakeClockAt(start), engines(2), engines(2))
-	w := prompt("part", 6000, 500)
+	all, _ := newPlacers(clockwork.NewFakeClockAt(start), engineFleet(2), engineFleet(2))
+	w := promptCriteria("part", 6000, 500)
 	w.Tried = map[string]bool{"e00": true}
 	for range 4 {
 		if got := all["vm-1"].Choose(context.Background(), "p", w).Target.Spec.ID; got != "e01" {
@@ -170,22 +170,22 @@
 }
 
 func TestRoutesWithLongAndShortPromptsAreKeptApart(t *testing.T) {
-	f := engines(8)
+	f := engineFleet(8)
 	now := start
 	long, short := map[string]int{}, map[string]int{}
 	for i := range 400 {
 		now = now.Add(30 * time.Millisecond)
-		w := Want{Engine: true, Route: "short", Zone: "y", OwnTokens: 300}
+		w := TargetCriteria{Engine: true, Route: "short", Zone: "y", OwnTokens: 300}
 		into := short
 		if i%2 == 0 {
-			w, into = Want{Engine: true, Route: "long", Zone: "y", OwnTokens: 3000}, long
+			w, into = TargetCriteria{Engine: true, Route: "long", Zone: "y", OwnTokens: 3000}, long
 		}
 		target := f.Pick(now, "p", w)
 		if i > 100 {
 			into[target.Spec.ID]++
 		}
-		f.Began(now, target, w)
-		f.Ended(now, target, w, true, VerdictGood, Load{})
+		f.RecordResponseStart(now, target, w)
+		f.FinishAttempt(now, target, w, true, VerdictSuccess, Load{})
 	}
 	for id := range short {
 		if long[id] > 0 {
@@ -197,18 +197,18 @@
 func TestTheCacheOfAnEngineIsBounded(t *testing.T) {
 	var c promptCache
 	for i := range 50 {
-		c.read(start.Add(time.Duration(i)*time.Second), []proto.PromptShare{{ID: "root", Tokens: 100}, {ID: fmt.Sprint(i), Tokens: 1000}}, 5000)
+		c.record(start.Add(time.Duration(i)*time.Second), []proto.PromptPart{{ID: "root", Tokens: 100}, {ID: fmt.Sprint(i), Tokens: 1000}}, 5000)
 	}
 	if c.tokens > 5000 {
 		t.Errorf("%d tokens are taken to be kept", c.tokens)
 	}
-	if got := c.missing([]proto.PromptShare{{ID: "root", Tokens: 100}, {ID: "49", Tokens: 1000}}); got != 0 {
+	if got := c.missingTokens([]proto.PromptPart{{ID: "root", Tokens: 100}, {ID: "49", Tokens: 1000}}); got != 0 {
 		t.Errorf("%d tokens of the newest prompt are missing", got)
 	}
-	if got := c.missing([]proto.PromptShare{{ID: "root", Tokens: 100}, {ID: "0", Tokens: 1000}}); got != 1000 {
+	if got := c.missingTokens([]proto.PromptPart{{ID: "root", Tokens: 100}, {ID: "0", Tokens: 1000}}); got != 1000 {
 		t.Errorf("%d tokens of the oldest prompt are missing, want those of its own part", got)
 	}
-	if got := c.missing([]proto.PromptShare{{ID: "other", Tokens: 100}, {ID: "49", Tokens: 1000}}); got != 1100 {
+	if got := c.missingTokens([]proto.PromptPart{{ID: "other", Tokens: 100}, {ID: "49", Tokens: 1000}}); got != 1100 {
 		t.Errorf("%d tokens are missing: a part is of no use without those before it", got)
 	}
 }
@@ -217,27 +217,27 @@
 // store's answer replaces it.
 func TestAnEntryMayChangeWhileItsTargetIsChosen(t *testing.T) {
 	fleet := NewFleet(func(string) {})
-	spec := listed("t", "p", "z")
+	spec := testTarget("t", "p", "z")
 	spec.Address = netip.MustParseAddrPort("10.0.0.1:80")
-	fleet.Change(start, []FleetChange{{ID: "t", Version: rev(1), Target: spec}})
+	fleet.ApplyChanges(start, []FleetChange{{ID: "t", Version: rev(1), Target: spec}})
 	peers := &peersOf{self: "one", owner: "one"}
 	placer := NewPlacer("one", clockwork.NewFakeClock(), hclog.NewNullLogger(), fleet, peers)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for v := range uint64(200) {
-			fleet.Change(start, []FleetChange{{ID: "t", Version: rev(v + 2), Target: spec}})
+			fleet.ApplyChanges(start, []FleetChange{{ID: "t", Version: rev(v + 2), Target: spec}})
 		}
 	}()
 	for range 200 {
-		placed := placer.Choose(context.Background(), "p", Want{Zone: "z"})
+		placed := placer.Choose(context.Background(), "p", TargetCriteria{Zone: "z"})
 		if placed == nil || placed.Spec.ID != "t" || !placed.Spec.Address.IsValid() {
 			t.Fatalf("placed %+v", placed)
 		}
-		if a := placer.Place(proto.PlaceAsk{Pool: "p"}); a.Target != "t" {
+		if a := placer.HandlePlaceAsk(proto.PlaceAsk{Pool: "p"}); a.Target != "t" {
 			t.Fatalf("answer %+v", a)
 		}
-		placed.Ended(VerdictGood, Load{})
+		placed.Finish(VerdictSuccess, Load{})
 	}
 	<-done
 }
@@ -245,13 +245,13 @@
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{35, 600} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			f := engines(n)
-			w := prompt("part", 6000, 500)
+			f := engineFleet(n)
+			w := promptCriteria("part", 6000, 500)
 			b.ReportAllocs()
 			for b.Loop() {
 				target := f.Pick(start, "p", w)
-				f.Began(start, target, w)
-				f.Ended(start, target, w, true, VerdictGood, Load{})
+				f.RecordResponseStart(start, target, w)
+				f.FinishAttempt(start, target, w, true, VerdictSuccess, Load{})
 			}
 		})
 	}
@@ -278,14 +278,14 @@
 func TestALateChoiceIsGivenBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := clockwork.NewRealClock()
-		all, nets := placers(clock, engines(4), engines(4))
-		asker := NewPlacer("vm-1", clock, hclog.NewNullLogger(), engines(4), &latePeers{nets[1], 2 * placeWait})
+		all, nets := newPlacers(clock, engineFleet(4), engineFleet(4))
+		asker := NewPlacer("vm-1", clock, hclog.NewNullLogger(), engineFleet(4), &latePeers{nets[1], 2 * placementTimeout})
 		began := time.Now()
-		placed := asker.Choose(t.Context(), "p", prompt("part", 0, 3000))
-		if placed == nil || placed.owner != "" || time.Since(began) != placeWait {
+		placed := asker.Choose(t.Context(), "p", promptCriteria("part", 0, 3000))
+		if placed == nil || placed.owner != "" || time.Since(began) != placementTimeout {
 			t.Errorf("after %s: %+v", time.Since(began), placed)
 		}
-		time.Sleep(2 * placeWait)
+		time.Sleep(2 * placementTimeout)
 		synctest.Wait()
 		if n := len(all["vm-0"].leases); n > 0 {
 			t.Errorf("%d requests are counted that were not sent", n)
--- a/relay/ports.go
+++ b/relay/ports.go
@@ -20,12 +20,12 @@
 	Header http.Header
 	Body   []byte
 	// Wait is how long the caller waits for the answer; 0 if it did not say.
-	Wait time.Duration
-	Key  string
+	CallerTimeout time.Duration
+	APIKey        string
 	// Parts are the parts of the prompt in order; the last belongs to the request alone or to its session.
-	Parts []proto.PromptShare
+	PromptParts []proto.PromptPart
 	// PromptTokens and MostTokens are the sizes of the prompt and of the answer at most.
-	PromptTokens, MostTokens int
+	PromptTokens, MaxTokens int
 	// After is the last event of the stream that the caller has; 0 if it begins anew.
 	After int
 	// PieceKey and Pieces say what the stages work on: a count for each stage of the route, 0 for none.
@@ -33,10 +33,10 @@
 	Pieces   []int
 }
 
-// Forward is what a request to a target says beside what the caller sent.
-type Forward struct {
+// ForwardInfo is what a request to a target says beside what the caller sent.
+type ForwardInfo struct {
 	Target    proto.RelayTarget
-	Left      time.Duration
+	TimeLeft  time.Duration
 	Workspace string
 	Inputs    []string
 	// After is the last event that was passed on; 0 for a stream from its start.
@@ -44,21 +44,21 @@
 	Priority int
 }
 
-// Reply is what the head of a target's answer says.
-type Reply struct {
+// ResponseInfo is what the head of a target's answer says.
+type ResponseInfo struct {
 	// Request is the id of the request that the answer is for.
-	Request string
+	RequestID string
 	// Stamped answers come from the run of a request.
 	Stamped bool
 	// NotRun says that the target did not run the request.
 	NotRun bool
 	// OtherTarget says that another target has the address.
-	OtherTarget bool
+	Misdirected bool
 	// LostInput says that an input of the request is gone.
 	LostInput bool
 	// Encoded answers do not hold the body that was asked for.
-	Encoded bool
-	Load    Load
+	ContentEncoded bool
+	Load           Load
 }
 
 // Notice is what a target says of itself in the head of an answer.
@@ -69,7 +69,7 @@
 	Limit   float64
 	Limited bool
 	// Rest is for how long the target, which turned a request away, wants nothing from this daemon; 0 if it does not say.
-	Rest time.Duration
+	Backoff time.Duration
 	// Unreadable holds the values that could not be read, with their names. Nothing follows from them, nor from what else is missing.
 	Unreadable []string
 }
@@ -77,40 +77,40 @@
 // Dialect spells requests, answers and pieces the way the platform does.
 type Dialect interface {
 	// ReadRequest reads the head of a caller's request; it fails with KindInvalid.
-	ReadRequest(r *http.Request) (*Request, error)
+	ParseRequest(r *http.Request) (*Request, error)
 	// Header returns the header of a request to a target.
-	Header(r *Request, f *Forward) http.Header
+	Header(r *Request, f *ForwardInfo) http.Header
 	// ReadReply reads the head of a target's answer.
-	ReadReply(status int, h http.Header) Reply
+	ParseResponse(status int, h http.Header) ResponseInfo
 	// ReadNotice reads what a target says of itself in the head of an answer of any kind.
-	ReadNotice(status int, h http.Header) Notice
+	ParseNotice(status int, h http.Header) Notice
 	// Refuse writes the header of an answer that tells when to come back.
-	Refuse(h http.Header, wait time.Duration)
+	SetRetryAfter(h http.Header, wait time.Duration)
 	// PiecesCall returns the request for a batch of pieces.
-	PiecesCall(c *Call, now time.Time) (Outgoing, error)
+	BuildPiecesRequest(c *Call, now time.Time) (TargetRequest, error)
 	// PiecesResult reads the answer to a batch of n pieces; it fails with KindInvalid.
-	PiecesResult(body []byte, n int) ([]ItemResult, error)
+	ParsePiecesResponse(body []byte, n int) ([]ItemResult, error)
 	// FreeCall returns the request that frees results at their maker.
-	FreeCall(handles []string) (Outgoing, error)
+	BuildFreeRequest(handles []string) (TargetRequest, error)
 	// Maker returns the address of the target that holds a result.
-	Maker(handle string) (netip.AddrPort, error)
+	HandleAddress(handle string) (netip.AddrPort, error)
 }
 
-// Outgoing is a request to a target.
-type Outgoing struct {
+// TargetRequest is a request to a target.
+type TargetRequest struct {
 	// Target is the run that the request is for; zero if only its address is known.
 	Target            proto.RelayTarget
 	Method, URI, Host string
 	Header            http.Header
 	Body              []byte
 	// Once marks requests that may run only once, for which a connection must be beyond doubt.
-	Once bool
+	NonIdempotent bool
 	// Mine tells whether an answer's head is that of this request.
-	Mine func(h http.Header) bool
+	Matches func(h http.Header) bool
 }
 
-// Incoming is a target's answer; its body must be closed.
-type Incoming struct {
+// TargetResponse is a target's answer; its body must be closed.
+type TargetResponse struct {
 	Status int
 	Header http.Header
 	Body   Body
@@ -127,7 +127,7 @@
 // Sender sends requests to targets.
 type Sender interface {
 	// Send returns the head of the answer. Its error is a *SendError.
-	Send(ctx context.Context, to netip.AddrPort, out *Outgoing) (*Incoming, error)
+	Send(ctx context.Context, to netip.AddrPort, out *TargetRequest) (*TargetResponse, error)
 }
 
 // SendError says how far a request came that got no answer.
@@ -151,7 +151,7 @@
 // Share is a daemon's part of what all daemons together are allowed.
 type Share struct {
 	// Part is from 0 to 1; the parts of all daemons come to 1 at the most at any time.
-	Part float64 `json:"part"`
+	Fraction float64 `json:"part"`
 	// Counted is the number of daemons that it is divided between, and Live that of the daemons that are heard of, this one included.
 	Counted int `json:"counted"`
 	Live    int `json:"live"`
@@ -169,7 +169,7 @@
 	Share() Share
 	// Sole tells whether this daemon may do now what only one of all may do at a time, whether they reach each other or not; after
 	// another one did, at least the settling time passes.
-	Sole(task string, settle time.Duration) bool
+	IsSoleOwner(task string, settle time.Duration) bool
 	Send(to proto.VM, m proto.Message)
 	Call(ctx context.Context, to proto.VM, m proto.Message) (proto.Message, error)
 }
--- a/relay/queues.go
+++ b/relay/queues.go
@@ -7,7 +7,7 @@
 
 // queueFade is how long a pool's queue counts after it was heard of: a full one drains within a second or two, and a
 // busy pool is heard of several times a second.
-const queueFade = 1500 * time.Millisecond
+const queueReportLifetime = 1500 * time.Millisecond
 
 // queueKey is a shard of a pool as jobs of one rank see it.
 type queueKey struct {
@@ -21,12 +21,12 @@
 }
 
 // queues holds the last report on the queue of each pool, whichever daemon batches for it.
-type queues struct {
+type queueTimes struct {
 	mu      sync.Mutex
 	reports map[queueKey]queueReport
 }
 
-func (q *queues) note(now time.Time, key queueKey, wait time.Duration) {
+func (q *queueTimes) record(now time.Time, key queueKey, wait time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.reports == nil {
@@ -36,13 +36,13 @@
 }
 
 // read returns the queue that was heard of last, less the older that is.
-func (q *queues) read(now time.Time, key queueKey) time.Duration {
+func (q *queueTimes) estimate(now time.Time, key queueKey) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	h := q.reports[key]
 	age := now.Sub(h.at)
-	if age >= queueFade {
+	if age >= queueReportLifetime {
 		return 0
 	}
-	return time.Duration(float64(h.wait) * (1 - float64(age)/float64(queueFade)))
+	return time.Duration(float64(h.wait) * (1 - float64(age)/float64(queueReportLifetime)))
 }
--- a/relay/race.go
+++ b/relay/race.go
@@ -41,12 +41,12 @@
 	wait lateBound
 	// alone is why no other attempt was made beside the one at work, as last logged.
 	alone string
-	last  attemptEnd
+	last  attemptResult
 }
 
 // overlap is how long other attempts go on once one has begun to answer: longer than an answer that was given waits to be read on a busy
 // machine.
-const overlap = startLeast
+const overlap = minStartTimeout
 
 // newsHeld is how many messages of attempts wait for the race, so that an attempt can go on reading while one is passed on.
 const newsHeld = 1
@@ -55,7 +55,7 @@
 	r := &race{flow: f, news: make(chan *attemptNews, newsHeld), over: make(chan struct{})}
 	ctx, cancel := context.WithCancelCause(caller)
 	r.ctx, r.cancel = ctx, cancel
-	r.timeUp = f.server.clock.AfterFunc(f.left(), func() { cancel(errTimeUp) })
+	r.timeUp = f.server.clock.AfterFunc(f.left(), func() { cancel(errDeadlineReached) })
 	r.released = context.AfterFunc(f.server.closing, func() { cancel(errClosing) })
 	r.slow = f.server.clock.NewTimer(f.left())
 	r.slow.Stop()
@@ -79,10 +79,10 @@
 
 // run makes an attempt, and others beside it where it takes longer than usual, until one has answered or all have failed; it returns the
 // end of the last one.
-func (r *race) run() attemptEnd {
+func (r *race) run() attemptResult {
 	first := r.nextAttempt()
 	if first == nil {
-		return attemptEnd{notRun: true, noTarget: true, reason: r.flow.noTarget()}
+		return attemptResult{notRun: true, noTarget: true, reason: r.flow.noTarget()}
 	}
 	r.begin(first)
 	for len(r.running) > 0 {
@@ -159,7 +159,7 @@
 		return r.passOn(a, news)
 	case news.in == nil:
 		r.ended(a, a.failed(news.err, news.err.Error()))
-	case news.reply.NotRun || news.reply.OtherTarget:
+	case news.reply.NotRun || news.reply.Misdirected:
 		a.load = news.reply.Load
 		r.ended(a, a.refused(news.in.Status, news.reply))
 	default:
@@ -171,20 +171,20 @@
 }
 
 // answered takes in the last message of an attempt that a target ran.
-func (r *race) answered(a *attempt, news *attemptNews) attemptEnd {
+func (r *race) answered(a *attempt, news *attemptNews) attemptResult {
 	switch {
 	case news.mismatch:
 		a.bad()
-		return attemptEnd{sent: true, reason: "the answer is not that of the request"}
+		return attemptResult{sent: true, reason: "the answer is not that of the request"}
 	case news.endless:
 		a.bad()
-		return attemptEnd{sent: true, reason: "an event has no end"}
+		return attemptResult{sent: true, reason: "an event has no end"}
 	case news.stream:
 		return a.streamEnded(news)
 	case news.err != nil:
 		return a.failed(news.err, "the answer broke off: "+news.err.Error())
 	}
-	return a.whole(&wholeAnswer{status: news.in.Status, header: news.in.Header, body: news.body})
+	return a.whole(&bufferedResponse{status: news.in.Status, header: news.in.Header, body: news.body})
 }
 
 // passOn passes events on, unless the caller has them from another target. The attempt that brings new ones leads from then on.
@@ -203,10 +203,10 @@
 		r.settled.Reset(overlap)
 	}
 	r.leader = a
-	f.target = a.placed.Spec.ID
+	f.target = a.placement.Spec.ID
 	if err := f.passEvents(news.in.Header, news.events); err != nil {
 		a.verdict = VerdictNone
-		r.ended(a, attemptEnd{sent: true, reason: "the caller does not take the stream: " + err.Error()})
+		r.ended(a, attemptResult{sent: true, reason: "the caller does not take the stream: " + err.Error()})
 		return false
 	}
 	r.expect(f.silenceBound())
@@ -217,16 +217,16 @@
 func (r *race) overtake(by *attempt) {
 	for _, a := range slices.Clone(r.running) {
 		if a != by {
-			r.giveUp(a, by.placed.Spec.ID, errOvertaken.Error())
-			r.flow.overtaken = append(r.flow.overtaken, a.placed.Spec.ID)
+			r.giveUp(a, by.placement.Spec.ID, errSuperseded.Error())
+			r.flow.overtaken = append(r.flow.overtaken, a.placement.Spec.ID)
 		}
 	}
 }
 
 // ended takes an attempt out that has ended. One that has the whole answer ends the others.
-func (r *race) ended(a *attempt, end attemptEnd) {
+func (r *race) ended(a *attempt, end attemptResult) {
 	if end.done {
-		r.flow.target = a.placed.Spec.ID
+		r.flow.target = a.placement.Spec.ID
 		r.overtake(a)
 	}
 	r.last = end
@@ -234,9 +234,9 @@
 	if end.done {
 		return
 	}
-	f, spec := r.flow, a.placed.Spec
-	f.note("attempt failed", "target", spec.ID, "address", spec.Address, "zone", spec.Zone, "cold", a.placed.Cold, "sent", end.sent, "notRun", end.notRun,
-		"targets", f.server.fleet.Version(), "took", brief(f.server.clock.Now().Sub(a.began)), "reason", end.reason, "atWork", len(r.running))
+	f, spec := r.flow, a.placement.Spec
+	f.note("attempt failed", "target", spec.ID, "address", spec.Address, "zone", spec.Zone, "cold", a.placement.Cold, "sent", end.sent, "notRun", end.notRun,
+		"targets", f.server.fleet.Version(), "took", formatDuration(f.server.clock.Now().Sub(a.began)), "reason", end.reason, "atWork", len(r.running))
 	if len(r.running) > 0 && !r.slowSet() {
 		r.expect(r.wait)
 	}
@@ -246,22 +246,22 @@
 func (r *race) giveUp(a *attempt, winner, reason string) {
 	f := r.flow
 	a.ran()
-	a.cancel(errOvertaken)
-	r.leave(a, &attemptEnd{sent: true, reason: reason})
-	f.note("attempt given up", "target", a.placed.Spec.ID, "for", winner, "took", brief(f.server.clock.Now().Sub(a.began)), "late", a.late,
-		"mightTake", brief(a.starting.wait), "basis", a.starting.basis, "usual", brief(a.starting.usual), "reason", reason)
+	a.cancel(errSuperseded)
+	r.leave(a, &attemptResult{sent: true, reason: reason})
+	f.note("attempt given up", "target", a.placement.Spec.ID, "for", winner, "took", formatDuration(f.server.clock.Now().Sub(a.began)), "late", a.late,
+		"mightTake", formatDuration(a.starting.wait), "basis", a.starting.basis, "usual", formatDuration(a.starting.usual), "reason", reason)
 }
 
 // leave undoes what goes with an attempt at work.
-func (r *race) leave(a *attempt, end *attemptEnd) {
+func (r *race) leave(a *attempt, end *attemptResult) {
 	r.running = slices.DeleteFunc(r.running, func(other *attempt) bool { return other == a })
 	if r.leader == a {
 		r.leader = nil
 	}
 	a.release()
 	a.keepInputs()
-	a.placed.Ended(a.verdict, a.load)
-	a.noteEnd(end)
+	a.placement.Finish(a.verdict, a.load)
+	a.recordOutcome(end)
 	a.cancel(nil)
 	a.span.End()
 }
@@ -280,15 +280,15 @@
 	for _, a := range r.running {
 		if !a.late {
 			a.late = true
-			a.placed.Late()
+			a.placement.ReportSlow()
 		}
 	}
 	waited := r.wait
 	r.due = time.Time{}
 	if alone := r.beside(); alone != "" && alone != r.alone {
 		r.alone = alone
-		f.note("no attempt beside", "target", f.target, "mightTake", brief(waited.wait), "basis", waited.basis, "usual", brief(waited.usual),
-			"reason", alone, "left", brief(f.left()))
+		f.note("no attempt beside", "target", f.target, "mightTake", formatDuration(waited.wait), "basis", waited.basis, "usual", formatDuration(waited.usual),
+			"reason", alone, "left", formatDuration(f.left()))
 	}
 	if len(r.running) > 0 && !r.slowSet() {
 		r.expect(waited)
@@ -315,16 +315,16 @@
 		return f.noTarget()
 	}
 	if !f.spendRetry("an attempt takes longer than usual") {
-		a.placed.Ended(VerdictNone, Load{})
+		a.placement.Finish(VerdictNone, Load{})
 		return reasonBudget
 	}
 	// The inputs are for the new target as well.
 	for _, other := range r.running {
 		other.keepInputs()
 	}
-	f.server.counts.again.Add(1)
-	f.note("attempt beside", "target", a.placed.Spec.ID, "late", late.placed.Spec.ID, "after", brief(f.server.clock.Now().Sub(late.began)),
-		"mightTake", brief(r.wait.wait), "basis", r.wait.basis, "usual", brief(r.wait.usual), "lastEvent", f.after, "left", brief(f.left()))
+	f.server.counts.retried.Add(1)
+	f.note("attempt beside", "target", a.placement.Spec.ID, "late", late.placement.Spec.ID, "after", formatDuration(f.server.clock.Now().Sub(late.began)),
+		"mightTake", formatDuration(r.wait.wait), "basis", r.wait.basis, "usual", formatDuration(r.wait.usual), "lastEvent", f.after, "left", formatDuration(f.left()))
 	r.begin(a)
 	return ""
 }
@@ -346,20 +346,20 @@
 	f := r.flow
 	s := f.server
 	now := s.clock.Now()
-	switch _, crashing := s.crashes.Refuses(f.digest); {
+	switch _, crashing := s.crashes.Blocks(f.digest); {
 	case f.left() < leastLeft:
 		return reasonTimeUp
 	case len(r.running) >= besideMost:
 		return reasonBeside
 	case !r.mayRunElsewhere():
 		return reasonRuns
-	case r.begun >= attemptsMost:
+	case r.begun >= maxAttempts:
 		return reasonAttempts
 	case crashing:
 		return reasonCrashing
-	case len(f.overtaken) == 0 && !s.placer.HasOther(f.pool, f.want()):
+	case len(f.overtaken) == 0 && !s.placer.HasAlternative(f.pool, f.want()):
 		return f.noTarget()
-	case !s.budgetOf(f.pool).Left(now, s.peers.Share().Part):
+	case !s.budgetOf(f.pool).Available(now, s.peers.Share().Fraction):
 		return reasonBudget
 	}
 	return ""
@@ -382,7 +382,7 @@
 	if fail == nil {
 		return ""
 	}
-	f.freeAll()
+	f.freeAllResults()
 	if len(r.news) > 0 {
 		return reasonBegun
 	}
--- a/relay/race_test.go
+++ b/relay/race_test.go
@@ -29,8 +29,8 @@
 	late, quick racer
 	whole       string
 }{
-	{"a plain request", proto.RouteRepeatable, whole(raceLate, "whole"), whole(raceUsual, "whole"), "whole"},
-	{"a stream", proto.RouteStream, streamed(raceLate, 1, 2, 3), streamed(raceUsual, 1, 2, 3), "id: 1\ndata: x\n\nid: 2\ndata: x\n\nid: 3\ndata: x\n\n"},
+	{"a plain request", proto.RouteRepeatable, whole(raceLate, "whole"), whole(raceTypicalLatency, "whole"), "whole"},
+	{"a stream", proto.RouteStream, streamed(raceLate, 1, 2, 3), streamed(raceTypicalLatency, 1, 2, 3), "id: 1\ndata: x\n\nid: 2\ndata: x\n\nid: 3\ndata: x\n\n"},
 }
 
 // TestAnAttemptIsNotGivenUpForOneThatCannotBeMade has the only target that a request may go to answer late, for each reason why it is
@@ -49,27 +49,27 @@
 			other.Leaving = true
 			r.change(other)
 		}, false},
-		{"the other one was tried", func(r *racedRequest) { r.tried["t1"] = true }, false},
+		{"the other one was tried", func(r *racedRequest) { r.triedTargets["t1"] = true }, false},
 		{"the other one's zone is evacuated", func(r *racedRequest) {
-			r.fleet.Evacuate(time.Now(), []proto.Evacuation{{Zone: "other", Version: rev(100)}})
+			r.fleet.ApplyEvacuations(time.Now(), []proto.Evacuation{{Zone: "other", Version: rev(100)}})
 		}, false},
-		{"the other one is away from the request's regions", func(r *racedRequest) { r.homes = proto.HomesIn([]string{"north"}) }, false},
+		{"the other one is away from the request's regions", func(r *racedRequest) { r.homes = proto.AllowRegions([]string{"north"}) }, false},
 		{"the other one is cold and has had what it may get", func(r *racedRequest) {
-			r.fleet.SetCold("p", proto.ColdSpec{For: time.Minute, PerSecond: 1})
+			r.fleet.SetColdSpec("p", proto.ColdSpec{WarmUpTime: time.Minute, RequestsPerSecond: 1})
 			other := raceTarget(1)
-			other.ColdFor = time.Minute
+			other.ColdRemaining = time.Minute
 			r.change(other)
 			for range 10 {
-				r.server.placer.cold.take(time.Now(), "t1", 6)
+				r.server.placer.coldLimiter.take(time.Now(), "t1", 6)
 			}
 		}, false},
 		{"the other one has as many requests as it may have at a time", func(r *racedRequest) {
-			r.fleet.SetCold("p", proto.ColdSpec{For: time.Minute, PerSecond: 1})
+			r.fleet.SetColdSpec("p", proto.ColdSpec{WarmUpTime: time.Minute, RequestsPerSecond: 1})
 			for range 6 {
-				r.fleet.where["t1"].noteChosen(time.Now())
+				r.fleet.byID["t1"].recordChosen(time.Now())
 			}
 		}, false},
-		{"the retry budget is spent", func(r *racedRequest) { r.server.budget = BudgetTerms{Window: 10 * time.Second} }, false},
+		{"the retry budget is spent", func(r *racedRequest) { r.server.budget = RetryBudgetConfig{Window: 10 * time.Second} }, false},
 	}
 	for _, s := range scenarios {
 		for _, k := range kindsOfRace {
@@ -105,10 +105,10 @@
 		}{
 			{"answers", k.quick, true},
 			{"hangs", hangs, false},
-			{"breaks off", breaksAfter(raceUsual), false},
-			{"refuses", refusesAfter(raceUsual), false},
-			{"fails", answersAfter(raceUsual, http.StatusInternalServerError, io.EOF), false},
-			{"breaks off within its first event", answersAfter(raceUsual, http.StatusOK, io.ErrUnexpectedEOF, part{0, "id: 1\nda"}), false},
+			{"breaks off", failsAfter(raceTypicalLatency), false},
+			{"refuses", refusesAfter(raceTypicalLatency), false},
+			{"fails", respondsAfter(raceTypicalLatency, http.StatusInternalServerError, io.EOF), false},
+			{"breaks off within its first event", respondsAfter(raceTypicalLatency, http.StatusOK, io.ErrUnexpectedEOF, part{0, "id: 1\nda"}), false},
 		}
 		for _, s := range scenarios {
 			t.Run(k.testName+", the second "+s.testName, func(t *testing.T) {
@@ -117,7 +117,7 @@
 					if got := r.end(t); got != k.whole {
 						t.Errorf("the caller got %q", got)
 					}
-					if took := time.Since(r.began); s.quick == (took >= raceLate) {
+					if took := time.Since(r.startedAt); s.quick == (took >= raceLate) {
 						t.Errorf("the answer took %s", took)
 					}
 					synctest.Wait()
@@ -139,7 +139,7 @@
 	silent := func() racer {
 		parts := eventParts(1, 2)
 		parts = append(parts, part{silence, "id: 3\ndata: x\n\n"}, part{0, "id: 4\ndata: x\n\n"})
-		return answersAfter(raceUsual, http.StatusOK, io.EOF, parts...)
+		return respondsAfter(raceTypicalLatency, http.StatusOK, io.EOF, parts...)
 	}
 	scenarios := []struct {
 		testName string
@@ -147,11 +147,11 @@
 		quick    bool
 	}{
 		{"there is no other", nil, false},
-		{"another goes on", []racer{streamed(raceUsual, 3, 4)}, true},
-		{"another has begun anew", []racer{streamed(raceUsual, 1, 2, 3, 4)}, true},
+		{"another goes on", []racer{streamed(raceTypicalLatency, 3, 4)}, true},
+		{"another has begun anew", []racer{streamed(raceTypicalLatency, 1, 2, 3, 4)}, true},
 		{"another hangs", []racer{hangs}, false},
-		{"another breaks off", []racer{breaksAfter(raceUsual)}, false},
-		{"another refuses", []racer{refusesAfter(raceUsual)}, false},
+		{"another breaks off", []racer{failsAfter(raceTypicalLatency)}, false},
+		{"another refuses", []racer{refusesAfter(raceTypicalLatency)}, false},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -160,7 +160,7 @@
 				if got := eventsOf(r.end(t)); got != "1234" {
 					t.Errorf("the caller got the events %q", got)
 				}
-				if took := time.Since(r.began); s.quick == (took >= silence) {
+				if took := time.Since(r.startedAt); s.quick == (took >= silence) {
 					t.Errorf("the stream took %s", took)
 				}
 			})
@@ -172,16 +172,16 @@
 // way or there.
 func TestAStreamThatBreaksOffAtOnceIsMadeUpFor(t *testing.T) {
 	breaks := func(wait time.Duration, events ...int) racer {
-		return answersAfter(wait, http.StatusOK, io.ErrUnexpectedEOF, eventParts(events...)...)
+		return respondsAfter(wait, http.StatusOK, io.ErrUnexpectedEOF, eventParts(events...)...)
 	}
 	scenarios := []struct {
 		testName      string
 		first, second racer
 	}{
-		{"the first breaks off, the second has answered", breaks(startLeast+raceUsual, 1), streamed(0, 1, 2, 3, 4)},
-		{"the first breaks off, the second answers soon", breaks(startLeast+raceUsual, 1, 2), streamed(overlap/2, 1, 2, 3, 4)},
-		{"the second breaks off, the first answers soon", streamed(startLeast+overlap/2, 1, 2, 3, 4), breaks(raceUsual, 1, 2)},
-		{"the second breaks off within an event", streamed(startLeast+overlap/2, 1, 2, 3, 4), answersAfter(0, http.StatusOK, io.ErrUnexpectedEOF, part{0, "id: 1\ndata: x\n\nid: 2\nda"})},
+		{"the first breaks off, the second has answered", breaks(minStartTimeout+raceTypicalLatency, 1), streamed(0, 1, 2, 3, 4)},
+		{"the first breaks off, the second answers soon", breaks(minStartTimeout+raceTypicalLatency, 1, 2), streamed(overlap/2, 1, 2, 3, 4)},
+		{"the second breaks off, the first answers soon", streamed(minStartTimeout+overlap/2, 1, 2, 3, 4), breaks(raceTypicalLatency, 1, 2)},
+		{"the second breaks off within an event", streamed(minStartTimeout+overlap/2, 1, 2, 3, 4), respondsAfter(0, http.StatusOK, io.ErrUnexpectedEOF, part{0, "id: 1\ndata: x\n\nid: 2\nda"})},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -202,11 +202,11 @@
 	breaksLate := func(events ...int) racer {
 		parts := eventParts(events...)
 		parts[len(parts)-1].after = 2 * overlap
-		return answersAfter(raceUsual, http.StatusOK, io.ErrUnexpectedEOF, parts...)
+		return respondsAfter(raceTypicalLatency, http.StatusOK, io.ErrUnexpectedEOF, parts...)
 	}
 	silentAfter := func(events ...int) racer {
 		parts := append(eventParts(events...), part{raceLeft, "id: 3\ndata: x\n\n"})
-		return answersAfter(raceUsual, http.StatusOK, io.EOF, parts...)
+		return respondsAfter(raceTypicalLatency, http.StatusOK, io.EOF, parts...)
 	}
 	scenarios := []struct {
 		testName string
@@ -214,21 +214,21 @@
 		second     racer
 		again      racer
 		maxTargets int
-		budget     BudgetTerms
+		budget     RetryBudgetConfig
 		want       string
 		asked      int
 	}{
-		{"the route allows two targets", breaksLate(1, 2), streamed(raceUsual, 2, 3, 4), 2, raceBudget, "1234", 2},
-		{"there are only two targets", breaksLate(1, 2), streamed(raceUsual, 2, 3, 4), 3, raceBudget, "1234", 2},
-		{"it begins anew", breaksLate(1, 2), streamed(raceUsual, 1, 2, 3, 4), 2, raceBudget, "1234", 2},
-		{"it breaks off as well", breaksLate(1, 2), breaksAfter(raceUsual), 2, raceBudget, "12", 2},
-		{"the other one falls silent", silentAfter(1, 2), streamed(raceUsual, 3, 4), 2, raceBudget, "1234", 2},
-		{"the retry budget has one attempt", breaksLate(1, 2), streamed(raceUsual, 2, 3, 4), 2, BudgetTerms{Slack: 2, Window: raceBudget.Window}, "12", 1},
+		{"the route allows two targets", breaksLate(1, 2), streamed(raceTypicalLatency, 2, 3, 4), 2, raceBudget, "1234", 2},
+		{"there are only two targets", breaksLate(1, 2), streamed(raceTypicalLatency, 2, 3, 4), 3, raceBudget, "1234", 2},
+		{"it begins anew", breaksLate(1, 2), streamed(raceTypicalLatency, 1, 2, 3, 4), 2, raceBudget, "1234", 2},
+		{"it breaks off as well", breaksLate(1, 2), failsAfter(raceTypicalLatency), 2, raceBudget, "12", 2},
+		{"the other one falls silent", silentAfter(1, 2), streamed(raceTypicalLatency, 3, 4), 2, raceBudget, "1234", 2},
+		{"the retry budget has one attempt", breaksLate(1, 2), streamed(raceTypicalLatency, 2, 3, 4), 2, RetryBudgetConfig{Slack: 2, Window: raceBudget.Window}, "12", 1},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newRaced(proto.RouteStream, inTurn(streamed(raceLate, 1, 2, 3, 4), s.again), s.second)
+				r := newRaced(proto.RouteStream, respondsInTurn(streamed(raceLate, 1, 2, 3, 4), s.again), s.second)
 				r.route.MaxTargets, r.server.budget = s.maxTargets, s.budget
 				r.run(t.Context())
 				if got := eventsOf(r.recorder.Body.String()); got != s.want {
@@ -270,7 +270,7 @@
 				if fail == nil || fail.status != s.status {
 					t.Errorf("end %+v, want status %d", fail, s.status)
 				}
-				if took := time.Since(r.began); took != s.closes {
+				if took := time.Since(r.startedAt); took != s.closes {
 					t.Errorf("the answer took %s", took)
 				}
 			})
@@ -293,7 +293,7 @@
 				t.Errorf("target %d was asked %d times and given up %d times", i, r.sender.askedOf(i), r.sender.gaveUpOn(i))
 			}
 		}
-		if took := time.Since(r.began); took > time.Second {
+		if took := time.Since(r.startedAt); took > time.Second {
 			t.Errorf("the request ended %s after its caller came", took)
 		}
 	})
@@ -302,7 +302,7 @@
 // TestARequestThatRunsOnceHasOneAttempt waits for the only run of a request, however late it answers.
 func TestARequestThatRunsOnceHasOneAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRaced(proto.RouteOnce, whole(raceLate, "whole"), whole(raceUsual, "other"))
+		r := newRaced(proto.RouteOnce, whole(raceLate, "whole"), whole(raceTypicalLatency, "other"))
 		if got := r.end(t); got != "whole" || r.sender.askedOf(1) > 0 {
 			t.Errorf("the caller got %q, and the second target was asked %d times", got, r.sender.askedOf(1))
 		}
@@ -312,15 +312,15 @@
 // withStage gives a request a stage whose results it needs, made by another daemon.
 func (r *racedRequest) withStage() {
 	clock, peers := r.server.clock, r.server.peers
-	r.server.pieces = newPieces(clock, peers, &standSender{})
+	r.server.pieces = newTestPieceScheduler(clock, peers, &stubSender{})
 	r.server.tables = r.server.pieces.tables
-	r.route.Stages = []proto.RouteStage{{Pool: "p", Bytes: 10}}
+	r.route.Stages = []proto.RouteStage{{Pool: "p", ResultBytes: 10}}
 	r.req.Pieces, r.req.PieceKey = []int{1}, "k"
 }
 
 // stagesDone is how often the stages were done.
 func (r *racedRequest) stagesDone() int {
-	peers := r.server.peers.(*ownerPeers)
+	peers := r.server.peers.(*recordingPeers)
 	peers.askedMu.Lock()
 	defer peers.askedMu.Unlock()
 	return len(peers.asked)
@@ -331,7 +331,7 @@
 func TestInputsAreMadeAnewBesideALateAttempt(t *testing.T) {
 	const (
 		// lateFrom is when the first attempt is late, and its inputs are given up by then.
-		lateFrom = 3 * fetchPrior
+		lateFrom = 3 * initialKeepTime
 		late     = 2 * lateFrom
 		soon     = lateFrom / 10
 	)
@@ -344,19 +344,19 @@
 		took    time.Duration
 		done    int
 	}{
-		{"the first hangs", hangs, whole(raceUsual, "whole"), soon, 0, lateFrom + 2*soon, 2},
+		{"the first hangs", hangs, whole(raceTypicalLatency, "whole"), soon, 0, lateFrom + 2*soon, 2},
 		{"the first answers meanwhile", whole(late, "whole"), hangs, raceLeft, 0, late + soon, 2},
 		{"the first answers while the second works", whole(late, "whole"), hangs, soon, 0, late + soon, 2},
 		{"they may not be made anew", whole(late, "whole"), hangs, soon, stageRebuilds, late + soon, 1},
-		{"the first breaks off meanwhile", breaksAfter(late), whole(raceUsual, "whole"), late, 0, 2*late + soon, 2},
+		{"the first breaks off meanwhile", failsAfter(late), whole(raceTypicalLatency, "whole"), late, 0, 2*late + soon, 2},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := newRaced(proto.RouteRepeatable, s.first, s.second)
 				r.withStage()
-				r.rebuilt, r.route.Goal = s.rebuilt, lateFrom
-				peers := r.server.peers.(*ownerPeers)
+				r.rebuilt, r.route.LatencyGoal = s.rebuilt, lateFrom
+				peers := r.server.peers.(*recordingPeers)
 				peers.takes = func(n int) time.Duration {
 					if n == 1 {
 						return 0
@@ -366,7 +366,7 @@
 				if got := r.end(t); got != "whole" {
 					t.Errorf("the caller got %q", got)
 				}
-				if took := time.Since(r.began); took > s.took {
+				if took := time.Since(r.startedAt); took > s.took {
 					t.Errorf("the answer took %s", took)
 				}
 				if n := r.stagesDone(); n != s.done {
@@ -380,14 +380,14 @@
 // TestAFailureAnswerIsPassedOnWhereNothingBetterComes has a target answer that it failed, and no other target be there to ask, or one that
 // does no better.
 func TestAFailureAnswerIsPassedOnWhereNothingBetterComes(t *testing.T) {
-	fails := answersAfter(raceUsual, http.StatusInternalServerError, io.EOF, part{0, "why"})
+	fails := respondsAfter(raceTypicalLatency, http.StatusInternalServerError, io.EOF, part{0, "why"})
 	scenarios := []struct {
 		testName string
 		others   []racer
 	}{
 		{"no other target", nil},
-		{"another refuses", []racer{refusesAfter(raceUsual)}},
-		{"another breaks off", []racer{breaksAfter(raceUsual)}},
+		{"another refuses", []racer{refusesAfter(raceTypicalLatency)}},
+		{"another breaks off", []racer{failsAfter(raceTypicalLatency)}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -408,7 +408,7 @@
 		racers   []racer
 		lines    []string
 	}{
-		{"another answers", []racer{whole(raceLate, "whole"), whole(raceUsual, "whole")}, []string{
+		{"another answers", []racer{whole(raceLate, "whole"), whole(raceTypicalLatency, "whole")}, []string{
 			`attempt beside: request=r target=t1 late=t0 after=50ms mightTake=50ms basis="the least that is waited for" usual=`,
 			`attempt given up: request=r target=t0 for=t1 took=50.5ms late=true mightTake=50ms basis="the least that is waited for" usual=`,
 		}},
--- a/relay/raceprop_test.go
+++ b/relay/raceprop_test.go
@@ -24,11 +24,11 @@
 	case 0:
 		return hangs, false
 	case 1:
-		return breaksAfter(wait), false
+		return failsAfter(wait), false
 	case 2:
 		return refusesAfter(wait), false
 	case 3:
-		return answersAfter(wait, http.StatusInternalServerError, io.EOF), false
+		return respondsAfter(wait, http.StatusInternalServerError, io.EOF), false
 	}
 	if kind == proto.RouteRepeatable {
 		return whole(wait, "whole"), true
@@ -36,9 +36,9 @@
 	parts := eventParts(1, 2, 3, 4)
 	parts[random.IntN(4)].after = time.Duration(random.IntN(1500)) * time.Millisecond
 	if random.IntN(4) == 0 {
-		return answersAfter(wait, http.StatusOK, io.ErrUnexpectedEOF, parts[:1+random.IntN(3)]...), false
+		return respondsAfter(wait, http.StatusOK, io.ErrUnexpectedEOF, parts[:1+random.IntN(3)]...), false
 	}
-	return answersAfter(wait, http.StatusOK, io.EOF, parts...), true
+	return respondsAfter(wait, http.StatusOK, io.EOF, parts...), true
 }
 
 // TestAnyTargetsRace plays requests before up to four targets that do anything. Each event comes once and in order, no more targets than
@@ -88,9 +88,9 @@
 		fail == nil && kind == proto.RouteStream && events != "1234" && r.recorder.Code == http.StatusOK,
 		events != "1234"[:len(events)],
 		fail != nil && allAnswer,
-		fail != nil && len(r.overtaken) > 0 && left >= leastLeft && asked < attemptsMost,
+		fail != nil && len(r.overtaken) > 0 && left >= leastLeft && asked < maxAttempts,
 		fail != nil && fail.status == http.StatusServiceUnavailable && r.runs > 0,
-		r.runs > r.mostRuns(), asked > attemptsMost:
+		r.runs > r.mostRuns(), asked > maxAttempts:
 		t.Logf("seed %d: %d targets, end %+v, events %q, body %q, %d runs, %d asked", seed, len(racers), fail, events, body, r.runs, asked)
 		return false
 	}
--- a/relay/racerig_test.go
+++ b/relay/racerig_test.go
@@ -20,27 +20,27 @@
 
 const (
 	// raceUsual is how long answers take as a rule, and raceLate how long a late one takes; raceLeft is the time of a request.
-	raceUsual = 500 * time.Microsecond
-	raceLate  = 400 * time.Millisecond
-	raceLeft  = 5 * time.Second
-	raceRoute = "route"
+	raceTypicalLatency = 500 * time.Microsecond
+	raceLate           = 400 * time.Millisecond
+	raceLeft           = 5 * time.Second
+	raceRoute          = "route"
 )
 
 // raceBudget refuses no retry.
-var raceBudget = BudgetTerms{Ratio: 1, Slack: 100, Window: 10 * time.Second}
+var raceBudget = RetryBudgetConfig{Ratio: 1, Slack: 100, Window: 10 * time.Second}
 
 // racer is how a target answers.
-type racer func(ctx context.Context) (*Incoming, error)
+type racer func(ctx context.Context) (*TargetResponse, error)
 
 // raceSender answers by the scripts of targets and counts what was given up.
 type raceSender struct {
-	mu     sync.Mutex
-	racers map[netip.AddrPort]racer
-	asked  map[netip.AddrPort]int
-	gaveUp map[netip.AddrPort]int
+	mu       sync.Mutex
+	racers   map[netip.AddrPort]racer
+	asked    map[netip.AddrPort]int
+	canceled map[netip.AddrPort]int
 }
 
-func (s *raceSender) Send(ctx context.Context, to netip.AddrPort, _ *Outgoing) (*Incoming, error) {
+func (s *raceSender) Send(ctx context.Context, to netip.AddrPort, _ *TargetRequest) (*TargetResponse, error) {
 	s.mu.Lock()
 	s.asked[to]++
 	r := s.racers[to]
@@ -48,7 +48,7 @@
 	context.AfterFunc(ctx, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.gaveUp[to]++
+		s.canceled[to]++
 	})
 	return r(ctx)
 }
@@ -62,16 +62,16 @@
 func (s *raceSender) gaveUpOn(i int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.gaveUp[raceAddress(i)]
+	return s.canceled[raceAddress(i)]
 }
 
 // raceDialect has every answer be that of the request, unless its head says that it was not run.
-type raceDialect struct{ standDialect }
+type raceDialect struct{ stubDialect }
 
 const notRunHeader = "Not-Run"
 
-func (raceDialect) ReadReply(_ int, h http.Header) Reply {
-	return Reply{Request: "r", Stamped: true, NotRun: h.Get(notRunHeader) != ""}
+func (raceDialect) ParseResponse(_ int, h http.Header) ResponseInfo {
+	return ResponseInfo{RequestID: "r", Stamped: true, NotRun: h.Get(notRunHeader) != ""}
 }
 
 // pausedBody gives each part after a pause.
@@ -103,24 +103,24 @@
 func (b *pausedBody) Close() error { return nil }
 
 // answersAfter begins its answer after a time and then gives its parts.
-func answersAfter(wait time.Duration, status int, ends error, parts ...part) racer {
-	return func(ctx context.Context) (*Incoming, error) {
+func respondsAfter(wait time.Duration, status int, ends error, parts ...part) racer {
+	return func(ctx context.Context) (*TargetResponse, error) {
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
 			return nil, &SendError{Written: true, Err: ctx.Err()}
 		}
-		return &Incoming{Status: status, Header: http.Header{}, Body: &pausedBody{ctx, parts, ends}}, nil
+		return &TargetResponse{Status: status, Header: http.Header{}, Body: &pausedBody{ctx, parts, ends}}, nil
 	}
 }
 
 func whole(wait time.Duration, body string) racer {
-	return answersAfter(wait, http.StatusOK, io.EOF, part{0, body})
+	return respondsAfter(wait, http.StatusOK, io.EOF, part{0, body})
 }
 
 // streamed gives events of a stream, each a millisecond after the last.
 func streamed(wait time.Duration, events ...int) racer {
-	return answersAfter(wait, http.StatusOK, io.EOF, eventParts(events...)...)
+	return respondsAfter(wait, http.StatusOK, io.EOF, eventParts(events...)...)
 }
 
 func eventParts(events ...int) []part {
@@ -132,8 +132,8 @@
 }
 
 func refusesAfter(wait time.Duration) racer {
-	return func(ctx context.Context) (*Incoming, error) {
-		in, err := answersAfter(wait, http.StatusServiceUnavailable, io.EOF)(ctx)
+	return func(ctx context.Context) (*TargetResponse, error) {
+		in, err := respondsAfter(wait, http.StatusServiceUnavailable, io.EOF)(ctx)
 		if err == nil {
 			in.Header.Set(notRunHeader, "1")
 		}
@@ -141,8 +141,8 @@
 	}
 }
 
-func breaksAfter(wait time.Duration) racer {
-	return func(ctx context.Context) (*Incoming, error) {
+func failsAfter(wait time.Duration) racer {
+	return func(ctx context.Context) (*TargetResponse, error) {
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
@@ -151,7 +151,7 @@
 	}
 }
 
-func hangs(ctx context.Context) (*Incoming, error) {
+func hangs(ctx context.Context) (*TargetResponse, error) {
 	<-ctx.Done()
 	return nil, &SendError{Written: true, Err: ctx.Err()}
 }
@@ -171,7 +171,7 @@
 }
 
 func raceTarget(i int) proto.RelayTarget {
-	t := listed(fmt.Sprint("t", i), "p", "z")
+	t := testTarget(fmt.Sprint("t", i), "p", "z")
 	t.Address, t.Region = raceAddress(i), []string{"north", "south"}[i%2]
 	return t
 }
@@ -179,17 +179,17 @@
 // newRaced makes a request of a kind before one target for each racer; its answers are usually quick, and the first target is the cheaper one.
 func newRaced(kind proto.RouteKind, racers ...racer) *racedRequest {
 	clock := clockwork.NewRealClock()
-	sender := &raceSender{racers: map[netip.AddrPort]racer{}, asked: map[netip.AddrPort]int{}, gaveUp: map[netip.AddrPort]int{}}
-	fleet := NewFleet(func(string) {}, WithColdTerms(ColdTerms{Over: 1.5, Slack: 5}))
+	sender := &raceSender{racers: map[netip.AddrPort]racer{}, asked: map[netip.AddrPort]int{}, canceled: map[netip.AddrPort]int{}}
+	fleet := NewFleet(func(string) {}, WithColdConfig(ColdConfig{Factor: 1.5, Slack: 5}))
 	for i, r := range racers {
 		sender.racers[raceAddress(i)] = r
 		t := raceTarget(i)
 		if i > 0 {
 			t.Zone = "other"
 		}
-		fleet.Change(clock.Now(), []FleetChange{put(uint64(i+1), t)})
+		fleet.ApplyChanges(clock.Now(), []FleetChange{putChange(uint64(i+1), t)})
 	}
-	peers := &ownerPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}}
+	peers := &recordingPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}}
 	lines := &strings.Builder{}
 	log := hclog.New(&hclog.LoggerOptions{Output: lines})
 	s := NewServer(ServerConfig{
@@ -197,15 +197,15 @@
 		Placer: NewPlacer("self", clock, log, fleet, peers), Budget: raceBudget,
 	})
 	for range 200 {
-		s.answers.observe("p", answerPrior, raceUsual)
-		s.firstEvents.observe(raceRoute, firstEventPrior, raceUsual)
+		s.answers.observe("p", answerPrior, raceTypicalLatency)
+		s.firstEvents.observe(raceRoute, firstEventPrior, raceTypicalLatency)
 	}
 	now := clock.Now()
 	recorder := httptest.NewRecorder()
 	f := &flow{
-		server: s, w: recorder, req: &Request{ID: "r"}, pool: "p", spec: &proto.RelayPool{Name: "p"}, tried: map[string]bool{},
-		route: &proto.Route{Name: raceRoute, Kind: kind, MaxTargets: 3, Resumable: true, Gap: 100 * time.Millisecond},
-		began: now, due: now.Add(raceLeft), end: now.Add(raceLeft),
+		server: s, w: recorder, req: &Request{ID: "r"}, pool: "p", spec: &proto.RelayPool{Name: "p"}, triedTargets: map[string]bool{},
+		route:     &proto.Route{Name: raceRoute, Kind: kind, MaxTargets: 3, Resumable: true, MaxPause: 100 * time.Millisecond},
+		startedAt: now, due: now.Add(raceLeft), end: now.Add(raceLeft),
 	}
 	return &racedRequest{flow: f, fleet: fleet, sender: sender, recorder: recorder, log: lines}
 }
@@ -214,13 +214,13 @@
 func (r *racedRequest) end(t *testing.T) string {
 	t.Helper()
 	if fail := r.run(t.Context()); fail != nil {
-		t.Errorf("the request fails after %s: status %d, %s", time.Since(r.began), fail.status, fail.reason)
+		t.Errorf("the request fails after %s: status %d, %s", time.Since(r.startedAt), fail.status, fail.reason)
 	}
 	return r.recorder.Body.String()
 }
 
 func (r *racedRequest) change(t proto.RelayTarget) {
-	r.fleet.Change(time.Now(), []FleetChange{put(100, t)})
+	r.fleet.ApplyChanges(time.Now(), []FleetChange{putChange(100, t)})
 }
 
 // eventsOf are the ids of the events that a caller got.
--- a/relay/ranks.go
+++ b/relay/ranks.go
@@ -23,7 +23,7 @@
 
 // ranksOf numbers the urgencies that requests for each pool can have, without gaps: a step of rank means the same
 // whatever numbers the operator uses, and routes stay apart when all workspaces have one priority.
-func ranksOf(r *proto.Routing) map[string]map[urgency]int {
+func rankUrgencies(r *proto.Routing) map[string]map[urgency]int {
 	found := map[string]map[urgency]bool{}
 	for i := range r.Routes {
 		route := &r.Routes[i]
--- a/relay/server.go
+++ b/relay/server.go
@@ -22,7 +22,7 @@
 	// bodyWait bounds the reading of a body; callers that are within the limits send theirs at once.
 	bodyWait = 5 * time.Second
 	// waitUnknown is when to come back for a pool that the configuration in force does not have yet.
-	waitUnknown = 400 * time.Millisecond
+	unknownPoolRetryAfter = 400 * time.Millisecond
 	// startWait is how long a request waits for a daemon that is starting, which is a part of the shortest goals.
 	startWait = 100 * time.Millisecond
 	// waitFull is when to come back to a daemon that has as many open requests as it may.
@@ -49,7 +49,7 @@
 // Limits bound a daemon's own resources.
 type Limits struct {
 	// Open is the most requests in progress.
-	Open int64
+	MaxOpen int64
 }
 
 // Server passes callers' requests on to targets.
@@ -60,23 +60,23 @@
 	sender  Sender
 	fleet   *Fleet
 	tables  *Tables
-	pieces  *Pieces
+	pieces  *PieceScheduler
 	placer  *Placer
 	peers   Peers
 	limits  Limits
 	zone    string
 	counts  Counts
-	crashes *Crashes
-	ends    *EndWatch
+	crashes *CrashTracker
+	ends    *CrashDetector
 
 	// firstEvents are the times to the first events of a route's requests at their targets, answers those to the whole
 	// answers of a pool, callTimes those of a pool's calls for pieces, and lengths those of whole requests of a route.
 	firstEvents, answers, callTimes, lengths typicals[string]
-	fetches                                  fetches
+	fetches                                  fetchTimes
 
 	budgetMu sync.Mutex
-	budgets  map[string]*Budget
-	budget   BudgetTerms
+	budgets  map[string]*RetryBudget
+	budget   RetryBudgetConfig
 
 	started  <-chan struct{}
 	open     atomic.Int64
@@ -111,15 +111,15 @@
 	Sender  Sender
 	Fleet   *Fleet
 	Tables  *Tables
-	Pieces  *Pieces
+	Pieces  *PieceScheduler
 	Placer  *Placer
 	Peers   Peers
 	Zone    string
-	Budget  BudgetTerms
+	Budget  RetryBudgetConfig
 	Limits  Limits
 	// Crashes says which requests are run no more, and Ends is told of attempts that failed; both may be nil.
-	Crashes *Crashes
-	Ends    *EndWatch
+	CrashTracker *CrashTracker
+	Ends         *CrashDetector
 	// Started is closed once the daemon knows what it needs to serve; nil if it does from the beginning.
 	Started <-chan struct{}
 }
@@ -128,10 +128,10 @@
 func NewServer(c ServerConfig) *Server {
 	s := &Server{
 		clock: c.Clock, log: c.Log, dialect: c.Dialect, fleet: c.Fleet, tables: c.Tables,
-		pieces: c.Pieces, placer: c.Placer, peers: c.Peers, zone: c.Zone, limits: c.Limits, started: c.Started, budget: c.Budget, budgets: map[string]*Budget{},
-		crashes: c.Crashes, ends: c.Ends,
+		pieces: c.Pieces, placer: c.Placer, peers: c.Peers, zone: c.Zone, limits: c.Limits, started: c.Started, budget: c.Budget, budgets: map[string]*RetryBudget{},
+		crashes: c.CrashTracker, ends: c.Ends,
 	}
-	s.sender = newNoticingSender(c.Sender, c.Dialect, c.Fleet, c.Clock, c.Log)
+	s.sender = newNoticeSender(c.Sender, c.Dialect, c.Fleet, c.Clock, c.Log)
 	s.ending, s.end = context.WithCancel(context.Background())
 	s.closing, s.close = context.WithCancel(context.Background())
 	return s
@@ -152,12 +152,12 @@
 // Counts returns the totals since the start.
 func (s *Server) Counts() *Counts { return &s.counts }
 
-func (s *Server) budgetOf(pool string) *Budget {
+func (s *Server) budgetOf(pool string) *RetryBudget {
 	s.budgetMu.Lock()
 	defer s.budgetMu.Unlock()
 	b := s.budgets[pool]
 	if b == nil {
-		b = NewBudget(s.clock.Now(), s.budget)
+		b = NewRetryBudget(s.clock.Now(), s.budget)
 		s.budgets[pool] = b
 	}
 	return b
@@ -176,17 +176,17 @@
 	// digest is the same for each try of the request, under whatever id.
 	digest proto.RequestDigest
 	// homes are the regions that the request and its pieces may be worked on in. Its body goes to no other daemon.
-	homes proto.Homes
+	homes proto.AllowedRegions
 	// rank is the request's urgency among those for its pool; 0 is the highest.
-	rank    int
-	version uint64
-	began   time.Time
+	rank      int
+	version   uint64
+	startedAt time.Time
 	// end is when the final answer must go out, and due when it should be there.
 	end, due time.Time
 
-	inputs []stageResult
+	stageResults []stageResult
 	// freeing guards what says which results are freed: a timer frees them too.
-	freeing sync.Mutex
+	freeMu sync.Mutex
 	// handles are the inputs that the request itself needs, in order; lacking says that they are being made, or could not be.
 	handles []string
 	lacking bool
@@ -199,14 +199,14 @@
 	// sent counts the attempts that reached a target, and runs the targets that may have run the request.
 	sent, runs int
 	// target is the last target that was tried.
-	target string
-	tried  map[string]bool
+	target       string
+	triedTargets map[string]bool
 	// overtaken are the targets whose attempts were given up for one that answered earlier.
 	overtaken []string
 	committed bool
 	after     int
 	// ready is a target's failure answer that is passed on if nothing better comes.
-	ready *wholeAnswer
+	ready *bufferedResponse
 	// stages are how those that have ended went, also such as were done anew.
 	stages []stageNote
 	// staged and first are when the stages were done and when the first event went out.
@@ -229,7 +229,7 @@
 	if s.stopping.Load() != nil {
 		w.Header().Set("Connection", "close")
 	}
-	if s.open.Add(1) > s.limits.Open {
+	if s.open.Add(1) > s.limits.MaxOpen {
 		s.open.Add(-1)
 		s.refuse(w, &failure{status: http.StatusServiceUnavailable, wait: waitFull, reason: "too many requests are in progress"}, nil, began)
 		return
@@ -242,7 +242,7 @@
 		return
 	}
 	f.note("request accepted", "route", f.route.Name, "workspace", f.workspace, "rank", f.rank, "pool", f.pool, "routing", f.version,
-		"pieces", f.req.Pieces, "homes", f.homes.Regions, "digest", f.digest.String(), "body", len(f.req.Body), "prompt", f.prompt(), "promptTokens", f.req.PromptTokens, "mostTokens", f.req.MostTokens, "due", brief(f.due.Sub(began)), "left", brief(f.left()))
+		"pieces", f.req.Pieces, "homes", f.homes.Regions, "digest", f.digest.String(), "body", len(f.req.Body), "prompt", f.prompt(), "promptTokens", f.req.PromptTokens, "mostTokens", f.req.MaxTokens, "due", formatDuration(f.due.Sub(began)), "left", formatDuration(f.left()))
 	ctx, span := otel.Tracer(tracer).Start(r.Context(), "relay", trace.WithSpanKind(trace.SpanKindServer),
 		trace.WithAttributes(attribute.String("emberlead.request", f.req.ID), attribute.String("emberlead.route", f.route.Name)))
 	defer span.End()
@@ -273,28 +273,28 @@
 
 // run has the stages done and then the request itself; nil means that the whole answer went out.
 func (f *flow) run(ctx context.Context) *failure {
-	f.server.counts.asked.Add(1)
+	f.server.counts.received.Add(1)
 	if f.spec == nil {
-		return f.notRun(waitUnknown, "the configuration has no pool "+f.pool)
+		return f.notRun(unknownPoolRetryAfter, "the configuration has no pool "+f.pool)
 	}
-	if f.server.fleet.Open(f.pool, f.homes) == 0 {
+	if f.server.fleet.OpenCount(f.pool, f.homes) == 0 {
 		// Its stages would be made in vain.
-		return f.notRun(waitUnknown, f.noTarget())
+		return f.notRun(unknownPoolRetryAfter, f.noTarget())
 	}
-	if in, reason := f.server.placer.heldFor(f.pool, f.homes); in > f.untilEngine() {
+	if in, reason := f.server.placer.signalWait(f.pool, f.homes); in > f.untilEngine() {
 		f.noteNoTarget(reason)
 		return f.notRun(f.comeBackIn(in), reason)
 	}
-	f.server.budgetOf(f.pool).Asked(f.server.clock.Now())
+	f.server.budgetOf(f.pool).RecordRequest(f.server.clock.Now())
 	if fail := f.admit(ctx); fail != nil {
 		return fail
 	}
-	defer f.freeAll()
+	defer f.freeAllResults()
 	fail, lost := f.runStagesUntilTheEnd(ctx)
 	for {
 		if fail == nil {
 			f.staged = f.server.clock.Now()
-			fail, lost = f.runSelf(ctx)
+			fail, lost = f.runAttempts(ctx)
 		}
 		if !lost || !f.mayRebuild() {
 			if fail != nil && f.passReady() {
@@ -312,8 +312,8 @@
 // rebuild has the stages done anew.
 func (f *flow) rebuild(ctx context.Context) (fail *failure, lost bool) {
 	f.rebuilt++
-	f.note("inputs are made anew", "rebuilt", f.rebuilt, "left", brief(f.left()))
-	f.freeAll()
+	f.note("inputs are made anew", "rebuilt", f.rebuilt, "left", formatDuration(f.left()))
+	f.freeAllResults()
 	return f.runStagesUntilTheEnd(ctx)
 }
 
@@ -332,8 +332,8 @@
 
 // prompt names the part of the prompt that is the request's own, by which the log shows that a caller came back.
 func (f *flow) prompt() string {
-	if n := len(f.req.Parts); n > 0 {
-		return f.req.Parts[n-1].ID
+	if n := len(f.req.PromptParts); n > 0 {
+		return f.req.PromptParts[n-1].ID
 	}
 	return ""
 }
@@ -355,39 +355,39 @@
 	s := f.server
 	now := s.clock.Now()
 	if fail == nil {
-		s.counts.delivered(now.Sub(f.began), f.inTime(now))
-		s.lengths.observe(f.route.Name, streamsLength, now.Sub(f.began))
+		s.counts.recordDelivered(now.Sub(f.startedAt), f.inTime(now))
+		s.lengths.observe(f.route.Name, streamsLength, now.Sub(f.startedAt))
 		s.log.Info("request delivered", append(f.facts(now), "inTime", f.inTime(now))...)
 		return
 	}
 	if ctx.Err() != nil && s.closing.Err() != nil {
-		s.counts.broken.Add(1)
+		s.counts.streamsBroken.Add(1)
 		s.log.Warn("request cut off by the stop", append(f.facts(now), "reason", fail.reason)...)
 		panic(http.ErrAbortHandler)
 	}
 	if ctx.Err() != nil {
-		s.counts.left.Add(1)
+		s.counts.callerLeft.Add(1)
 		s.log.Info("caller left", append(f.facts(now), "reason", fail.reason)...)
 		panic(http.ErrAbortHandler)
 	}
 	if f.committed {
-		s.counts.broken.Add(1)
+		s.counts.streamsBroken.Add(1)
 		s.log.Warn("stream broken off", append(f.facts(now), "reason", fail.reason)...)
 		panic(http.ErrAbortHandler)
 	}
-	s.refuse(f.w, fail, f, f.began)
+	s.refuse(f.w, fail, f, f.startedAt)
 }
 
 func (f *flow) facts(now time.Time) []any {
 	return []any{
 		"request", f.req.ID, "route", f.route.Name, "workspace", f.workspace, "routing", f.version, "targets", f.server.fleet.Version(),
-		"rank", f.rank, "took", brief(now.Sub(f.began)), "staged", brief(since(f.began, f.staged)), "first", brief(since(f.began, f.first)), "goal", brief(f.route.Goal), "pause", brief(f.pause),
+		"rank", f.rank, "took", formatDuration(now.Sub(f.startedAt)), "staged", formatDuration(since(f.startedAt, f.staged)), "first", formatDuration(since(f.startedAt, f.first)), "goal", formatDuration(f.route.LatencyGoal), "pause", formatDuration(f.pause),
 		"sent", f.sent, "runs", f.runs, "target", f.target, "stages", f.stages,
 	}
 }
 
 // brief is how a time is logged: whole microseconds with their unit.
-func brief(d time.Duration) string { return d.Round(time.Microsecond).String() }
+func formatDuration(d time.Duration) string { return d.Round(time.Microsecond).String() }
 
 // since is the time between two moments, 0 if the second has not come.
 func since(from, to time.Time) time.Duration {
@@ -399,7 +399,7 @@
 
 // inTime tells whether a delivered answer was there by its goal, and a stream without a pause that its route calls late.
 func (f *flow) inTime(now time.Time) bool {
-	return !f.answered(now).After(f.due) && (f.route.Gap == 0 || f.pause <= f.route.Gap)
+	return !f.answered(now).After(f.due) && (f.route.MaxPause == 0 || f.pause <= f.route.MaxPause)
 }
 
 // answered is when a delivered answer counts as there: a stream by its first event.
@@ -411,17 +411,17 @@
 }
 
 func (s *Server) refuse(w http.ResponseWriter, fail *failure, f *flow, began time.Time) {
-	s.counts.refused(fail.status)
+	s.counts.recordRefused(fail.status)
 	now := s.clock.Now()
-	facts := []any{"status", fail.status, "reason", fail.reason, "comeBack", brief(fail.wait)}
+	facts := []any{"status", fail.status, "reason", fail.reason, "comeBack", formatDuration(fail.wait)}
 	if f != nil && f.route != nil {
 		facts = append(facts, f.facts(now)...)
 	} else if f != nil {
-		facts = append(facts, "request", f.req.ID, "routing", f.version, "took", brief(now.Sub(began)))
+		facts = append(facts, "request", f.req.ID, "routing", f.version, "took", formatDuration(now.Sub(began)))
 	}
 	s.log.Info("request refused", facts...)
 	if fail.wait > 0 {
-		s.dialect.Refuse(w.Header(), fail.wait)
+		s.dialect.SetRetryAfter(w.Header(), fail.wait)
 	}
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(fail.status)
--- a/relay/server_test.go
+++ b/relay/server_test.go
@@ -34,7 +34,7 @@
 			if c.stops > 0 {
 				s.Stop(start, start.Add(c.stops))
 			}
-			f := &flow{server: s, route: &proto.Route{Kind: c.kind}, began: start.Add(c.after)}
+			f := &flow{server: s, route: &proto.Route{Kind: c.kind}, startedAt: start.Add(c.after)}
 			fail := f.refuseStopping()
 			if (fail != nil) != c.refused {
 				t.Errorf("refused: %v", fail)
@@ -53,9 +53,9 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}}
-	f := stagedFlow(&ownerPeers{}, 1)
+	f := newStagedFlow(&recordingPeers{}, 1)
 	clock := clockwork.NewFakeClockAt(start)
-	f.server.clock, f.server.pieces = clock, newPieces(clock, peers, &standSender{})
+	f.server.clock, f.server.pieces = clock, newTestPieceScheduler(clock, peers, &stubSender{})
 	f.server.Stop(start, start.Add(grace))
 	type end struct {
 		fail *failure
@@ -85,7 +85,7 @@
 func TestAStoppingDaemonKnowsHowLongARouteTakes(t *testing.T) {
 	s := NewServer(ServerConfig{Clock: clockwork.NewFakeClockAt(start)})
 	s.Stop(start, start.Add(7*time.Second))
-	f := &flow{server: s, route: &proto.Route{Name: "long", Kind: proto.RouteStream}, began: start.Add(time.Second)}
+	f := &flow{server: s, route: &proto.Route{Name: "long", Kind: proto.RouteStream}, startedAt: start.Add(time.Second)}
 	if fail := f.refuseStopping(); fail != nil {
 		t.Fatalf("refused before anything is known: %s", fail.reason)
 	}
@@ -137,8 +137,8 @@
 }
 
 func TestAStreamWithALongPauseIsLate(t *testing.T) {
-	f := &flow{route: &proto.Route{Gap: 200 * time.Millisecond}, began: start, due: start.Add(time.Second), first: start.Add(500 * time.Millisecond)}
-	f.pause = f.route.Gap
+	f := &flow{route: &proto.Route{MaxPause: 200 * time.Millisecond}, startedAt: start, due: start.Add(time.Second), first: start.Add(500 * time.Millisecond)}
+	f.pause = f.route.MaxPause
 	if !f.inTime(start.Add(time.Minute)) {
 		t.Error("late, though its first event and its pauses were in time")
 	}
--- a/relay/shards.go
+++ b/relay/shards.go
@@ -19,15 +19,15 @@
 }
 
 // task names the shard's work among the daemons.
-func (s shard) task() string {
+func (s shard) taskName() string {
 	if s.index == 0 {
-		return batchTask + s.pool
+		return batchTaskPrefix + s.pool
 	}
-	return batchTask + s.pool + "/" + strconv.Itoa(s.index)
+	return batchTaskPrefix + s.pool + "/" + strconv.Itoa(s.index)
 }
 
 // shardsOf is how many shards so many targets are divided into.
-func shardsOf(targets int) int { return max(1, (targets+shardTargets-1)/shardTargets) }
+func shardCount(targets int) int { return max(1, (targets+shardTargets-1)/shardTargets) }
 
 // shardOf returns a target's shard of several by rendezvous hashing: another shard takes its part from all others, and
 // daemons whose lists differ by a target agree on nearly all.
@@ -38,7 +38,7 @@
 	hash := state.Hash(target)
 	best, most := 0, uint64(0)
 	for i := range shards {
-		if rank := state.Rank(hash, state.Hash(strconv.Itoa(i))); rank >= most {
+		if rank := state.RendezvousScore(hash, state.Hash(strconv.Itoa(i))); rank >= most {
 			best, most = i, rank
 		}
 	}
@@ -47,7 +47,7 @@
 
 // shardTargetsOf returns the targets of a shard. One that is no shard any more, since the pool has shrunk, goes on with
 // the targets of another until its work is done.
-func shardTargetsOf(targets []proto.RelayTarget, index, shards int) []proto.RelayTarget {
+func targetsInShard(targets []proto.RelayTarget, index, shards int) []proto.RelayTarget {
 	if shards == 1 {
 		return targets
 	}
@@ -61,8 +61,8 @@
 }
 
 // chooseShard picks the shard for a stage of a request: of two, the one that was last heard to have the shorter queue.
-func (p *Pieces) chooseShard(pool, request string, rank int) int {
-	shards := shardsOf(p.fleet.Size(pool))
+func (p *PieceScheduler) chooseShard(pool, request string, rank int) int {
+	shards := shardCount(p.fleet.Size(pool))
 	if shards == 1 {
 		return 0
 	}
@@ -70,7 +70,7 @@
 	first := int(hash % uint64(shards))
 	second := (first + 1 + int(hash>>32%uint64(shards-1))) % shards
 	now := p.clock.Now()
-	if p.queues.read(now, queueKey{shard{pool, second}, rank}) < p.queues.read(now, queueKey{shard{pool, first}, rank}) {
+	if p.queueTimes.estimate(now, queueKey{shard{pool, second}, rank}) < p.queueTimes.estimate(now, queueKey{shard{pool, first}, rank}) {
 		return second
 	}
 	return first
--- a/relay/shards_test.go
+++ b/relay/shards_test.go
@@ -14,14 +14,14 @@
 func poolOf(n int) []proto.RelayTarget {
 	targets := make([]proto.RelayTarget, n)
 	for i := range targets {
-		targets[i] = listed(fmt.Sprint("t", i), "p", "z")
+		targets[i] = testTarget(fmt.Sprint("t", i), "p", "z")
 	}
 	return targets
 }
 
 func TestAPoolIsDividedByItsSize(t *testing.T) {
 	for targets, want := range map[int]int{0: 1, 1: 1, 24: 1, 25: 2, 48: 2, 72: 3, 700: 30} {
-		if got := shardsOf(targets); got != want {
+		if got := shardCount(targets); got != want {
 			t.Errorf("%d targets are divided into %d shards, want %d", targets, got, want)
 		}
 	}
@@ -29,10 +29,10 @@
 
 func TestEachTargetIsInOneShard(t *testing.T) {
 	targets := poolOf(100)
-	shards := shardsOf(len(targets))
+	shards := shardCount(len(targets))
 	seen := map[string]int{}
 	for i := range shards {
-		own := shardTargetsOf(targets, i, shards)
+		own := targetsInShard(targets, i, shards)
 		if len(own) < shardTargets/2 || len(own) > 2*shardTargets {
 			t.Errorf("shard %d of %d has %d targets", i, shards, len(own))
 		}
@@ -46,7 +46,7 @@
 		}
 	}
 	// A shard that is none any more ends its work with targets of another.
-	if own := shardTargetsOf(targets, shards, shards); len(own) == 0 {
+	if own := targetsInShard(targets, shards, shards); len(own) == 0 {
 		t.Error("a shard that was given up has no target for what waits in it")
 	}
 }
@@ -70,14 +70,14 @@
 }
 
 // shardedPieces is a driver that batches for all shards of a pool of so many targets itself.
-func shardedPieces(targets int) *Pieces {
-	peers := &ownerPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}}
-	p := newPieces(clockwork.NewRealClock(), peers, &standSender{})
+func shardedPieces(targets int) *PieceScheduler {
+	peers := &recordingPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}}
+	p := newTestPieceScheduler(clockwork.NewRealClock(), peers, &stubSender{})
 	var changes []FleetChange
 	for i, target := range poolOf(targets) {
-		changes = append(changes, put(uint64(i+1), target))
+		changes = append(changes, putChange(uint64(i+1), target))
 	}
-	p.fleet.Change(start, changes)
+	p.fleet.ApplyChanges(start, changes)
 	return p
 }
 
@@ -92,13 +92,13 @@
 			t.Errorf("shard %d gets %d of 300 requests while no queue is known", i, got[i])
 		}
 	}
-	p.queues.note(p.clock.Now(), queueKey{shard{"p", 1}, 0}, time.Minute)
+	p.queueTimes.record(p.clock.Now(), queueKey{shard{"p", 1}, 0}, time.Minute)
 	for i := range 300 {
 		if request := fmt.Sprint("r", i); p.chooseShard("p", request, 0) == 1 {
 			t.Fatalf("%s goes to the shard with a queue of a minute", request)
 		}
 	}
-	if got := p.Queue("p", 0); got != 0 {
+	if got := p.QueueTime("p", 0); got != 0 {
 		t.Errorf("a queue of %v, though two of three shards have none", got)
 	}
 }
@@ -106,16 +106,16 @@
 // TestResultsAreFreedAtTheShardThatMadeThem has another daemon batch for all shards.
 func TestResultsAreFreedAtTheShardThatMadeThem(t *testing.T) {
 	p := shardedPieces(3 * shardTargets)
-	peers := p.peers.(*ownerPeers)
+	peers := p.peers.(*recordingPeers)
 	for i := range 20 {
-		ask := proto.PiecesAsk{Pool: "p", Request: fmt.Sprint("r", i), Pieces: 1}
-		answer := p.Ask(context.Background(), ask, start.Add(time.Hour), start.Add(time.Hour))
+		ask := proto.PiecesAsk{Pool: "p", RequestID: fmt.Sprint("r", i), Pieces: 1}
+		answer := p.Run(context.Background(), ask, start.Add(time.Hour), start.Add(time.Hour))
 		if asked := peers.asked[i].Shard; answer.Shard != asked {
-			t.Errorf("%s: shard %d was asked, and the answer is of %d", ask.Request, asked, answer.Shard)
+			t.Errorf("%s: shard %d was asked, and the answer is of %d", ask.RequestID, asked, answer.Shard)
 		}
 		p.Free("p", answer.Shard, answer.Handles)
 		if drop, ok := peers.sent[i].(proto.PiecesDrop); !ok || drop.Shard != answer.Shard {
-			t.Errorf("%s: freed by %+v, want shard %d", ask.Request, peers.sent[i], answer.Shard)
+			t.Errorf("%s: freed by %+v, want shard %d", ask.RequestID, peers.sent[i], answer.Shard)
 		}
 	}
 }
@@ -123,18 +123,18 @@
 // TestBatchersFollowAPoolThatGrows has a pool of one shard become one of two.
 func TestBatchersFollowAPoolThatGrows(t *testing.T) {
 	p := shardedPieces(shardTargets)
-	first := p.worker(shard{"p", 0})
+	first := p.workerFor(shard{"p", 0})
 	if n := len(first.targets()); n != shardTargets {
 		t.Fatalf("%d targets", n)
 	}
 	var more []FleetChange
 	for i := range shardTargets {
-		more = append(more, put(uint64(100+i), listed(fmt.Sprint("new", i), "p", "z")))
+		more = append(more, putChange(uint64(100+i), testTarget(fmt.Sprint("new", i), "p", "z")))
 	}
-	p.fleet.Change(start, more)
+	p.fleet.ApplyChanges(start, more)
 	p.TargetsChanged("p")
-	second := p.worker(shard{"p", 1})
-	if a, b := len(first.batch.targets), len(second.batch.targets); a+b != 2*shardTargets || a == 0 || b == 0 {
+	second := p.workerFor(shard{"p", 1})
+	if a, b := len(first.batcher.targets), len(second.batcher.targets); a+b != 2*shardTargets || a == 0 || b == 0 {
 		t.Errorf("%d and %d targets of %d", a, b, 2*shardTargets)
 	}
 }
--- a/relay/signalterms.go
+++ b/relay/signalterms.go
@@ -20,8 +20,8 @@
 	p.mayLimit = false
 	var list []proto.TargetNotice
 	for _, t := range p.list {
-		p.mayLimit = p.mayLimit || t.notice.Limited
-		if t.notice.Limited && !t.closed() {
+		p.mayLimit = p.mayLimit || t.notice.HasLimit
+		if t.notice.HasLimit && !t.closed() {
 			list = append(list, t.notice)
 		}
 	}
@@ -32,14 +32,14 @@
 func (f *Fleet) limitOf(t *Target) (n proto.TargetNotice, limited bool) {
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
-	return t.notice, t.notice.Limited
+	return t.notice, t.notice.HasLimit
 }
 
 // rests tells whether the target wants nothing from this daemon.
 func (t *Target) rests(now time.Time) bool { return now.Before(t.restUntil) }
 
 // restsFor returns how long it takes until a target of a pool that wants rest from this daemon may get work, and false if none wants rest.
-func (f *Fleet) restsFor(now time.Time, pool string) (left time.Duration, rests bool) {
+func (f *Fleet) backoffRemaining(now time.Time, pool string) (left time.Duration, rests bool) {
 	p := f.pool(pool)
 	if p == nil {
 		return 0, false
@@ -64,7 +64,7 @@
 }
 
 // allHeld returns the targets of a pool in some regions that may get work, if each of them rests or names a limit; nil if one does neither.
-func (f *Fleet) allHeld(now time.Time, pool string, homes proto.Homes) []heldTarget {
+func (f *Fleet) allHeld(now time.Time, pool string, homes proto.AllowedRegions) []heldTarget {
 	p := f.pool(pool)
 	if p == nil {
 		return nil
@@ -73,10 +73,10 @@
 	defer p.mu.Unlock()
 	var held []heldTarget
 	for _, t := range p.list {
-		if t.closed() || !homes.Allow(t.Spec.Region) {
+		if t.closed() || !homes.Allows(t.Spec.Region) {
 			continue
 		}
-		if !t.rests(now) && !t.notice.Limited {
+		if !t.rests(now) && !t.notice.HasLimit {
 			return nil
 		}
 		held = append(held, heldTarget{t.notice, max(0, t.restUntil.Sub(now))})
@@ -85,28 +85,28 @@
 }
 
 // targetTerms are what a target accepts from this daemon.
-type targetTerms struct {
+type targetLimits struct {
 	id string
 	// limit is in requests a second, from all daemons together; noLimit if it names none.
-	limit     float64
-	restUntil time.Time
+	limit        float64
+	backoffUntil time.Time
 }
 
 // terms returns what the targets of a pool accept.
-func (f *Fleet) terms(now time.Time, pool string) []targetTerms {
+func (f *Fleet) poolLimits(now time.Time, pool string) []targetLimits {
 	p := f.pool(pool)
 	if p == nil {
 		return nil
 	}
 	p.lock()
 	defer p.mu.Unlock()
-	var list []targetTerms
+	var list []targetLimits
 	for _, t := range p.list {
-		if !t.notice.Limited && !t.rests(now) {
+		if !t.notice.HasLimit && !t.rests(now) {
 			continue
 		}
-		terms := targetTerms{id: t.Spec.ID, limit: noLimit, restUntil: t.restUntil}
-		if t.notice.Limited {
+		terms := targetLimits{id: t.Spec.ID, limit: noLimit, backoffUntil: t.restUntil}
+		if t.notice.HasLimit {
 			terms.limit = t.notice.Limit
 		}
 		list = append(list, terms)
@@ -151,10 +151,10 @@
 		}
 		line := signalLine{Target: t.Spec.ID, Leaving: s.leaving}
 		if s.limit != noLimit {
-			line.Limit, line.Age, line.From, line.notice = s.limit, brief(now.Sub(s.limitAt)), s.limitFrom, t.notice
+			line.Limit, line.Age, line.From, line.notice = s.limit, formatDuration(now.Sub(s.limitAt)), s.limitFrom, t.notice
 		}
 		if t.rests(now) {
-			line.Rest = brief(t.restUntil.Sub(now))
+			line.Rest = formatDuration(t.restUntil.Sub(now))
 		}
 		if line != (signalLine{Target: t.Spec.ID}) {
 			lines = append(lines, line)
--- a/relay/stages.go
+++ b/relay/stages.go
@@ -62,9 +62,9 @@
 // lost says that a result was lost, so that they may be done anew.
 func (f *flow) runStages(ctx context.Context) (fail *failure, lost bool) {
 	f.handles, f.zone, f.bulk, f.lacking = nil, "", 0, true
-	home := f.server.fleet.Home(f.server.clock.Now(), f.pool, f.want())
+	home := f.server.fleet.HomeZone(f.server.clock.Now(), f.pool, f.want())
 	stages := f.route.Stages
-	f.inputs = make([]stageResult, len(stages))
+	f.stageResults = make([]stageResult, len(stages))
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	ends := make(chan stageEnd, len(stages))
@@ -74,15 +74,15 @@
 		open--
 		f.noteStage(e)
 		f.noteFreed(e)
-		if e.answer.Fate != proto.PiecesDone {
+		if e.answer.Outcome != proto.PiecesDone {
 			cancel()
 			f.drain(ends, open)
-			return f.stageFailed(e), e.answer.Fate == proto.PiecesLost
+			return f.stageFailed(e), e.answer.Outcome == proto.PiecesLost
 		}
-		f.server.callTimes.observe(stages[e.stage].Pool, f.stageLength(e.stage), e.answer.Made)
-		r := &f.inputs[e.stage]
+		f.server.callTimes.observe(stages[e.stage].Pool, f.stageLength(e.stage), e.answer.CallTime)
+		r := &f.stageResults[e.stage]
 		r.done, r.handles, r.zone, r.shard = true, e.answer.Handles, e.answer.Zone, e.answer.Shard
-		r.bytes = stages[e.stage].Bytes * len(r.handles)
+		r.bytes = stages[e.stage].ResultBytes * len(r.handles)
 		f.freeUsed()
 		open += f.startStages(ctx, ends, home)
 	}
@@ -97,8 +97,8 @@
 		e := <-ends
 		f.noteStage(e)
 		f.noteFreed(e)
-		if e.answer.Fate == proto.PiecesDone {
-			r := &f.inputs[e.stage]
+		if e.answer.Outcome == proto.PiecesDone {
+			r := &f.stageResults[e.stage]
 			r.done, r.handles, r.shard = true, e.answer.Handles, e.answer.Shard
 		}
 	}
@@ -109,8 +109,8 @@
 	if fail := f.refuseCrashing(); fail != nil {
 		return fail
 	}
-	f.note("a stage failed", "stage", e.stage, "pool", pool, "fate", e.answer.Fate.String(), "wait", brief(e.answer.Wait), "detail", e.answer.Detail)
-	return f.notRun(f.comeBack(f.stageLength(e.stage), e.answer.Wait), "stage "+pool+": "+e.answer.Detail)
+	f.note("a stage failed", "stage", e.stage, "pool", pool, "fate", e.answer.Outcome.String(), "wait", formatDuration(e.answer.RetryAfter), "detail", e.answer.Detail)
+	return f.notRun(f.comeBack(f.stageLength(e.stage), e.answer.RetryAfter), "stage "+pool+": "+e.answer.Detail)
 }
 
 // comeBack is when a caller that was refused for a queue should come back: once the queue has drained, and not all
@@ -121,7 +121,7 @@
 		spread = time.Duration(xxhash.Sum64String(f.req.ID) % uint64(comeBackSpread*call))
 	}
 	wait := max(comeBackCalls*call, 2*queue) + spread
-	return max(retryFloor, min(wait, f.left()/comeBackPart))
+	return max(minRetryWait, min(wait, f.left()/comeBackPart))
 }
 
 // startStages starts the stages whose needs are met and returns how many.
@@ -130,10 +130,10 @@
 	// Once a stream has begun, refusing its stages would break it off.
 	first := !f.anyDone() && !f.committed
 	for i := range f.route.Stages {
-		if f.inputs[i].asked || f.pieces(i) == 0 || !f.needsMet(i) || f.canWait(i) {
+		if f.stageResults[i].asked || f.pieces(i) == 0 || !f.needsMet(i) || f.canWait(i) {
 			continue
 		}
-		f.inputs[i].asked = true
+		f.stageResults[i].asked = true
 		started++
 		ask := f.askFor(i, first, home)
 		rest := f.restAfter(i)
@@ -150,25 +150,25 @@
 func (f *flow) askStage(ctx context.Context, ask proto.PiecesAsk, due, end time.Time) stageEnd {
 	clock := f.server.clock
 	began := clock.Now()
-	answer := f.server.pieces.Ask(ctx, ask, due, end)
+	answer := f.server.pieces.Run(ctx, ask, due, end)
 	return stageEnd{stage: ask.Stage, answer: answer, took: clock.Now().Sub(began)}
 }
 
 func (f *flow) noteStage(e stageEnd) {
 	f.stages = append(f.stages, stageNote{
-		Stage: e.stage, Pool: f.route.Stages[e.stage].Pool, Fate: e.answer.Fate.String(),
-		Queued: brief(e.answer.Queued), Made: brief(e.answer.Made), Took: brief(e.took),
+		Stage: e.stage, Pool: f.route.Stages[e.stage].Pool, Fate: e.answer.Outcome.String(),
+		Queued: formatDuration(e.answer.QueuedFor), Made: formatDuration(e.answer.CallTime), Took: formatDuration(e.took),
 	})
 }
 
 // canWait tells whether a stage with large results is better done later: nothing but the request itself needs them,
 // and until it runs they take up room that other requests need.
 func (f *flow) canWait(stage int) bool {
-	if !f.last(stage) || f.route.Stages[stage].Bytes*f.pieces(stage) < bulkInputs {
+	if !f.last(stage) || f.route.Stages[stage].ResultBytes*f.pieces(stage) < minBulkInputBytes {
 		return false
 	}
 	for i := range f.route.Stages {
-		if i != stage && f.pieces(i) > 0 && !f.inputs[i].asked && !(f.last(i) && f.needsMet(i)) {
+		if i != stage && f.pieces(i) > 0 && !f.stageResults[i].asked && !(f.last(i) && f.needsMet(i)) {
 			return true
 		}
 	}
@@ -176,8 +176,8 @@
 }
 
 func (f *flow) anyDone() bool {
-	for i := range f.inputs {
-		if f.inputs[i].done {
+	for i := range f.stageResults {
+		if f.stageResults[i].done {
 			return true
 		}
 	}
@@ -185,8 +185,8 @@
 }
 
 func (f *flow) needsMet(stage int) bool {
-	for _, before := range f.route.Stages[stage].After {
-		if f.pieces(before) > 0 && !f.inputs[before].done {
+	for _, before := range f.route.Stages[stage].DependsOn {
+		if f.pieces(before) > 0 && !f.stageResults[before].done {
 			return false
 		}
 	}
@@ -197,27 +197,27 @@
 func (f *flow) askFor(stage int, first bool, home string) proto.PiecesAsk {
 	spec := &f.route.Stages[stage]
 	ask := proto.PiecesAsk{
-		Pool: spec.Pool, Request: f.req.ID, Stage: stage, Pieces: f.pieces(stage), Rank: f.rank,
-		Bytes: spec.Bytes, First: first, Begun: f.committed, Goal: f.due.Sub(f.began), Digest: f.digest, Homes: f.homes,
+		Pool: spec.Pool, RequestID: f.req.ID, Stage: stage, Pieces: f.pieces(stage), Rank: f.rank,
+		ResultBytes: spec.ResultBytes, NoWorkDone: first, AnswerStarted: f.committed, LatencyGoal: f.due.Sub(f.startedAt), Digest: f.digest, AllowedRegions: f.homes,
 	}
 	bulk := 0
-	for _, before := range spec.After {
-		r := &f.inputs[before]
+	for _, before := range spec.DependsOn {
+		r := &f.stageResults[before]
 		ask.Inputs = append(ask.Inputs, r.handles...)
 		if r.bytes > bulk {
 			bulk, ask.Zone = r.bytes, r.zone
 		}
 	}
-	if len(spec.After) == 1 && f.soleReader(stage, spec.After[0]) {
-		ask.InputPool, ask.InputShard = f.route.Stages[spec.After[0]].Pool, f.inputs[spec.After[0]].shard
+	if len(spec.DependsOn) == 1 && f.soleReader(stage, spec.DependsOn[0]) {
+		ask.InputPool, ask.InputShard = f.route.Stages[spec.DependsOn[0]].Pool, f.stageResults[spec.DependsOn[0]].shard
 	}
-	if bulk*ask.Pieces < bulkInputs {
+	if bulk*ask.Pieces < minBulkInputBytes {
 		ask.Zone = ""
 	}
-	if ask.Zone == "" && f.last(stage) && spec.Bytes*ask.Pieces >= bulkInputs {
+	if ask.Zone == "" && f.last(stage) && spec.ResultBytes*ask.Pieces >= minBulkInputBytes {
 		ask.Zone = home
 	}
-	if len(spec.After) == 0 {
+	if len(spec.DependsOn) == 0 {
 		ask.Key = f.req.PieceKey
 	}
 	return ask
@@ -226,7 +226,7 @@
 // soleReader tells whether no other stage of the request reads the results of one.
 func (f *flow) soleReader(stage, before int) bool {
 	for i := range f.route.Stages {
-		if i != stage && f.pieces(i) > 0 && contains(f.route.Stages[i].After, before) {
+		if i != stage && f.pieces(i) > 0 && contains(f.route.Stages[i].DependsOn, before) {
 			return false
 		}
 	}
@@ -238,10 +238,10 @@
 func (f *flow) restAfter(stage int) time.Duration {
 	longest := time.Duration(0)
 	for i := range f.route.Stages {
-		if f.pieces(i) == 0 || !contains(f.route.Stages[i].After, stage) {
+		if f.pieces(i) == 0 || !contains(f.route.Stages[i].DependsOn, stage) {
 			continue
 		}
-		queue := f.server.pieces.Queue(f.route.Stages[i].Pool, f.rank)
+		queue := f.server.pieces.QueueTime(f.route.Stages[i].Pool, f.rank)
 		longest = max(longest, queue+f.stageLength(i)+f.restAfter(i))
 	}
 	if longest == 0 {
@@ -257,7 +257,7 @@
 	if spec == nil || spec.Batch == nil {
 		return 0
 	}
-	stated := spec.Batch.CallCost + time.Duration(stageFill*float64(spec.Batch.Most)*float64(spec.Batch.PieceCost))
+	stated := spec.Batch.CallCost + time.Duration(stageFill*float64(spec.Batch.MaxPieces)*float64(spec.Batch.PieceCost))
 	return f.server.callTimes.most(pool, stated)
 }
 
@@ -278,7 +278,7 @@
 	if f.spec.Engine == nil {
 		return 0
 	}
-	return time.Duration(f.want().OwnTokens) * f.server.fleet.EngineTimes(f.pool).Token
+	return time.Duration(f.want().OwnTokens) * f.server.fleet.EngineTimes(f.pool).PerPromptToken
 }
 
 func contains(list []int, value int) bool {
@@ -293,7 +293,7 @@
 // last tells whether no stage that is done needs the results of this one.
 func (f *flow) last(stage int) bool {
 	for i := range f.route.Stages {
-		if f.pieces(i) > 0 && contains(f.route.Stages[i].After, stage) {
+		if f.pieces(i) > 0 && contains(f.route.Stages[i].DependsOn, stage) {
 			return false
 		}
 	}
@@ -303,26 +303,26 @@
 // collectInputs takes the results that the request itself needs, and the zone where most of their bytes lie.
 func (f *flow) collectInputs() {
 	most := 0
-	for i := range f.inputs {
-		if !f.inputs[i].done || !f.last(i) {
+	for i := range f.stageResults {
+		if !f.stageResults[i].done || !f.last(i) {
 			continue
 		}
-		f.handles = append(f.handles, f.inputs[i].handles...)
-		if f.inputs[i].bytes >= bulkInputs && f.inputs[i].bytes > most {
-			most, f.zone, f.bulk = f.inputs[i].bytes, f.inputs[i].zone, f.inputs[i].bytes
+		f.handles = append(f.handles, f.stageResults[i].handles...)
+		if f.stageResults[i].bytes >= minBulkInputBytes && f.stageResults[i].bytes > most {
+			most, f.zone, f.bulk = f.stageResults[i].bytes, f.stageResults[i].zone, f.stageResults[i].bytes
 		}
 	}
 }
 
 // freeUsed frees the results of stages whose every reader is done.
 func (f *flow) freeUsed() {
-	for i := range f.inputs {
-		if !f.inputs[i].done || f.inputs[i].freed || f.last(i) {
+	for i := range f.stageResults {
+		if !f.stageResults[i].done || f.stageResults[i].freed || f.last(i) {
 			continue
 		}
 		used := true
 		for j := range f.route.Stages {
-			if f.pieces(j) > 0 && contains(f.route.Stages[j].After, i) && !f.inputs[j].done {
+			if f.pieces(j) > 0 && contains(f.route.Stages[j].DependsOn, i) && !f.stageResults[j].done {
 				used = false
 			}
 		}
@@ -333,9 +333,9 @@
 }
 
 func (f *flow) free(stage int) {
-	f.freeing.Lock()
-	defer f.freeing.Unlock()
-	f.freeResult(f.inputs, stage)
+	f.freeMu.Lock()
+	defer f.freeMu.Unlock()
+	f.freeResult(f.stageResults, stage)
 }
 
 func (f *flow) freeResult(results []stageResult, stage int) {
@@ -347,12 +347,12 @@
 }
 
 // freeAll frees all results that are left, once the request has read its inputs or has ended.
-func (f *flow) freeAll() { f.freeResults(f.inputs) }
+func (f *flow) freeAllResults() { f.freeResults(f.stageResults) }
 
 // freeResults frees some results, which may be those of stages that were done anew since.
 func (f *flow) freeResults(results []stageResult) {
-	f.freeing.Lock()
-	defer f.freeing.Unlock()
+	f.freeMu.Lock()
+	defer f.freeMu.Unlock()
 	for stage := range results {
 		f.freeResult(results, stage)
 	}
@@ -363,10 +363,10 @@
 	if !e.answer.InputsFreed {
 		return
 	}
-	f.freeing.Lock()
-	defer f.freeing.Unlock()
-	for _, before := range f.route.Stages[e.stage].After {
-		f.inputs[before].freed = true
+	f.freeMu.Lock()
+	defer f.freeMu.Unlock()
+	for _, before := range f.route.Stages[e.stage].DependsOn {
+		f.stageResults[before].freed = true
 	}
 }
 
@@ -375,10 +375,10 @@
 	if f.lacking {
 		return true
 	}
-	f.freeing.Lock()
-	defer f.freeing.Unlock()
-	for stage := range f.inputs {
-		if f.inputs[stage].freed && f.last(stage) {
+	f.freeMu.Lock()
+	defer f.freeMu.Unlock()
+	for stage := range f.stageResults {
+		if f.stageResults[stage].freed && f.last(stage) {
 			return true
 		}
 	}
--- a/relay/stages_test.go
+++ b/relay/stages_test.go
@@ -14,7 +14,7 @@
 )
 
 // ownerPeers has another daemon do all stages at once, and records what it was asked in order.
-type ownerPeers struct {
+type recordingPeers struct {
 	scriptedPeers
 	askedMu sync.Mutex
 	asked   []proto.PiecesAsk
@@ -24,7 +24,7 @@
 	takes func(n int) time.Duration
 }
 
-func (p *ownerPeers) Call(ctx context.Context, _ proto.VM, m proto.Message) (proto.Message, error) {
+func (p *recordingPeers) Call(ctx context.Context, _ proto.VM, m proto.Message) (proto.Message, error) {
 	ask, ok := m.(proto.PiecesAsk)
 	if !ok {
 		return proto.Done{}, nil
@@ -40,14 +40,14 @@
 			return nil, ctx.Err()
 		}
 	}
-	a := proto.PiecesAnswer{Fate: proto.PiecesDone, Zone: "y", Queue: p.queue}
+	a := proto.PiecesAnswer{Outcome: proto.PiecesDone, Zone: "y", QueueDelay: p.queue}
 	for i := range ask.Pieces {
 		a.Handles = append(a.Handles, fmt.Sprintf("%d.%d", ask.Stage, i))
 	}
 	return a, nil
 }
 
-func (p *ownerPeers) stages() string {
+func (p *recordingPeers) stages() string {
 	p.askedMu.Lock()
 	defer p.askedMu.Unlock()
 	order := ""
@@ -58,18 +58,18 @@
 }
 
 // stagedFlow is a request of a route with a large stage of its own beside a chain of three.
-func stagedFlow(peers *ownerPeers, counts ...int) *flow {
+func newStagedFlow(peers *recordingPeers, counts ...int) *flow {
 	clock := clockwork.NewRealClock()
-	pieces := newPieces(clock, peers, &standSender{})
+	pieces := newTestPieceScheduler(clock, peers, &stubSender{})
 	s := NewServer(ServerConfig{
 		Clock: clock, Log: hclog.NewNullLogger(), Fleet: pieces.fleet, Tables: pieces.tables, Pieces: pieces, Peers: peers, Zone: "z",
 		Placer: NewPlacer("self", clock, hclog.NewNullLogger(), pieces.fleet, peers), Budget: raceBudget,
 	})
 	now := clock.Now()
 	return &flow{
-		server: s, req: &Request{ID: "r", Pieces: counts, PieceKey: "k"}, spec: &proto.RelayPool{}, pool: "engines", began: now, due: now.Add(5 * time.Second), end: now.Add(time.Minute),
+		server: s, req: &Request{ID: "r", Pieces: counts, PieceKey: "k"}, spec: &proto.RelayPool{}, pool: "engines", startedAt: now, due: now.Add(5 * time.Second), end: now.Add(time.Minute),
 		route: &proto.Route{Stages: []proto.RouteStage{
-			{Pool: "p", Bytes: 1_500_000}, {Pool: "p", Bytes: 8_000}, {Pool: "p", After: []int{1}, Bytes: 60_000}, {Pool: "p", After: []int{2}, Bytes: 6_000},
+			{Pool: "p", ResultBytes: 1_500_000}, {Pool: "p", ResultBytes: 8_000}, {Pool: "p", DependsOn: []int{1}, ResultBytes: 60_000}, {Pool: "p", DependsOn: []int{2}, ResultBytes: 6_000},
 		}},
 	}
 }
@@ -88,8 +88,8 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			peers := &ownerPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}}
-			f := stagedFlow(peers, s.counts...)
+			peers := &recordingPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}}
+			f := newStagedFlow(peers, s.counts...)
 			if fail, _ := f.runStages(context.Background()); fail != nil {
 				t.Fatal(fail.reason)
 			}
@@ -105,8 +105,8 @@
 }
 
 func TestEachStageGetsItsOwnInputs(t *testing.T) {
-	peers := &ownerPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}}
-	f := stagedFlow(peers, 1, 1, 2, 3)
+	peers := &recordingPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}}
+	f := newStagedFlow(peers, 1, 1, 2, 3)
 	if fail, _ := f.runStages(context.Background()); fail != nil {
 		t.Fatal(fail.reason)
 	}
@@ -121,8 +121,8 @@
 		if want := map[bool]string{true: "p"}[a.Stage >= 2]; a.InputPool != want {
 			t.Errorf("stage %d may have results of pool %q freed, want %q", a.Stage, a.InputPool, want)
 		}
-		if a.First != (a.Stage == 1) {
-			t.Errorf("stage %d: refusing it wastes nothing: %v", a.Stage, a.First)
+		if a.NoWorkDone != (a.Stage == 1) {
+			t.Errorf("stage %d: refusing it wastes nothing: %v", a.Stage, a.NoWorkDone)
 		}
 	}
 }
@@ -130,10 +130,10 @@
 // TestTheFirstStageCountsTheQueuesBehindIt has one request learn of the queues, and another begin earlier for them: it
 // is refused at once where it could only be late.
 func TestTheFirstStageCountsTheQueuesBehindIt(t *testing.T) {
-	peers := &ownerPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}, queue: 2 * time.Second}
-	f := stagedFlow(peers, 0, 1, 2, 3)
+	peers := &recordingPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}, queue: 2 * time.Second}
+	f := newStagedFlow(peers, 0, 1, 2, 3)
 	for range 2 {
-		f.inputs, f.due = nil, f.server.clock.Now().Add(5*time.Second)
+		f.stageResults, f.due = nil, f.server.clock.Now().Add(5*time.Second)
 		if fail, _ := f.runStages(context.Background()); fail != nil {
 			t.Fatal(fail.reason)
 		}
@@ -143,7 +143,7 @@
 		t.Fatalf("stages %d and %d", first.Stage, second.Stage)
 	}
 	// Two stages come after it, each with a queue that was heard of a moment ago.
-	if less := first.Due - second.Due; less < 3*time.Second || less > 4*time.Second {
+	if less := first.DueIn - second.DueIn; less < 3*time.Second || less > 4*time.Second {
 		t.Errorf("the first stage is due %v earlier for two queues of 2s", less)
 	}
 }
@@ -154,23 +154,23 @@
 	const token, beside = 50 * time.Microsecond, 100 * time.Millisecond
 	due := map[int]time.Duration{}
 	for _, tokens := range []int{1_000, 20_000} {
-		peers := &ownerPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}}
-		f := stagedFlow(peers, 1)
+		peers := &recordingPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}}
+		f := newStagedFlow(peers, 1)
 		f.spec, f.req.PromptTokens = &proto.RelayPool{Engine: &proto.EngineSpec{}}, tokens
-		f.server.fleet.SetMemory("engines", 100_000)
-		f.server.fleet.AdoptEngineTimes("engines", proto.EngineTimes{Start: time.Millisecond, Token: token, Stream: time.Microsecond})
+		f.server.fleet.SetCacheTokens("engines", 100_000)
+		f.server.fleet.SetEngineTimes("engines", proto.EngineTimes{PerRequest: time.Millisecond, PerPromptToken: token, PerConcurrentRequest: time.Microsecond})
 		for range 100 {
 			f.sawFirstEvent(beside + time.Duration(tokens)*token)
 		}
 		if got, want := f.toFirstEvent(), beside+time.Duration(tokens)*token; got < want || got > want+20*time.Millisecond {
 			t.Errorf("%d tokens are expected to take %v, want about %v", tokens, got, want)
 		}
-		f.began = f.server.clock.Now()
-		f.due, f.end = f.began.Add(5*time.Second), f.began.Add(time.Minute)
+		f.startedAt = f.server.clock.Now()
+		f.due, f.end = f.startedAt.Add(5*time.Second), f.startedAt.Add(time.Minute)
 		if fail, _ := f.runStages(context.Background()); fail != nil {
 			t.Fatal(fail.reason)
 		}
-		due[tokens] = peers.asked[0].Due
+		due[tokens] = peers.asked[0].DueIn
 	}
 	if less := due[1_000] - due[20_000]; less < 900*time.Millisecond || less > 1100*time.Millisecond {
 		t.Errorf("the stage of the long prompt is due %v earlier, want what reading 19,000 tokens takes", less)
@@ -178,46 +178,46 @@
 }
 
 func TestAQueueCountsLessTheLongerAgoItWasHeardOf(t *testing.T) {
-	var q queues
+	var q queueTimes
 	key := queueKey{shard{pool: "p"}, 1}
-	q.note(start, key, 2*time.Second)
+	q.record(start, key, 2*time.Second)
 	for _, s := range []struct{ age, want time.Duration }{
 		{0, 2 * time.Second},
-		{queueFade / 2, time.Second},
-		{queueFade, 0},
+		{queueReportLifetime / 2, time.Second},
+		{queueReportLifetime, 0},
 		{time.Hour, 0},
 	} {
-		if got := q.read(start.Add(s.age), key); got != s.want {
+		if got := q.estimate(start.Add(s.age), key); got != s.want {
 			t.Errorf("after %v it counts %v, want %v", s.age, got, s.want)
 		}
 	}
-	if got := q.read(start, queueKey{shard{pool: "p"}, 0}); got != 0 {
+	if got := q.estimate(start, queueKey{shard{pool: "p"}, 0}); got != 0 {
 		t.Errorf("another rank's queue counts %v", got)
 	}
 }
 
 func TestTheStagesOfABegunStreamAreNotRefused(t *testing.T) {
-	peers := &ownerPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}}
-	f := stagedFlow(peers, 0, 1, 0, 0)
+	peers := &recordingPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}}
+	f := newStagedFlow(peers, 0, 1, 0, 0)
 	f.committed = true
 	if fail, _ := f.runStages(context.Background()); fail != nil {
 		t.Fatal(fail.reason)
 	}
-	if peers.asked[0].First {
+	if peers.asked[0].NoWorkDone {
 		t.Error("the stage of a stream that has begun may be refused for a queue")
 	}
-	if !peers.asked[0].Begun {
+	if !peers.asked[0].AnswerStarted {
 		t.Error("the stage of a stream that has begun may be given up in the queue")
 	}
 }
 
 func TestWhenToComeBack(t *testing.T) {
-	f := stagedFlow(&ownerPeers{}, 1)
+	f := newStagedFlow(&recordingPeers{}, 1)
 	for _, left := range []time.Duration{300 * time.Millisecond, 3 * time.Second, 10 * time.Second, time.Minute} {
 		f.end = f.server.clock.Now().Add(left)
 		for _, queue := range []time.Duration{0, time.Second, time.Minute} {
 			got := f.comeBack(300*time.Millisecond, queue)
-			if got < retryFloor || got > max(retryFloor, left/comeBackPart) {
+			if got < minRetryWait || got > max(minRetryWait, left/comeBackPart) {
 				t.Errorf("with %s left and a queue of %s: come back in %s", left, queue, got)
 			}
 		}
--- a/relay/table.go
+++ b/relay/table.go
@@ -35,7 +35,7 @@
 			t.owners[key] = w
 		}
 	}
-	t.ranks = ranksOf(r)
+	t.ranks = rankUrgencies(r)
 	return t
 }
 
@@ -89,8 +89,8 @@
 // Current returns the table in force, or nil before the first configuration is known.
 func (t *Tables) Current() *Table { return t.current.Load() }
 
-// Adopt puts a configuration in force if it is newer, and tells whether it did.
-func (t *Tables) Adopt(r *proto.Routing) bool {
+// ReplaceIfNewer puts a configuration in force if it is newer, and tells whether it did.
+func (t *Tables) ReplaceIfNewer(r *proto.Routing) bool {
 	next := NewTable(r)
 	for {
 		old := t.current.Load()
--- a/relay/table_test.go
+++ b/relay/table_test.go
@@ -61,7 +61,7 @@
 		version uint64
 		adopted bool
 	}{{5, true}, {4, false}, {5, false}, {9, true}, {8, false}} {
-		if got := tables.Adopt(routing(s.version)); got != s.adopted {
+		if got := tables.ReplaceIfNewer(routing(s.version)); got != s.adopted {
 			t.Errorf("version %d adopted: %v, want %v", s.version, got, s.adopted)
 		}
 	}
--- a/relay/targetsignals.go
+++ b/relay/targetsignals.go
@@ -58,7 +58,7 @@
 func (f *Fleet) at(address netip.AddrPort) (proto.RelayTarget, bool) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	for _, t := range f.where {
+	for _, t := range f.byID {
 		if spec := f.Spec(t); spec.Address == address {
 			return spec, true
 		}
@@ -71,7 +71,7 @@
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	for run, s := range f.signals {
-		t := f.where[s.target]
+		t := f.byID[s.target]
 		if t == nil {
 			continue
 		}
@@ -98,7 +98,7 @@
 	f.mu.RLock()
 	_, known := f.signals[run]
 	f.mu.RUnlock()
-	if !known && !h.Leaving && !h.Limited && h.Rest <= 0 {
+	if !known && !h.Leaving && !h.Limited && h.Backoff <= 0 {
 		return nil
 	}
 	f.mu.Lock()
@@ -160,13 +160,13 @@
 
 // takeRest takes in for how long the target wants nothing from this daemon.
 func (s *targetSignals) takeRest(now time.Time, h *signal) (change signalChange, changed bool) {
-	change = signalChange{event: "target asks for rest", limit: s.limit, before: s.limit, rest: h.Rest}
-	if h.Rest > restCredible {
+	change = signalChange{event: "target asks for rest", limit: s.limit, before: s.limit, rest: h.Backoff}
+	if h.Backoff > restCredible {
 		change.event = "excessive rest of a target ignored"
 		return change, true
 	}
-	until := now.Add(min(h.Rest, restMost))
-	if h.Rest <= 0 || !until.After(s.restUntil) {
+	until := now.Add(min(h.Backoff, restMost))
+	if h.Backoff <= 0 || !until.After(s.restUntil) {
 		return signalChange{}, false
 	}
 	s.restUntil = until
@@ -175,7 +175,7 @@
 
 // mark applies what a run has signalled to its target, and returns the pool, or "" if the run is not listed; the fleet is locked.
 func (f *Fleet) mark(run proto.RunName, s *targetSignals) (pool string) {
-	t := f.where[s.target]
+	t := f.byID[s.target]
 	if t == nil {
 		return ""
 	}
@@ -194,7 +194,7 @@
 		return
 	}
 	t.notice, t.restUntil = s.notice(t.Spec.RunName()), s.restUntil
-	t.pool.mayLimit = t.pool.mayLimit || t.notice.Limited
+	t.pool.mayLimit = t.pool.mayLimit || t.notice.HasLimit
 }
 
 // forgetNotices forgets what runs have signalled that are not listed any more; the fleet is locked.
