--- a/relay/worker.go
+++ b/relay/worker.go
@@ -12,20 +12,20 @@
 // worker drives the batcher of one shard of a pool, under a lock of its own.
 type worker struct {
 	shard
-	pieces *Pieces
+	pieces *PieceScheduler
 
 	mu      sync.Mutex
-	batch   *Batcher
+	batcher *Batcher
 	waiting map[*Job]chan proto.PiecesAnswer
 	armed   bool
 	// terms are what targets of the pool have said of the work that they take.
-	terms []targetTerms
+	terms []targetLimits
 }
 
 func (w *worker) add(j *Job) (chan proto.PiecesAnswer, *proto.PiecesAnswer) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if refused := w.batch.Add(w.pieces.clock.Now(), j); refused != nil {
+	if refused := w.batcher.Add(w.pieces.clock.Now(), j); refused != nil {
 		return nil, refused
 	}
 	answers := make(chan proto.PiecesAnswer, 1)
@@ -38,24 +38,24 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	handles := d.Handles
-	if d.Request != "" {
-		handles = append(handles, w.batch.Withdraw(d.Request, d.Stage)...)
+	if d.RequestID != "" {
+		handles = append(handles, w.batcher.Withdraw(d.RequestID, d.Stage)...)
 	}
-	w.pieces.frees.add(w, handles)
+	w.pieces.freeQueue.enqueue(w, handles)
 	w.turn()
 }
 
 // targets are those of the shard that may get work.
 func (w *worker) targets() []proto.RelayTarget {
-	shards := shardsOf(w.pieces.fleet.Size(w.pool))
-	return shardTargetsOf(w.pieces.fleet.Usable(w.pieces.clock.Now(), w.pool), w.index, shards)
+	shards := shardCount(w.pieces.fleet.Size(w.pool))
+	return targetsInShard(w.pieces.fleet.Usable(w.pieces.clock.Now(), w.pool), w.index, shards)
 }
 
 func (w *worker) retarget() {
-	targets, terms := w.targets(), w.pieces.fleet.terms(w.pieces.clock.Now(), w.pool)
+	targets, terms := w.targets(), w.pieces.fleet.poolLimits(w.pieces.clock.Now(), w.pool)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.settle(w.batch.SetTargets(targets))
+	w.settle(w.batcher.SetTargets(targets))
 	w.terms = terms
 	w.turn()
 }
@@ -63,19 +63,19 @@
 func (w *worker) respec(spec proto.BatchSpec) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.batch.SetSpec(spec)
+	w.batcher.SetSpec(spec)
 	w.turn()
 }
 
 // turn sends the calls that are due; the lock is held.
 func (w *worker) turn() {
-	w.batch.setTerms(w.terms, w.liveShare())
-	calls, ends := w.batch.Next(w.pieces.clock.Now())
+	w.batcher.setTargetLimits(w.terms, w.liveShare())
+	calls, ends := w.batcher.NextCalls(w.pieces.clock.Now())
 	w.settle(ends)
 	for _, c := range calls {
 		go w.send(c)
 	}
-	if w.batch.Busy() && !w.armed {
+	if w.batcher.Busy() && !w.armed {
 		w.armed = true
 		w.pieces.clock.AfterFunc(expireEvery, w.due)
 	}
@@ -83,7 +83,7 @@
 
 // besideOwner is the part of the targets' limits for a daemon that makes calls although another one does so for the shard: one that took
 // over from an owner that it held to be silent, or has jobs left of before.
-const besideOwner = 0.25
+const nonOwnerShare = 0.25
 
 // liveShare is the part of the targets' limits that may be used from here.
 func (w *worker) liveShare() float64 {
@@ -91,8 +91,8 @@
 		return 1
 	}
 	share := w.pieces.peers.Share()
-	if owner := w.pieces.peers.Owner(w.task(), nil); owner != "" && owner != w.pieces.self {
-		return besideOwner * share.liveShare()
+	if owner := w.pieces.peers.Owner(w.taskName(), nil); owner != "" && owner != w.pieces.self {
+		return nonOwnerShare * share.liveShare()
 	}
 	return share.liveShare()
 }
@@ -104,15 +104,15 @@
 	w.turn()
 }
 
-func (w *worker) settle(ends []JobEnd) {
+func (w *worker) settle(ends []FinishedJob) {
 	for _, e := range ends {
 		if answers := w.waiting[e.Job]; answers != nil {
-			e.Answer.Queue = w.batch.Queue(w.pieces.clock.Now(), e.Job)
+			e.Answer.QueueDelay = w.batcher.QueueTime(w.pieces.clock.Now(), e.Job)
 			answers <- e.Answer
 			delete(w.waiting, e.Job)
 		}
-		if e.Answer.Fate != proto.PiecesDone {
-			w.pieces.frees.add(w, e.Job.results())
+		if e.Answer.Outcome != proto.PiecesDone {
+			w.pieces.freeQueue.enqueue(w, e.Job.results())
 		}
 	}
 }
@@ -132,26 +132,26 @@
 	p.calls.Add(1)
 	p.items.Add(int64(len(c.Items)))
 	// AfterFunc may run in the goroutine of the clock, which must not wait for a lock.
-	fetched := p.clock.AfterFunc(p.fetches.wait(w.pool), func() { go w.freeFetched(c) })
+	fetched := p.clock.AfterFunc(p.fetchTimes.keepTime(w.pool), func() { go w.freeFetched(c) })
 	results, err := w.call(c)
 	fetched.Stop()
 	now := p.clock.Now()
 	if err != nil {
 		p.failed.Add(1)
 		w.noteFailed(c, err)
-		p.log.Warn("a call for pieces failed", "pool", w.pool, "shard", w.index, "target", c.Target.ID, "address", c.Target.Address, "pieces", len(c.Items), "took", brief(now.Sub(c.Began)), "error", err)
+		p.log.Warn("a call for pieces failed", "pool", w.pool, "shard", w.index, "target", c.Target.ID, "address", c.Target.Address, "pieces", len(c.Items), "took", formatDuration(now.Sub(c.StartedAt)), "error", err)
 	} else {
-		p.log.Info("pieces made", "pool", w.pool, "shard", w.index, "target", c.Target.ID, "pieces", len(c.Items), "took", brief(now.Sub(c.Began)), "expected", brief(c.Expected))
+		p.log.Info("pieces made", "pool", w.pool, "shard", w.index, "target", c.Target.ID, "pieces", len(c.Items), "took", formatDuration(now.Sub(c.StartedAt)), "expected", formatDuration(c.Expected))
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err != nil {
-		w.settle(w.batch.Failed(now, c, errors.Is(err, errBusy)))
+		w.settle(w.batcher.CallFailed(now, c, errors.Is(err, errBusy)))
 	} else {
 		w.learnFetch(c, results)
-		ends, unused := w.batch.Done(now, c, results)
+		ends, unused := w.batcher.CallDone(now, c, results)
 		w.settle(ends)
-		p.frees.add(w, unused)
+		p.freeQueue.enqueue(w, unused)
 	}
 	w.turn()
 }
@@ -166,22 +166,22 @@
 	var sendErr *SendError
 	if errors.As(err, &sendErr) && !sendErr.Written {
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			p.ends.Ended(c.Target, err.Error())
+			p.ends.RecordEnd(c.Target, err.Error())
 		}
 		return
 	}
 	var requests []proto.RequestDigest
 	for _, item := range c.Items {
-		requests = append(requests, item.Job.Ask.Digest)
+		requests = append(requests, item.Job.Params.Digest)
 	}
 	slices.Sort(requests)
-	p.ends.Failed(c.Target, !silent, slices.Compact(requests)...)
+	p.ends.RecordFailure(c.Target, !silent, slices.Compact(requests)...)
 }
 
 // freeFetched gives up the inputs of a call that its target has fetched by now.
 func (w *worker) freeFetched(c *Call) {
 	w.mu.Lock()
-	given := w.batch.fetched(w.pieces.clock.Now(), c)
+	given := w.batcher.fetched(w.pieces.clock.Now(), c)
 	w.mu.Unlock()
 	for of, handles := range given {
 		w.pieces.Free(of.pool, of.index, handles)
@@ -196,13 +196,13 @@
 			continue
 		}
 		gave = true
-		fetched = fetched && results[n].Fate != proto.PiecesLost
+		fetched = fetched && results[n].Outcome != proto.PiecesLost
 	}
 	if !gave {
 		return
 	}
-	keep := w.pieces.fetches.done(w.pieces.clock.Now(), c.Began, w.pool, fetched)
+	keep := w.pieces.fetchTimes.observe(w.pieces.clock.Now(), c.StartedAt, w.pool, fetched)
 	if !fetched {
-		w.pieces.log.Info("inputs were freed too early", "pool", w.pool, "target", c.Target.ID, "keepNext", brief(keep))
+		w.pieces.log.Info("inputs were freed too early", "pool", w.pool, "target", c.Target.ID, "keepNext", formatDuration(keep))
 	}
 }
--- a/serve/daemon.go
+++ b/serve/daemon.go
@@ -39,7 +39,7 @@
 	driver   *wire.Driver
 	front    *wire.Front
 	loads    *loadReader
-	orders   *coord.Orders
+	orders   *coord.PlacementController
 
 	callers   net.Listener
 	peers     net.Listener
@@ -139,18 +139,18 @@
 	})
 	d.links = wire.NewLinks(wire.LinksConfig{
 		Self: s.VM, Key: s.Peers.SharedKey, TLS: peerTLS, Log: d.log.Named("links"), Gate: d.gate,
-		Resolve: func(vm proto.VM) (proto.Alive, bool) { return d.node.Members.Address(vm) },
+		Resolve: func(vm proto.VM) (proto.Alive, bool) { return d.node.Members.Lookup(vm) },
 		Handle: func(ctx context.Context, from proto.VM, m proto.Message) proto.Message {
 			return d.node.Handle(ctx, from, m)
 		},
 	})
 	self := proto.Alive{
 		VM: s.VM, Zone: s.Zone, Peer: advertised,
-		Incarnation: proto.Incarnation(d.clock.Now().UnixMilli()), Count: 1,
+		Incarnation: proto.Incarnation(d.clock.Now().UnixMilli()), Sequence: 1,
 	}
 	deps := coord.Deps{Self: self, Clock: d.clock, Log: d.log.Named("node"), Platform: d.platform, Peers: d.links}
 	d.node = coord.NewNode(deps, d.nodeOptions()...)
-	d.orders = coord.NewOrders(deps, d.node, d.targets, core.NewPlacement(core.DefaultPlacementTuning()), coord.DefaultLeaseTiming())
+	d.orders = coord.NewPlacementController(deps, d.node, d.targets, core.NewPlacement(core.DefaultPlacementTuning()), coord.DefaultLeaseTiming())
 	d.driver = wire.NewDriver(d.engine, d.clock, d.targets, d.node.Claimer, d.log.Named("driver"), s.Limits.BufferedBytes, d.gate)
 	d.front = wire.NewFront(d.driver, d.engine, d.clock, d.log.Named("front"), wire.FrontLimits{
 		Body: s.Limits.BodyBytes, Open: s.Limits.OpenRequests, Buffered: s.Limits.BufferedBytes,
@@ -163,19 +163,19 @@
 func (d *Daemon) nodeOptions() []coord.NodeOption {
 	t := &d.settings.Timing
 	member := coord.DefaultMemberTiming()
-	member.Heartbeat, member.Silence = t.Heartbeat.Std(), t.Silence.Std()
+	member.HeartbeatInterval, member.SilenceTimeout = t.Heartbeat.Std(), t.Silence.Std()
 	claim := coord.DefaultClaimTiming()
 	claim.Retention = t.Retention.Std()
 	node := coord.DefaultNodeTiming()
-	node.Poll, node.Revise = t.PollStore.Std(), t.ReviseWait.Std()
+	node.PollInterval, node.RosterInterval = t.PollStore.Std(), t.ReviseWait.Std()
 	return []coord.NodeOption{
 		coord.WithMemberTiming(member), coord.WithClaimTiming(claim), coord.WithNodeTiming(node),
-		coord.WithAdopted(d.adopted),
-		coord.WithReports(
+		coord.WithSnapshotHandler(d.adopted),
+		coord.WithReportHandlers(
 			func(rows []proto.UsageRow) { d.takeUsage(rows) },
 			func(loads proto.Loads) { d.loads.take(loads) },
 		),
-		coord.WithDemand(func(rows []proto.DemandRow) { d.orders.AddDemand(rows) }),
+		coord.WithDemandHandler(func(rows []proto.DemandRow) { d.orders.AddDemand(rows) }),
 	}
 }
 
@@ -214,7 +214,7 @@
 	switch {
 	case d.refusing.Load():
 		failure.Kind, failure.Detail = proto.FailureStopping, "the daemon is stopping"
-	case !d.node.Changes.Known():
+	case !d.node.Config.Synced():
 		failure.Kind, failure.Detail = proto.FailureIsolated, "the daemon does not know its configuration yet"
 	case d.node.Isolated(now):
 		failure.Kind, failure.Detail = proto.FailureIsolated, "the daemon can reach neither the store nor another daemon"
@@ -295,7 +295,7 @@
 // handOver waits until others keep the claims that this daemon kept; with the store out that cannot be, and most of each group remains.
 func (d *Daemon) handOver(work context.Context) {
 	deadline := d.clock.Now().Add(handOverMost)
-	for d.clock.Now().Before(deadline) && d.node.KeepsClaims() {
+	for d.clock.Now().Before(deadline) && d.node.HasTransferableClaims() {
 		d.wait(work, 100*time.Millisecond)
 	}
 }
@@ -357,7 +357,7 @@
 	ready, reason := d.Ready()
 	s := wire.Status{
 		VM: d.settings.VM, Zone: d.settings.Zone, Version: Version, Ready: ready, Reason: reason,
-		Generation: d.node.Changes.Generation(), Open: d.front.Open(), StoreSeen: d.node.StoreSeen(),
+		Generation: d.node.Config.Generation(), Open: d.front.Open(), StoreSeen: d.node.LastStoreRead(),
 		Members: d.node.Members.Counts(), Claims: d.node.Replica.Counts(), Links: d.links.Counts(), Pools: d.engine.Pools(now),
 	}
 	for _, alive := range d.node.Members.Live() {
@@ -369,21 +369,21 @@
 // Vars are the measures of a daemon at /debug/vars.
 type Vars struct {
 	core.Report
-	Generation     proto.Generation    `json:"generation"`
-	Open           int64               `json:"openRequests"`
-	Members        coord.MemberCounts  `json:"members"`
-	Claims         coord.ReplicaCounts `json:"claims"`
-	Links          wire.LinkCounts     `json:"links"`
-	Orders         coord.OrderCounts   `json:"orders"`
-	PlatformReads  int64               `json:"platformReads"`
-	PlatformWrites int64               `json:"platformWrites"`
+	Generation     proto.Generation      `json:"generation"`
+	Open           int64                 `json:"openRequests"`
+	Members        coord.MemberCounts    `json:"members"`
+	Claims         coord.ReplicaCounts   `json:"claims"`
+	Links          wire.LinkCounts       `json:"links"`
+	Orders         coord.PlacementCounts `json:"orders"`
+	PlatformReads  int64                 `json:"platformReads"`
+	PlatformWrites int64                 `json:"platformWrites"`
 }
 
 func (d *Daemon) publish() {
 	wire.PublishVars(string(d.settings.VM), func() any {
 		reads, writes := d.platform.Counts()
 		return Vars{
-			Report: d.engine.Stats().Report(), Generation: d.node.Changes.Generation(), Open: d.front.Open(),
+			Report: d.engine.Stats().Report(), Generation: d.node.Config.Generation(), Open: d.front.Open(),
 			Members: d.node.Members.Counts(), Claims: d.node.Replica.Counts(), Links: d.links.Counts(),
 			Orders: d.orders.Counts(), PlatformReads: reads, PlatformWrites: writes,
 		}
--- a/serve/loads.go
+++ b/serve/loads.go
@@ -38,10 +38,10 @@
 	got := &collected{caches: map[string][]proto.CacheEvent{}}
 	var group sync.WaitGroup
 	slots := make(chan struct{}, loadReaders)
-	for _, pool := range d.node.Changes.Snapshot().Pools {
+	for _, pool := range d.node.Config.Snapshot().Pools {
 		for i := range pool.Targets {
 			target := &pool.Targets[i]
-			if vm, ok := coord.CollectorOf(target, live); !ok || vm != d.settings.VM {
+			if vm, ok := coord.LoadCollector(target, live); !ok || vm != d.settings.VM {
 				continue
 			}
 			group.Add(1)
@@ -110,7 +110,7 @@
 func (l *loadReader) batchesFor(alive proto.Alive, got *collected) []proto.Loads {
 	d := l.daemon
 	uses := map[string]bool{}
-	for _, pool := range d.node.Changes.Snapshot().Pools {
+	for _, pool := range d.node.Config.Snapshot().Pools {
 		for _, target := range coord.Subset(alive.VM, alive.Zone, pool.Targets, d.settings.Limits.Subset) {
 			uses[target.Name] = true
 		}
@@ -122,7 +122,7 @@
 			continue
 		}
 		rows = append(rows, row)
-		if len(row.Models) > 1 || len(d.node.Changes.Snapshot().Pools[row.Pool].Models) > 1 {
+		if len(row.Models) > 1 || len(d.node.Config.Snapshot().Pools[row.Pool].Models) > 1 {
 			batch.Models = append(batch.Models, proto.ModelRow{Target: row.Target, Models: row.Models})
 		}
 	}
@@ -143,7 +143,7 @@
 
 // names maps the digests of all targets to their rows; it is made anew with each generation.
 func (l *loadReader) names() map[uint32]proto.LoadRow {
-	snapshot := l.daemon.node.Changes.Snapshot()
+	snapshot := l.daemon.node.Config.Snapshot()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.named == snapshot.Generation && l.byDigest != nil {
@@ -153,7 +153,7 @@
 	for _, pool := range snapshot.Pools {
 		for i := range pool.Targets {
 			name := pool.Targets[i].Name
-			l.byDigest[proto.DigestOf(name)] = proto.LoadRow{Pool: pool.Name, Target: name}
+			l.byDigest[proto.TargetHash(name)] = proto.LoadRow{Pool: pool.Name, Target: name}
 		}
 	}
 	return l.byDigest
--- a/serve/loops.go
+++ b/serve/loops.go
@@ -18,14 +18,14 @@
 	t := &d.settings.Timing
 	node := coord.DefaultNodeTiming()
 	d.addLoop(ctx, g, t.Tick.Std(), func(context.Context) { d.driver.Do(core.Tick{}) })
-	d.addLoop(ctx, g, node.Tick, func(context.Context) {
+	d.addLoop(ctx, g, node.TickInterval, func(context.Context) {
 		d.gate()
 		d.node.Tick(d.clock.Now())
 	})
 	// Reading claims waits for other daemons, which must not hold up the heartbeats.
-	d.addLoop(ctx, g, node.Tick, func(ctx context.Context) {
+	d.addLoop(ctx, g, node.TickInterval, func(ctx context.Context) {
 		d.gate()
-		d.node.Transfer(ctx)
+		d.node.TransferClaims(ctx)
 	})
 	d.addLoop(ctx, g, t.PollStore.Std(), func(ctx context.Context) {
 		d.gate()
@@ -33,19 +33,19 @@
 	})
 	d.addLoop(ctx, g, t.ReviseWait.Std(), func(ctx context.Context) {
 		d.gate()
-		d.node.Revise(ctx)
+		d.node.ReviseRoster(ctx)
 	})
 	d.addLoop(ctx, g, orderEvery, func(ctx context.Context) {
 		d.gate()
-		d.orders.ShareDemand(d.engine.TakeDemand())
-		d.orders.Step(ctx, d.node.Stopping())
+		d.orders.ReportDemand(d.engine.TakeDemand())
+		d.orders.Reconcile(ctx, d.node.Stopping())
 	})
 	d.addLoop(ctx, g, t.Load.Std(), func(ctx context.Context) {
 		d.gate()
 		d.shareUsage()
 		d.loads.read(ctx)
 	})
-	d.addLoop(ctx, g, node.Tick, func(context.Context) {
+	d.addLoop(ctx, g, node.TickInterval, func(context.Context) {
 		d.gate()
 		d.watchStops()
 	})
@@ -72,9 +72,9 @@
 func (d *Daemon) watchStops() {
 	now := d.clock.Now()
 	leaving := d.node.Members.Leaving()
-	d.engine.SetListed(leaving)
-	d.driver.Do(core.StopsDue{Lead: d.settings.Timing.StopLead.Std()})
-	if leaving[d.settings.VM] || d.node.Changes.Snapshot().Leaving(d.settings.VM, now, 0) {
+	d.engine.SetLeavingVMs(leaving)
+	d.driver.Do(core.StopCheck{Lead: d.settings.Timing.StopLead.Std()})
+	if leaving[d.settings.VM] || d.node.Config.Snapshot().Leaving(d.settings.VM, now, 0) {
 		d.Stop()
 	}
 }
@@ -88,5 +88,5 @@
 	for _, r := range reports {
 		rows = append(rows, proto.UsageRow{Pool: r.Pool, Workspace: r.Workspace, Spent: r.Spent})
 	}
-	d.node.ShareUsage(rows)
+	d.node.ReportUsage(rows)
 }
--- a/serve/relay.go
+++ b/serve/relay.go
@@ -67,14 +67,14 @@
 	tables   *relay.Tables
 	fleet    *relay.Fleet
 	exchange *wire.Exchange
-	pieces   *relay.Pieces
+	pieces   *relay.PieceScheduler
 	placer   *relay.Placer
 	server   *relay.Server
 	peers    *relayPeers
 	docs     documents
 	// crashes are the ends of targets under requests, ends finds them out, and endNews passes them on.
-	crashes *relay.Crashes
-	ends    *relay.EndWatch
+	crashes *relay.CrashTracker
+	ends    *relay.CrashDetector
 	endNews *endNews
 	// noticeNews passes on what targets say of themselves.
 	noticeNews *noticeNews
@@ -88,7 +88,7 @@
 	credentials *wire.Credentials
 	zoneCosts   relay.ZoneCosts
 	// census divides what all daemons are allowed together; lastShare is the part that was logged last.
-	census    *coord.Census
+	census    *coord.ShareTracker
 	lastShare coord.Share
 	// badSettings and badCredentials are only used by the loop that watches the settings.
 	badSettings, badCredentials bool
@@ -151,26 +151,26 @@
 	d.docs.targets = map[string]proto.TargetDocument{}
 	d.self = proto.Alive{
 		VM: proto.VM(settings.VM), Zone: proto.Zone(settings.Region + "/" + settings.Zone), Peer: settings.Peers,
-		Incarnation: proto.Incarnation(clock.Now().UnixNano()), Count: 1,
+		Incarnation: proto.Incarnation(clock.Now().UnixNano()), Sequence: 1,
 	}
 	d.exchange = wire.NewExchange(clock)
 	d.fleet = relay.NewFleet(func(pool string) { d.pieces.TargetsChanged(pool) }, relay.WithZoneCosts(d.zoneCosts),
-		relay.WithColdTerms(relay.ColdTerms{Over: settings.ColdOver, Slack: settings.ColdSlack}), relay.WithNoticeNews(d.noteNotices))
-	d.census = coord.NewCensus(d.self.VM, censusTiming(settings))
+		relay.WithColdConfig(relay.ColdConfig{Factor: settings.ColdOver, Slack: settings.ColdSlack}), relay.WithNoticeHandler(d.noteNotices))
+	d.census = coord.NewShareTracker(d.self.VM, censusTiming(settings))
 	d.newPeers()
 	dialect := platform.Dialect{}
 	d.noticeNews = newNoticeNews(clock, func(m proto.TargetNotices) { d.peers.tellLinks(m) })
 	d.endNews = newEndNews(clock, func(m proto.TargetEnds) { d.peers.tellLinks(m) })
 	d.endRows = newEndRows(d)
-	d.crashes = relay.NewCrashes(d.self.VM, clock, log.Named("crashes"), d.ended)
-	d.ends = relay.NewEndWatch(clock, log.Named("crashes"), d.exchange, d.crashes)
-	d.pieces = relay.NewPieces(d.self.VM, clock, log.Named("pieces"), dialect, d.exchange, d.peers, d.fleet, d.tables, relay.WithEnds(d.crashes, d.ends))
+	d.crashes = relay.NewCrashTracker(d.self.VM, clock, log.Named("crashes"), d.ended)
+	d.ends = relay.NewCrashDetector(clock, log.Named("crashes"), d.exchange, d.crashes)
+	d.pieces = relay.NewPieceScheduler(d.self.VM, clock, log.Named("pieces"), dialect, d.exchange, d.peers, d.fleet, d.tables, relay.WithCrashDetection(d.crashes, d.ends))
 	d.placer = relay.NewPlacer(d.self.VM, clock, log.Named("place"), d.fleet, d.peers)
 	d.server = relay.NewServer(relay.ServerConfig{
 		Clock: clock, Log: log.Named("relay"), Dialect: dialect, Sender: d.exchange, Fleet: d.fleet, Tables: d.tables,
 		Pieces: d.pieces, Placer: d.placer, Peers: d.peers, Zone: settings.Zone,
-		Budget:  relay.BudgetTerms{Ratio: settings.RetryRatio, Slack: settings.RetrySlack, Window: settings.RetryWindow},
-		Crashes: d.crashes, Ends: d.ends, Started: d.started, Limits: relay.Limits{Open: max(64, settings.MemoryBytes/1_000_000*openPerMB)},
+		Budget:       relay.RetryBudgetConfig{Ratio: settings.RetryRatio, Slack: settings.RetrySlack, Window: settings.RetryWindow},
+		CrashTracker: d.crashes, Ends: d.ends, Started: d.started, Limits: relay.Limits{MaxOpen: max(64, settings.MemoryBytes/1_000_000*openPerMB)},
 	})
 	return d
 }
@@ -186,13 +186,13 @@
 		Self: d.self.VM, Key: d.linkKey, Credentials: d.credentials, Log: d.log.Named("links"),
 		Resolve: d.peers.resolve, Handle: d.handle,
 	})
-	d.peers.members = coord.NewMembers(d.self, peerTiming(), coord.DefaultRings(), d.peers.links, d.heartbeat, coord.WithRenumbering())
+	d.peers.members = coord.NewMembers(d.self, peerTiming(), coord.DefaultRings(), d.peers.links, d.heartbeat, coord.WithIncarnationBump())
 }
 
 func (d *Relay) heartbeat() proto.Heartbeat {
 	return proto.Heartbeat{
-		Incarnation: d.self.Incarnation, Stopping: d.stopping.Load(), Routing: d.tables.Version(), Targets: d.fleet.Version(), Ends: d.crashes.Digest(), Void: d.fleet.VoidDigest(),
-		Notices: d.fleet.NoticeDigest(), Evacuations: d.fleet.EvacuationsVersion(),
+		Incarnation: d.self.Incarnation, Stopping: d.stopping.Load(), Routing: d.tables.Version(), Targets: d.fleet.Version(), EndsDigest: d.crashes.Digest(), InvalidDigest: d.fleet.InvalidDigest(),
+		NoticesDigest: d.fleet.NoticeDigest(), Evacuations: d.fleet.EvacuationsVersion(),
 	}
 }
 
@@ -201,49 +201,49 @@
 	now := d.clock.Now()
 	switch msg := m.(type) {
 	case proto.Heartbeat:
-		d.peers.members.Heartbeat(now, from, msg)
+		d.peers.members.HandleHeartbeat(now, from, msg)
 		d.store.SawEra(msg.Targets.Era)
 		newer := msg.Routing > d.tables.Version() || msg.Targets.After(d.fleet.Version()) || msg.Evacuations.After(d.fleet.EvacuationsVersion())
 		if d.peers.sawNewer(from, newer, newer && d.isReader()) {
 			go d.pull(from)
 		}
-		if d.peers.mayAskVoid(now, from, d.fleet.VoidDigest(), msg.Void) {
+		if d.peers.mayAskVoid(now, from, d.fleet.InvalidDigest(), msg.InvalidDigest) {
 			go d.pull(from)
 		}
-		if d.endNews.differs(now, from, d.crashes.Digest(), msg.Ends, d.crashes.Counts().Ends) {
+		if d.endNews.differs(now, from, d.crashes.Digest(), msg.EndsDigest, d.crashes.Counts().Ends) {
 			go d.tellEnds(from)
 		}
-		if d.noticeNews.differs(now, from, d.fleet.NoticeDigest(), msg.Notices) {
+		if d.noticeNews.differs(now, from, d.fleet.NoticeDigest(), msg.NoticesDigest) {
 			d.peers.Send(from, proto.TargetNotices{Notices: d.fleet.Notices()})
 		}
 	case proto.Alive:
-		d.peers.members.Alive(now, msg, from)
+		d.peers.members.HandleAlive(now, msg, from)
 	case proto.Alarm:
-		d.peers.members.Alarm(now, msg, from)
+		d.peers.members.HandleAlarm(now, msg, from)
 	case proto.Deaths:
-		d.peers.members.Deaths(now, msg, from)
+		d.peers.members.HandleDeaths(now, msg, from)
 	case proto.News:
-		d.peers.members.News(now, msg, from)
+		d.peers.members.HandleNews(now, msg, from)
 	case proto.RoutingAsk:
 		return d.answerAsk(msg)
 	case proto.PiecesAsk:
-		return d.pieces.Work(ctx, msg, now.Add(msg.Due), now.Add(msg.Left))
+		return d.pieces.RunLocally(ctx, msg, now.Add(msg.DueIn), now.Add(msg.TimeLeft))
 	case proto.PiecesDrop:
 		d.pieces.Drop(msg)
 	case proto.PlaceAsk:
-		return d.placer.Place(msg)
+		return d.placer.HandlePlaceAsk(msg)
 	case proto.PlaceNote:
-		d.placer.Note(msg)
+		d.placer.HandlePlaceNote(msg)
 	case proto.PermitAsk:
-		return d.placer.Permit(from, msg)
+		return d.placer.HandlePermitAsk(from, msg)
 	case proto.TargetNotices:
 		d.learnNotices(now, msg.Notices, from)
 	case proto.AdmitAsk:
-		return d.placer.Decide(msg)
+		return d.placer.DecideAdmission(msg)
 	case proto.Confirmed:
 		d.takeRelayedViews(now, msg)
 	case proto.TargetEnds:
-		d.crashes.Learn(msg, from)
+		d.crashes.Merge(msg, from)
 	}
 	return proto.Done{}
 }
@@ -335,7 +335,7 @@
 		}),
 		d.every(sweepEvery, func() {
 			d.noteFleet(d.fleet.Sweep(d.clock.Now()), "time")
-			d.judgeAnew(d.fleet.VoidOver(d.restoreClock.Now()))
+			d.judgeAnew(d.fleet.ExpireInvalid(d.restoreClock.Now()))
 			d.endHeldEvacuations(d.restoreClock.Now())
 			d.exchange.Sweep()
 			d.placer.Sweep()
@@ -428,7 +428,7 @@
 	d.stopping.Store(true)
 	last := began.Add(d.settings.Grace - stopMargin)
 	d.server.Stop(began, last)
-	d.peers.members.Stop()
+	d.peers.members.AnnounceStop()
 	for now := began; now.Before(last); now = d.clock.Now() {
 		if now.Sub(began) >= unreadyLeast && d.server.Open() == 0 {
 			break
--- a/serve/relayclock_test.go
+++ b/serve/relayclock_test.go
@@ -33,7 +33,7 @@
 // the limits that all keep together, count on. Each is checked to hold before, so that the suspension ends it.
 func TestWhatOthersCountOnIsRightAfterASuspension(t *testing.T) {
 	const window = 10 * time.Second
-	timing := coord.CensusTiming{Window: window, Lease: 10 * time.Minute, View: 2 * time.Minute}
+	timing := coord.ShareTiming{Window: window, Lease: 10 * time.Minute, MaxReadAge: 2 * time.Minute}
 	target := proto.RelayTarget{ID: "t", Pool: "p", Zone: "z", Slots: 1}
 	scenarios := []struct {
 		name    string
@@ -42,22 +42,22 @@
 		begin func(clock *state.Clock, steady *clockwork.FakeClock) (holds func() bool)
 	}{
 		{"the share of common limits, by the own row", timing.Lease, func(clock *state.Clock, steady *clockwork.FakeClock) func() bool {
-			c := coord.NewCensus("vm", timing)
-			c.Begin(clock.Now(), true)
-			c.Wrote(clock.Now(), 0)
+			c := coord.NewShareTracker("vm", timing)
+			c.Start(clock.Now(), true)
+			c.RowWritten(clock.Now(), 0)
 			steady.Advance(window)
 			return func() bool {
 				// The rows are read at once when the VM goes on; only the own one is old.
-				c.Read(clock.Now(), clock.Now(), 0, nil)
+				c.ObserveRows(clock.Now(), clock.Now(), 0, nil)
 				return c.Share(clock.Now()).Usable
 			}
 		}},
-		{"the share of common limits, by the rows of others", timing.View, func(clock *state.Clock, steady *clockwork.FakeClock) func() bool {
-			c := coord.NewCensus("vm", timing)
-			c.Begin(clock.Now(), true)
-			c.Wrote(clock.Now(), 0)
+		{"the share of common limits, by the rows of others", timing.MaxReadAge, func(clock *state.Clock, steady *clockwork.FakeClock) func() bool {
+			c := coord.NewShareTracker("vm", timing)
+			c.Start(clock.Now(), true)
+			c.RowWritten(clock.Now(), 0)
 			steady.Advance(window)
-			c.Read(clock.Now(), clock.Now(), 0, nil)
+			c.ObserveRows(clock.Now(), clock.Now(), 0, nil)
 			return func() bool { return c.Share(clock.Now()).Usable }
 		}},
 		{"what is known of the store", staleMost, func(clock *state.Clock, _ *clockwork.FakeClock) func() bool {
@@ -75,19 +75,19 @@
 		}},
 		{"the wait for an entry that lapsed", 3 * time.Second, func(clock *state.Clock, _ *clockwork.FakeClock) func() bool {
 			f := relay.NewFleet(func(string) {})
-			f.Change(clock.Now(), []relay.FleetChange{{ID: "t", Version: proto.Revision{Version: 1}, Target: target}})
-			f.StoreAway(clock.Now())
-			f.Change(clock.Now(), []relay.FleetChange{{ID: "t", Version: proto.Revision{Version: 2}, Removed: true}})
-			f.StoreBack(clock.Now())
+			f.ApplyChanges(clock.Now(), []relay.FleetChange{{ID: "t", Version: proto.Revision{Version: 1}, Target: target}})
+			f.MarkStoreDown(clock.Now())
+			f.ApplyChanges(clock.Now(), []relay.FleetChange{{ID: "t", Version: proto.Revision{Version: 2}, Removed: true}})
+			f.MarkStoreUp(clock.Now())
 			return func() bool {
 				f.Sweep(clock.Now())
 				return f.Size("p") == 1
 			}
 		}},
 		{"attempts that requests have earned", window + time.Second, func(clock *state.Clock, steady *clockwork.FakeClock) func() bool {
-			b := relay.NewBudget(clock.Now(), relay.BudgetTerms{Ratio: 0.2, Window: window})
+			b := relay.NewRetryBudget(clock.Now(), relay.RetryBudgetConfig{Ratio: 0.2, Window: window})
 			for range 100 {
-				b.Asked(clock.Now())
+				b.RecordRequest(clock.Now())
 			}
 			steady.Advance(time.Second / 4)
 			return func() bool {
@@ -96,13 +96,13 @@
 			}
 		}},
 		{"ends of targets under a request", time.Hour + time.Second, func(clock *state.Clock, _ *clockwork.FakeClock) func() bool {
-			c := relay.NewCrashes("vm", clock, hclog.NewNullLogger(), nil)
+			c := relay.NewCrashTracker("vm", clock, hclog.NewNullLogger(), nil)
 			for _, run := range []proto.RunName{"a", "b", "c"} {
 				c.Ended(run, clock.Now(), []proto.RequestDigest{1})
 			}
 			return func() bool {
 				c.Sweep()
-				_, refused := c.Refuses(1)
+				_, refused := c.Blocks(1)
 				return refused
 			}
 		}},
--- a/serve/relaydocs.go
+++ b/serve/relaydocs.go
@@ -53,7 +53,7 @@
 
 // routingWhole takes in all rows of the operator's table; zones that have none are not evacuated.
 func (d *Relay) routingWhole(e platform.Entries) bool {
-	d.takeEvacuations(d.fleet.EvacuationsAsOf(e.Version, d.evacuationsOf(e)), "store")
+	d.takeEvacuations(d.fleet.EvacuationsFromList(e.Version, d.evacuationsOf(e)), "store")
 	d.adoptRoutingOf(e)
 	return true
 }
@@ -65,7 +65,7 @@
 		return
 	}
 	old := d.tables.Version()
-	if !d.tables.Adopt(r) {
+	if !d.tables.ReplaceIfNewer(r) {
 		d.log.Debug("configuration ignored", "from", from, "version", r.Version, "inForce", old)
 		return
 	}
@@ -77,12 +77,12 @@
 	d.log.Info("configuration in force", "from", from, "version", r.Version, "before", old, "routes", len(r.Routes), "pools", len(r.Pools), "workspaces", len(r.Workspaces))
 	for name, pool := range r.Pools {
 		if pool.Engine != nil {
-			d.fleet.SetMemory(name, pool.Engine.CacheTokens)
+			d.fleet.SetCacheTokens(name, pool.Engine.CacheTokens)
 		}
-		d.fleet.SetCold(name, pool.Cold)
+		d.fleet.SetColdSpec(name, pool.Cold)
 	}
 	d.pieces.RoutingChanged()
-	d.peers.members.Beat(d.clock.Now())
+	d.peers.members.SendHeartbeats(d.clock.Now())
 	d.noteStart()
 }
 
@@ -114,10 +114,10 @@
 // storeSeen tells the fleet how the store is, after what its answer brought was taken in.
 func (d *Relay) storeSeen(now time.Time, answered bool) {
 	if answered {
-		d.fleet.StoreBack(now)
+		d.fleet.MarkStoreUp(now)
 		return
 	}
-	d.fleet.StoreAway(now)
+	d.fleet.MarkStoreDown(now)
 }
 
 func (d *Relay) targetsWhole(e platform.Entries) bool {
@@ -155,10 +155,10 @@
 	var changes []relay.FleetChange
 	for _, doc := range docs {
 		c := d.changeOf(doc, from)
-		c.Told = told
+		c.FromPeer = told
 		changes = append(changes, c)
 	}
-	notes := d.fleet.Change(d.clock.Now(), changes)
+	notes := d.fleet.ApplyChanges(d.clock.Now(), changes)
 	lapsed := map[string]bool{}
 	for _, n := range notes {
 		lapsed[n.Target.ID] = n.Outcome == relay.OutcomeLapsed
@@ -174,20 +174,20 @@
 	d.noteFleet(notes, from)
 }
 
-func (d *Relay) noteFleet(notes []relay.FleetNote, from string) {
+func (d *Relay) noteFleet(notes []relay.FleetEvent, from string) {
 	for _, n := range notes {
 		if n.Outcome == relay.OutcomeEnded {
 			d.exchange.Forget(n.Target.Address)
 		}
 		if n.Crashed() {
-			d.ends.Ended(n.Target, "its entry is gone")
+			d.ends.RecordEnd(n.Target, "its entry is gone")
 		}
-		d.log.Info("target "+n.Outcome, "target", n.Target.ID, "pool", n.Target.Pool, "address", n.Target.Address, "zone", n.Target.Zone, "born", bornText(n.Target.Born), "coldFor", n.Target.ColdFor.String(), "version", d.fleet.Version(), "from", from)
+		d.log.Info("target "+n.Outcome, "target", n.Target.ID, "pool", n.Target.Pool, "address", n.Target.Address, "zone", n.Target.Zone, "born", bornText(n.Target.StartedAt), "coldFor", n.Target.ColdRemaining.String(), "version", d.fleet.Version(), "from", from)
 	}
 	if len(notes) > 0 {
-		d.peers.members.Beat(d.clock.Now())
+		d.peers.members.SendHeartbeats(d.clock.Now())
 	}
-	if ids, before := d.fleet.Lapsed(notes); len(ids) > 0 {
+	if ids, before := d.fleet.LapsedTargets(notes); len(ids) > 0 {
 		go d.askOfLapsed(ids, before)
 	}
 }
@@ -222,7 +222,7 @@
 	}
 	for _, doc := range a.TargetEntries {
 		if doc.Removed && !doc.Lapsed && slices.Contains(ids, doc.ID) {
-			d.noteFleet(d.fleet.Doubt(doc.ID), string(vm))
+			d.noteFleet(d.fleet.MarkSuspected(doc.ID), string(vm))
 		}
 	}
 }
@@ -231,7 +231,7 @@
 func (d *Relay) answerAsk(ask proto.RoutingAsk) proto.RoutingAnswer {
 	d.docs.mu.Lock()
 	defer d.docs.mu.Unlock()
-	a := proto.RoutingAnswer{Routing: d.tables.Version(), Targets: d.fleet.Version(), Void: d.fleet.Void(), Notices: d.fleet.Notices()}
+	a := proto.RoutingAnswer{Routing: d.tables.Version(), Targets: d.fleet.Version(), InvalidEntries: d.fleet.InvalidEntries(), Notices: d.fleet.Notices()}
 	if d.fleet.EvacuationsVersion().After(ask.Evacuations) {
 		a.Evacuations = d.fleet.Evacuations()
 	}
@@ -244,9 +244,9 @@
 	if !a.Targets.After(ask.Targets) {
 		return a
 	}
-	a.TargetsAreSent, a.Whole = true, d.docs.since.After(ask.Targets)
+	a.HasTargets, a.Full = true, d.docs.since.After(ask.Targets)
 	for _, doc := range d.docs.targets {
-		if a.Whole && !doc.Removed || !a.Whole && doc.Version.After(ask.Targets) {
+		if a.Full && !doc.Removed || !a.Full && doc.Version.After(ask.Targets) {
 			a.TargetEntries = append(a.TargetEntries, doc)
 		}
 	}
@@ -267,17 +267,17 @@
 		d.log.Info("another daemon gave nothing newer", "from", from, "error", err)
 		return
 	}
-	d.noteFleet(d.fleet.LearnVoid(d.clock.Now(), a.Void), string(from))
+	d.noteFleet(d.fleet.MergeInvalid(d.clock.Now(), a.InvalidEntries), string(from))
 	d.takeEvacuations(a.Evacuations, string(from))
 	d.learnNotices(d.clock.Now(), a.Notices, from)
 	if len(a.RoutingBody) > 0 {
 		d.adoptRouting(a.RoutingBody, string(from))
 	}
-	if !a.TargetsAreSent {
+	if !a.HasTargets {
 		return
 	}
-	d.log.Info("targets taken from another daemon", "from", from, "version", a.Targets, "entries", len(a.TargetEntries), "whole", a.Whole)
-	if a.Whole {
+	d.log.Info("targets taken from another daemon", "from", from, "version", a.Targets, "entries", len(a.TargetEntries), "whole", a.Full)
+	if a.Full {
 		d.takeTargets(a.Targets, a.TargetEntries, string(from), true)
 		return
 	}
--- a/serve/relayendrows.go
+++ b/serve/relayendrows.go
@@ -72,7 +72,7 @@
 // enough ago to be counted out, or is cut off from this one. It also returns how many daemons there may be.
 func (d *Relay) apart() (apart bool, counted int) {
 	c := d.peers.members.Counts()
-	counted = d.census.Share(d.clock.Now()).Counted
+	counted = d.census.Share(d.clock.Now()).VMCount
 	return counted > c.Known-c.Dead, counted
 }
 
@@ -197,7 +197,7 @@
 	for i := range m.Ends {
 		m.Ends[i].Age += age
 	}
-	d.crashes.Learn(m, proto.VM("store: "+row.Key))
+	d.crashes.Merge(m, proto.VM("store: "+row.Key))
 }
 
 // remove removes the row of a daemon that is gone for long, which one daemon does for all.
--- a/serve/relayends.go
+++ b/serve/relayends.go
@@ -81,7 +81,7 @@
 
 // tellEnds tells another daemon all ends of targets that this one knows of.
 func (d *Relay) tellEnds(to proto.VM) {
-	m := d.crashes.All()
+	m := d.crashes.Snapshot()
 	d.log.Info("another daemon is told all ends of targets", "to", to, "ends", len(m.Ends))
 	d.peers.Send(to, m)
 }
--- a/serve/relayends_test.go
+++ b/serve/relayends_test.go
@@ -29,7 +29,7 @@
 // netDaemon is a daemon as far as it learns of ends of targets.
 type netDaemon struct {
 	vm      proto.VM
-	crashes *relay.Crashes
+	crashes *relay.CrashTracker
 	news    *endNews
 	links   []int
 	beat    time.Time
@@ -94,7 +94,7 @@
 			n.send(i, to, m)
 		}
 	})
-	d.crashes = relay.NewCrashes(d.vm, n.clock, hclog.NewNullLogger(), func(m proto.TargetEnds, _ proto.VM) {
+	d.crashes = relay.NewCrashTracker(d.vm, n.clock, hclog.NewNullLogger(), func(m proto.TargetEnds, _ proto.VM) {
 		// The real one gathers by a timer of the clock, whose goroutine would make the order of things depend on luck.
 		for _, end := range m.Ends {
 			d.news.waiting = append(d.news.waiting, waitingEnd{end, n.clock.Now()})
@@ -140,7 +140,7 @@
 		if !now.Before(d.beat) {
 			d.beat = now.Add(peerHeartbeat)
 			for _, to := range d.links {
-				n.send(i, to, proto.Heartbeat{Ends: d.crashes.Digest()})
+				n.send(i, to, proto.Heartbeat{EndsDigest: d.crashes.Digest()})
 			}
 		}
 	}
@@ -158,10 +158,10 @@
 	for _, m := range ready {
 		switch msg := m.m.(type) {
 		case proto.TargetEnds:
-			d.crashes.Learn(msg, n.daemons[m.from].vm)
+			d.crashes.Merge(msg, n.daemons[m.from].vm)
 		case proto.Heartbeat:
-			if d.news.differs(now, n.daemons[m.from].vm, d.crashes.Digest(), msg.Ends, d.crashes.Counts().Ends) {
-				n.send(i, m.from, d.crashes.All())
+			if d.news.differs(now, n.daemons[m.from].vm, d.crashes.Digest(), msg.EndsDigest, d.crashes.Counts().Ends) {
+				n.send(i, m.from, d.crashes.Snapshot())
 			}
 		}
 	}
@@ -170,7 +170,7 @@
 // try has a request come to a daemon, which sends it to a target unless it refuses, and tells whether it did.
 func (n *endNet) try(i int, request proto.RequestDigest, target int) bool {
 	d := n.daemons[i]
-	if _, refused := d.crashes.Refuses(request); refused || d.frozen {
+	if _, refused := d.crashes.Blocks(request); refused || d.frozen {
 		return false
 	}
 	crashes := d.crashes
--- a/serve/relayera.go
+++ b/serve/relayera.go
@@ -8,7 +8,7 @@
 // are of the earlier era; what this daemon wrote there is written again.
 func (d *Relay) storeRestored(era uint64) {
 	d.log.Warn("the store is in a new era", "era", era, "routing", d.tables.Version(), "targets", d.fleet.Version(), "evacuations", d.fleet.EvacuationsVersion())
-	d.census.Restored(d.clock.Now(), era)
+	d.census.StoreRestored(d.clock.Now(), era)
 	d.endRows.restored()
 	select {
 	case d.restored <- struct{}{}:
--- a/serve/relayhttp.go
+++ b/serve/relayhttp.go
@@ -109,12 +109,12 @@
 	// Crashes tells how many ends of targets under requests are remembered, and of how many requests.
 	Crashes relay.CrashCounts `json:"crashes"`
 	// Cold counts what this daemon sent to cold targets, and how often others had taken what was left.
-	Cold relay.ColdCounts `json:"cold"`
+	Cold relay.ColdStats `json:"cold"`
 	// Notices counts the targets that leave, name a limit or want rest by their answers.
-	Notices relay.NoticeCounts `json:"notices"`
+	Notices relay.NoticeStats `json:"notices"`
 	// Permits counts what this daemon handed out for targets that name a limit.
-	Permits relay.PermitCounts `json:"permits"`
-	Open    int64              `json:"openRequests"`
+	Permits relay.PermitStats `json:"permits"`
+	Open    int64             `json:"openRequests"`
 	// Store counts the calls to the store by table and kind.
 	Store   platform.CallCounts `json:"store"`
 	Dropped int64               `json:"logLinesDropped"`
@@ -129,8 +129,8 @@
 	return RelayVars{
 		RoutingAge: ageVar(&d.routingView, now), TargetsAge: ageVar(&d.targetsView, now),
 		Requests: d.server.Counts().Report(), Pieces: d.pieces.Counts(), Targets: d.exchange.Counts(), Links: d.peers.links.Counts(),
-		Members: d.peers.members.Counts(), Share: d.peers.Share(), Routing: d.tables.Version(), Fleet: d.fleet.Version().String(), Era: d.store.Era(), Evacuated: d.fleet.Evacuated(), Open: d.server.Open(),
-		LinkAuth: d.linkAuth(), Crashes: d.crashes.Counts(), Cold: d.placer.ColdCounts(), Notices: d.fleet.NoticeCounts(now), Permits: d.placer.PermitCounts(), Store: d.store.Counts(), Dropped: d.sink.Dropped(),
+		Members: d.peers.members.Counts(), Share: d.peers.Share(), Routing: d.tables.Version(), Fleet: d.fleet.Version().String(), Era: d.store.Era(), Evacuated: d.fleet.EvacuatedZones(), Open: d.server.Open(),
+		LinkAuth: d.linkAuth(), Crashes: d.crashes.Counts(), Cold: d.placer.ColdStats(), Notices: d.fleet.NoticeStats(now), Permits: d.placer.PermitStats(), Store: d.store.Counts(), Dropped: d.sink.Dropped(),
 	}
 }
 
--- a/serve/relaylist.go
+++ b/serve/relaylist.go
@@ -114,7 +114,7 @@
 		return
 	}
 	l.wrote, l.counted = now.Add(-age), row.Counted
-	d.census.Wrote(l.wrote, l.era)
+	d.census.RowWritten(l.wrote, l.era)
 }
 
 // isCounted tells whether the others know of this VM.
@@ -138,14 +138,14 @@
 	}
 	if err == nil && era != l.era {
 		// The row names an earlier era than the one in which the store has it.
-		err = fault("write row", proto.KindConflict, "the store was restored meanwhile: era %d, before %d", era, l.era)
+		err = newError("write row", proto.KindConflict, "the store was restored meanwhile: era %d, before %d", era, l.era)
 	}
 	if err != nil {
 		d.log.Debug("the own row is not written", "error", err)
 		return false
 	}
 	l.wrote, l.counted = sent, row.Counted
-	d.census.Wrote(sent, era)
+	d.census.RowWritten(sent, era)
 	return true
 }
 
@@ -171,11 +171,11 @@
 			own = row
 		}
 	}
-	known = known || own.Counted && own.Era == l.era && now.Sub(own.Written) < censusTiming(d.settings).RowAge()
+	known = known || own.Counted && own.Era == l.era && now.Sub(own.Written) < censusTiming(d.settings).MaxRowAge()
 	l.known = l.known || known && !d.rowsRead.Load()
 	l.takeOver(now, own)
-	d.census.Begin(now, known)
-	d.removeOld(d.census.Read(asked, now, rows.Version.Era, versions), versions)
+	d.census.Start(now, known)
+	d.removeOld(d.census.ObserveRows(asked, now, rows.Version.Era, versions), versions)
 	d.rowsRead.Store(true)
 	d.noteStart()
 	return true
@@ -188,7 +188,7 @@
 		d.log.Warn("a daemon's row cannot be read", "vm", entry.Key, "error", err)
 		return row, false
 	}
-	d.peers.members.Alive(now, proto.Alive{VM: proto.VM(entry.Key), Zone: row.Zone, Peer: row.Peer, Incarnation: row.Incarnation}, "")
+	d.peers.members.HandleAlive(now, proto.Alive{VM: proto.VM(entry.Key), Zone: row.Zone, Peer: row.Peer, Incarnation: row.Incarnation}, "")
 	return row, true
 }
 
@@ -210,23 +210,23 @@
 	d.log.Info("an old row is removed", "vm", vm, "version", version, "error", err)
 }
 
-func censusTiming(s platform.Settings) coord.CensusTiming {
-	return coord.CensusTiming{Window: s.RetryWindow + shareSpread, Lease: rowLease, View: readMost}
+func censusTiming(s platform.Settings) coord.ShareTiming {
+	return coord.ShareTiming{Window: s.RetryWindow + shareSpread, Lease: rowLease, MaxReadAge: readMost}
 }
 
 // Share returns this daemon's part of what all daemons together are allowed.
 func (p *relayPeers) Share() relay.Share {
 	s := p.census.Share(p.clock.Now())
-	share := relay.Share{Counted: s.Counted, Live: p.Count(), Reason: string(s.Reason)}
+	share := relay.Share{Counted: s.VMCount, Live: p.Count(), Reason: string(s.Reason)}
 	if s.Usable {
-		share.Part = 1 / float64(s.Counted)
+		share.Fraction = 1 / float64(s.VMCount)
 	}
 	return share
 }
 
 // Sole tells whether this daemon may do now what only one of all may do at a time.
-func (p *relayPeers) Sole(task string, settle time.Duration) bool {
-	return p.census.Sole(p.clock.Now(), task, settle)
+func (p *relayPeers) IsSoleOwner(task string, settle time.Duration) bool {
+	return p.census.OwnsExclusively(p.clock.Now(), task, settle)
 }
 
 // reportShare counts the daemons that have come to be known, and logs when the own part changes.
@@ -235,14 +235,14 @@
 	if version := d.peers.members.Version(); version != d.peers.counted {
 		d.peers.counted = version
 		for _, alive := range d.peers.members.Live() {
-			d.census.Met(now, alive.VM)
+			d.census.ObserveVMs(now, alive.VM)
 		}
 	}
 	s := d.census.Share(now)
-	if s.Counted == d.lastShare.Counted && s.Reason == d.lastShare.Reason {
+	if s.VMCount == d.lastShare.VMCount && s.Reason == d.lastShare.Reason {
 		return
 	}
 	d.lastShare = s
-	d.log.Info("share of common limits changed", "counted", s.Counted, "usable", s.Usable, "reason", s.Reason,
+	d.log.Info("share of common limits changed", "counted", s.VMCount, "usable", s.Usable, "reason", s.Reason,
 		"rowAge", s.RowAge.String(), "readAge", s.ReadAge.String(), "members", d.peers.Count())
 }
--- a/serve/relaynotices.go
+++ b/serve/relaynotices.go
@@ -63,7 +63,7 @@
 
 // learnNotices takes in what another daemon knows of what targets say of themselves.
 func (d *Relay) learnNotices(now time.Time, list []proto.TargetNotice, from proto.VM) {
-	for _, n := range d.fleet.LearnNotices(now, list, from) {
-		d.log.Info("target signals from another daemon", "target", n.Target, "run", n.Run, "leaving", n.Leaving, "limited", n.Limited, "limit", n.Limit, "change", n.Change, "from", from)
+	for _, n := range d.fleet.MergeNotices(now, list, from) {
+		d.log.Info("target signals from another daemon", "target", n.Target, "run", n.Run, "leaving", n.Leaving, "limited", n.HasLimit, "limit", n.Limit, "change", n.LimitVersion, "from", from)
 	}
 }
--- a/serve/relaypeers.go
+++ b/serve/relaypeers.go
@@ -36,7 +36,7 @@
 )
 
 func peerTiming() coord.MemberTiming {
-	return coord.MemberTiming{Heartbeat: peerHeartbeat, Silence: peerSilence, Pause: peerPause, Lag: peerForget, Forget: peerForget}
+	return coord.MemberTiming{HeartbeatInterval: peerHeartbeat, SilenceTimeout: peerSilence, PauseThreshold: peerPause, MaxListLag: peerForget, ForgetAfter: peerForget}
 }
 
 // relayPeers are the other daemons as the relay sees them.
@@ -45,7 +45,7 @@
 	log     hclog.Logger
 	self    proto.Alive
 	members *coord.Members
-	census  *coord.Census
+	census  *coord.ShareTracker
 	links   *wire.Links
 	// counted is the version of the members' view that the census has; only the loop that reports the share uses it.
 	counted uint64
@@ -66,7 +66,7 @@
 	if ok {
 		return seed, true
 	}
-	return p.members.Address(vm)
+	return p.members.Lookup(vm)
 }
 
 // Owner returns the daemon that does a task for all.
@@ -79,7 +79,7 @@
 
 // Silent tells whether a daemon has not been heard for longer than a live one is silent.
 func (p *relayPeers) Silent(vm proto.VM) bool {
-	return p.members.Silent(p.clock.Now(), vm, peerSilence)
+	return p.members.IsSilent(p.clock.Now(), vm, peerSilence)
 }
 
 // Count returns the number of live daemons, this one included.
@@ -107,7 +107,7 @@
 
 // announcement is the daemon's own word on itself, of its first count so that later ones replace it.
 func (p *relayPeers) announcement() proto.Alive {
-	alive, _ := p.members.Address(p.self.VM)
+	alive, _ := p.members.Lookup(p.self.VM)
 	return alive
 }
 
--- a/serve/relaystart.go
+++ b/serve/relaystart.go
@@ -33,9 +33,9 @@
 		}()
 	}
 	for range seeds {
-		if a, ok := (<-answers).(proto.RoutingAnswer); ok && len(a.RoutingBody) > 0 && a.Whole {
+		if a, ok := (<-answers).(proto.RoutingAnswer); ok && len(a.RoutingBody) > 0 && a.Full {
 			d.log.Info("the store's tables are taken from another daemon", "targets", len(a.TargetEntries), "version", a.Targets)
-			d.noteFleet(d.fleet.LearnVoid(d.clock.Now(), a.Void), "another daemon")
+			d.noteFleet(d.fleet.MergeInvalid(d.clock.Now(), a.InvalidEntries), "another daemon")
 			d.takeEvacuations(a.Evacuations, "another daemon")
 			d.adoptRouting(a.RoutingBody, "another daemon")
 			d.takeTargets(a.Targets, a.TargetEntries, "another daemon", true)
--- a/serve/relayview.go
+++ b/serve/relayview.go
@@ -98,7 +98,7 @@
 	// The ages are taken before the versions: a version may only hold more than the age says.
 	m := proto.Confirmed{RoutingAge: d.routingView.ownAge(now), TargetsAge: d.targetsView.ownAge(now)}
 	m.Routing, m.Targets, m.Evacuations = d.tables.Version(), d.fleet.Version(), d.fleet.EvacuationsVersion()
-	for _, vm := range d.peers.members.FirstOfEach(taskReadStore, readersPerZone) {
+	for _, vm := range d.peers.members.FirstPerZone(taskReadStore, readersPerZone) {
 		if vm != d.self.VM {
 			d.peers.Send(vm, m)
 		}
--- a/serve/relayview_test.go
+++ b/serve/relayview_test.go
@@ -237,7 +237,7 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			d := &Relay{tables: &relay.Tables{}, fleet: relay.NewFleet(func(string) {})}
-			d.tables.Adopt(&proto.Routing{Version: 5})
+			d.tables.ReplaceIfNewer(&proto.Routing{Version: 5})
 			d.takeRelayedViews(now, s.told)
 			if got := d.routingView.asOf().Equal(now.Add(-time.Second)); got != s.routing {
 				t.Errorf("configuration confirmed: %t, want %t", got, s.routing)
--- a/serve/relaywatch.go
+++ b/serve/relaywatch.go
@@ -152,7 +152,7 @@
 // read for themselves alone, and one that hears nobody at all is told nothing.
 func (d *Relay) isReader() bool {
 	members := d.peers.members
-	return members.Among(taskReadStore, readersPerZone, d.peers.silent) || members.Alone(d.clock.Now(), peerSilence)
+	return members.IsAmongFirst(taskReadStore, readersPerZone, d.peers.silent) || members.AllSilent(d.clock.Now(), peerSilence)
 }
 
 // reply is what became of one watch of the table.
@@ -184,7 +184,7 @@
 		return proto.Revision{}, err
 	}
 	if !w.whole(all) {
-		return proto.Revision{}, fault("read "+w.name, proto.KindUnavailable, "the store's answer is older than what is known")
+		return proto.Revision{}, newError("read "+w.name, proto.KindUnavailable, "the store's answer is older than what is known")
 	}
 	w.view.confirm(w.asked)
 	return all.Version, nil
--- a/serve/relayzones.go
+++ b/serve/relayzones.go
@@ -25,14 +25,14 @@
 		if body := bytes.TrimSpace(row.Body); !row.Removed && (!json.Valid(body) || body[0] != '{') {
 			d.log.Warn("the row of an evacuation holds no JSON object, its zone is evacuated all the same", "zone", zone, "version", row.Version, "bytes", len(row.Body))
 		}
-		list = append(list, proto.Evacuation{Zone: zone, Version: row.Version, Over: row.Removed})
+		list = append(list, proto.Evacuation{Zone: zone, Version: row.Version, Ended: row.Removed})
 	}
 	return list
 }
 
 // endHeldEvacuations ends those that the store lost in a restoration and that the operator did not ask for again.
 func (d *Relay) endHeldEvacuations(now time.Time) {
-	if ends := d.fleet.HeldEvacuations(now); len(ends) > 0 {
+	if ends := d.fleet.ExpiredEvacuations(now); len(ends) > 0 {
 		d.takeEvacuations(ends, "time")
 	}
 }
@@ -43,15 +43,15 @@
 		return
 	}
 	now := d.clock.Now()
-	changed := d.fleet.Evacuate(now, list)
+	changed := d.fleet.ApplyEvacuations(now, list)
 	for _, e := range changed {
 		message := "availability zone evacuated"
-		if e.Over {
+		if e.Ended {
 			message = "availability zone in service again"
 		}
-		d.log.Info(message, "zone", e.Zone, "version", e.Version, "targets", d.fleet.InZone(e.Zone), "held", e.Held, "from", from)
+		d.log.Info(message, "zone", e.Zone, "version", e.Version, "targets", d.fleet.CountInZone(e.Zone), "held", e.LostInRestore, "from", from)
 	}
 	if len(changed) > 0 {
-		d.peers.members.Beat(now)
+		d.peers.members.SendHeartbeats(now)
 	}
 }
--- a/serve/settings.go
+++ b/serve/settings.go
@@ -154,7 +154,7 @@
 	}
 	s, err := ReadSettings(data)
 	if err != nil {
-		return s, fault("read settings", proto.KindInvalid, "%s: %v", path, err)
+		return s, newError("read settings", proto.KindInvalid, "%s: %v", path, err)
 	}
 	return s, nil
 }
@@ -176,7 +176,7 @@
 	}
 	faults = append(faults, s.checkKeys()...)
 	if len(faults) > 0 {
-		return fault("check settings", proto.KindInvalid, "%s", strings.Join(faults, "; "))
+		return newError("check settings", proto.KindInvalid, "%s", strings.Join(faults, "; "))
 	}
 	return nil
 }
@@ -226,7 +226,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, fault("load authority", proto.KindInvalid, "%s holds no certificate", t.Authority)
+		return nil, newError("load authority", proto.KindInvalid, "%s holds no certificate", t.Authority)
 	}
 	c.RootCAs, c.ClientCAs = pool, pool
 	c.ClientAuth = tls.RequireAndVerifyClientCert
--- a/state/decay.go
+++ b/state/decay.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// Decay is a sum that loses half of its value in each half-life.
-type Decay struct {
+// DecayingSum is a sum that loses half of its value in each half-life.
+type DecayingSum struct {
 	value float64
 	at    time.Time
 }
 
 // Add decays the sum to the given instant and adds an amount.
-func (d *Decay) Add(now time.Time, halfLife time.Duration, amount float64) {
+func (d *DecayingSum) Add(now time.Time, halfLife time.Duration, amount float64) {
 	d.value = d.Value(now, halfLife) + amount
 	if now.After(d.at) {
 		d.at = now
 	}
 }
 
-// Fading returns what is left of 1 after a time.
-func Fading(age, halfLife time.Duration) float64 {
+// DecayFactor returns what is left of 1 after a time.
+func DecayFactor(age, halfLife time.Duration) float64 {
 	return math.Exp2(-float64(max(0, age)) / float64(halfLife))
 }
 
 // Value returns the sum as of the given instant; an instant before the last addition counts as that one.
-func (d *Decay) Value(now time.Time, halfLife time.Duration) float64 {
+func (d *DecayingSum) Value(now time.Time, halfLife time.Duration) float64 {
 	if d.value == 0 || !now.After(d.at) {
 		return d.value
 	}
-	return d.value * Fading(now.Sub(d.at), halfLife)
+	return d.value * DecayFactor(now.Sub(d.at), halfLife)
 }
 
 // Mean is an exponentially weighted mean with its mean absolute deviation.
@@ -70,8 +70,8 @@
 // NewBucket returns a full bucket of the given capacity.
 func NewBucket(most float64) Bucket { return Bucket{tokens: most, most: most} }
 
-// Earn adds a part of a token.
-func (b *Bucket) Earn(part float64) { b.tokens = min(b.most, b.tokens+part) }
+// Deposit adds a part of a token.
+func (b *Bucket) Deposit(part float64) { b.tokens = min(b.most, b.tokens+part) }
 
 // Take removes one token if there is one.
 func (b *Bucket) Take() bool {
--- a/state/ledger_test.go
+++ b/state/ledger_test.go
@@ -10,7 +10,7 @@
 func TestLedger(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	key := func(n byte, at time.Time) proto.Key { return proto.KeyAt(at, [10]byte{9: n}) }
-	claim := func(n int) proto.ClaimID { return proto.ClaimID{Holder: "e", Try: n} }
+	claim := func(n int) proto.ClaimID { return proto.ClaimID{Holder: "e", Attempt: n} }
 	expect := func(t *testing.T, l *Ledger, k proto.Key, fingerprint uint64, try int, want proto.ClaimResult) {
 		t.Helper()
 		if got, _ := l.Claim(k, fingerprint, claim(try)); got != want {
--- a/state/rank.go
+++ b/state/rank.go
@@ -2,8 +2,8 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Rank returns the weight of a candidate for a key in rendezvous hashing, from the hashes of both; the highest wins.
-func Rank(key, candidate uint64) uint64 { return Mix(key ^ candidate) }
+// RendezvousScore returns the weight of a candidate for a key in rendezvous hashing, from the hashes of both; the highest wins.
+func RendezvousScore(key, candidate uint64) uint64 { return Mix(key ^ candidate) }
 
 // Mix spreads the bits of a hash, so that numbers which differ in a few bits come out unrelated.
 func Mix(x uint64) uint64 {
--- a/state/sharded.go
+++ b/state/sharded.go
@@ -10,15 +10,15 @@
 	items map[K]V
 }
 
-// Sharded is a map in shards, each under its own lock.
-type Sharded[K comparable, V any] struct {
+// ShardedMap is a map in shards, each under its own lock.
+type ShardedMap[K comparable, V any] struct {
 	hash   func(K) uint64
 	shards [ShardCount]shard[K, V]
 }
 
-// NewSharded returns an empty map that places keys by the given hash.
-func NewSharded[K comparable, V any](hash func(K) uint64) *Sharded[K, V] {
-	s := &Sharded[K, V]{hash: hash}
+// NewShardedMap returns an empty map that places keys by the given hash.
+func NewShardedMap[K comparable, V any](hash func(K) uint64) *ShardedMap[K, V] {
+	s := &ShardedMap[K, V]{hash: hash}
 	for i := range s.shards {
 		s.shards[i].items = map[K]V{}
 	}
@@ -26,7 +26,7 @@
 }
 
 // With runs a function on the key's shard under its lock.
-func (s *Sharded[K, V]) With(key K, fn func(items map[K]V)) {
+func (s *ShardedMap[K, V]) With(key K, fn func(items map[K]V)) {
 	sh := &s.shards[s.hash(key)%ShardCount]
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -34,7 +34,7 @@
 }
 
 // Get returns the value of a key.
-func (s *Sharded[K, V]) Get(key K) (V, bool) {
+func (s *ShardedMap[K, V]) Get(key K) (V, bool) {
 	sh := &s.shards[s.hash(key)%ShardCount]
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -43,24 +43,24 @@
 }
 
 // Put sets the value of a key.
-func (s *Sharded[K, V]) Put(key K, value V) {
+func (s *ShardedMap[K, V]) Put(key K, value V) {
 	s.With(key, func(items map[K]V) { items[key] = value })
 }
 
 // Delete removes a key.
-func (s *Sharded[K, V]) Delete(key K) {
+func (s *ShardedMap[K, V]) Delete(key K) {
 	s.With(key, func(items map[K]V) { delete(items, key) })
 }
 
 // Len returns the number of keys, counted shard by shard.
-func (s *Sharded[K, V]) Len() int {
+func (s *ShardedMap[K, V]) Len() int {
 	n := 0
 	s.EachShard(func(items map[K]V) { n += len(items) })
 	return n
 }
 
 // EachShard runs a function on every shard in turn, each under its lock.
-func (s *Sharded[K, V]) EachShard(fn func(items map[K]V)) {
+func (s *ShardedMap[K, V]) EachShard(fn func(items map[K]V)) {
 	for i := range s.shards {
 		sh := &s.shards[i]
 		sh.mu.Lock()
--- a/trial/cases.go
+++ b/trial/cases.go
@@ -170,7 +170,7 @@
 
 // plain turns off what a simple balancer does not have.
 func plain(t *core.Tuning) {
-	t.Admission, t.Fair, t.Limits = false, false, false
+	t.Admission, t.FairQueueing, t.Limits = false, false, false
 	t.HedgeRatio = 0
 	t.EjectAfter = 0
 }
@@ -179,12 +179,12 @@
 func Variants() []Variant {
 	same := func(*core.Tuning) {}
 	return []Variant{
-		variant("emberlead", core.RouterExpected, same),
+		variant("emberlead", core.RouterExpectedFinish, same),
 		variant("random", core.RouterRandom, plain),
 		variant("round robin", core.RouterRoundRobin, plain),
-		variant("least outstanding", core.RouterLeast, plain),
-		variant("FIFO", core.RouterExpected, func(t *core.Tuning) { t.Fair = false }),
-		variant("no admission", core.RouterExpected, func(t *core.Tuning) { t.Admission = false }),
-		variant("no retries", core.RouterExpected, func(t *core.Tuning) { t.MostAttempts, t.RetryRatio, t.HedgeRatio = 1, 0, 0 }),
+		variant("least outstanding", core.RouterLeastOutstanding, plain),
+		variant("FIFO", core.RouterExpectedFinish, func(t *core.Tuning) { t.FairQueueing = false }),
+		variant("no admission", core.RouterExpectedFinish, func(t *core.Tuning) { t.Admission = false }),
+		variant("no retries", core.RouterExpectedFinish, func(t *core.Tuning) { t.MaxAttempts, t.RetryRatio, t.HedgeRatio = 1, 0, 0 }),
 	}
 }
--- a/trial/run.go
+++ b/trial/run.go
@@ -25,7 +25,7 @@
 	}
 	file, faults := proto.ReadFile(data)
 	if len(faults) > 0 {
-		return nil, fault("load example", proto.KindInvalid, "%v", faults)
+		return nil, newError("load example", proto.KindInvalid, "%v", faults)
 	}
 	return file, nil
 }
--- a/trial/sim.go
+++ b/trial/sim.go
@@ -196,11 +196,11 @@
 	switch {
 	case j.gone:
 	case t.dead:
-		s.end(j, core.AttemptEnded{Fate: core.FateNotStarted, Reason: "connection refused"})
+		s.end(j, core.AttemptEnded{Status: core.StatusNotStarted, Reason: "connection refused"})
 	case t.running < t.profile.slots:
 		s.begin(t, j)
 	case len(t.queue) >= t.profile.most:
-		s.end(j, core.AttemptEnded{Fate: core.FateNotStarted, Reason: "too many wait"})
+		s.end(j, core.AttemptEnded{Status: core.StatusNotStarted, Reason: "too many wait"})
 	default:
 		t.enqueue(j)
 	}
@@ -228,9 +228,9 @@
 	busy := s.now.Sub(j.began)
 	switch {
 	case t.dead:
-		s.end(j, core.AttemptEnded{Fate: core.FateUnknown, Busy: busy, Reason: "reset"})
+		s.end(j, core.AttemptEnded{Status: core.StatusUnknown, Busy: busy, Reason: "reset"})
 	case t.failing:
-		s.end(j, core.AttemptEnded{Fate: core.FateFailed, Busy: busy, Reason: "failed"})
+		s.end(j, core.AttemptEnded{Status: core.StatusFailed, Busy: busy, Reason: "failed"})
 	default:
 		tokens := tokensOf(t.kind, &j.start.Stage)
 		if j.start.Stream && tokens > 0 {
@@ -238,7 +238,7 @@
 				s.feed(j.entry, core.AttemptChunk{Attempt: j.start.ID, Text: "x", Tokens: tokens})
 			})
 		}
-		s.end(j, core.AttemptEnded{Fate: core.FateDone, Output: []byte("{}"), Tokens: tokens, Busy: busy, CacheHit: j.hit})
+		s.end(j, core.AttemptEnded{Status: core.StatusDone, Output: []byte("{}"), Tokens: tokens, Busy: busy, CacheHit: j.hit})
 	}
 }
 
@@ -275,7 +275,7 @@
 	delete(s.jobs, j.start.ID)
 	ended.Attempt = j.start.ID
 	s.after(hop, func() { s.feed(j.entry, ended) })
-	if ended.Fate != core.FateNotStarted {
+	if ended.Status != core.StatusNotStarted {
 		load := s.targets[j.start.Target.Name].load(s.now)
 		s.after(hop, func() { s.feed(j.entry, core.LoadReported{Pool: j.start.Pool, Load: load}) })
 	}
--- a/wire/authority.go
+++ b/wire/authority.go
@@ -91,7 +91,7 @@
 	}
 	block, _ := pem.Decode(a.Key)
 	if block == nil {
-		return nil, nil, fault("read key", proto.KindInvalid, "there is no key in the file")
+		return nil, nil, newError("read key", proto.KindInvalid, "there is no key in the file")
 	}
 	key, err := x509.ParsePKCS8PrivateKey(block.Bytes)
 	if err != nil {
@@ -99,7 +99,7 @@
 	}
 	signer, ok := key.(*ecdsa.PrivateKey)
 	if !ok {
-		return nil, nil, fault("read key", proto.KindInvalid, "the key is not one of an elliptic curve")
+		return nil, nil, newError("read key", proto.KindInvalid, "the key is not one of an elliptic curve")
 	}
 	return certs[0], signer, nil
 }
--- a/wire/credentials.go
+++ b/wire/credentials.go
@@ -113,7 +113,7 @@
 		all = append(all, cert)
 	}
 	if len(all) == 0 {
-		return nil, fault("read authorities", proto.KindInvalid, "there is no certificate in the file")
+		return nil, newError("read authorities", proto.KindInvalid, "there is no certificate in the file")
 	}
 	return all, nil
 }
@@ -127,7 +127,7 @@
 			return &Error{Op: "read revocations", Kind: proto.KindInvalid, Err: err}
 		}
 		if !signedByOne(list, authorities) {
-			return fault("read revocations", proto.KindDenied, "no authority has signed the list of %s", list.Issuer)
+			return newError("read revocations", proto.KindDenied, "no authority has signed the list of %s", list.Issuer)
 		}
 		for _, entry := range list.RevokedCertificateEntries {
 			s.revoked[revocation{string(list.RawIssuer), entry.SerialNumber.String()}] = true
@@ -177,7 +177,7 @@
 
 func (s *credentialSet) verifyServer(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
-		return fault("verify", proto.KindDenied, "the other daemon shows no certificate")
+		return newError("verify", proto.KindDenied, "the other daemon shows no certificate")
 	}
 	intermediates := x509.NewCertPool()
 	for _, cert := range state.PeerCertificates[1:] {
@@ -195,7 +195,7 @@
 func (s *credentialSet) verifyNotRevoked(state tls.ConnectionState) error {
 	for _, cert := range state.PeerCertificates {
 		if s.revoked[revocation{string(cert.RawIssuer), cert.SerialNumber.String()}] {
-			return fault("verify", proto.KindDenied, "the certificate of %s is revoked", cert.Subject.CommonName)
+			return newError("verify", proto.KindDenied, "the certificate of %s is revoked", cert.Subject.CommonName)
 		}
 	}
 	return nil
--- a/wire/driver.go
+++ b/wire/driver.go
@@ -127,7 +127,7 @@
 	d.mu.Lock()
 	d.waiters[a.ID] = w
 	d.mu.Unlock()
-	a.KeyLost = a.Key != proto.Key{} && !d.claims.Reachable(a.Key)
+	a.QuorumLost = a.Key != proto.Key{} && !d.claims.Reachable(a.Key)
 	d.Do(a)
 	return w
 }
@@ -216,27 +216,27 @@
 }
 
 func (d *Driver) claim(a core.Claim) {
-	answered := core.ClaimAnswered{Request: a.Request, Verdict: core.VerdictUnreachable}
+	answered := core.ClaimAnswered{Request: a.Request, Result: core.ClaimNoQuorum}
 	if w := d.waiter(a.Request); w != nil {
 		decision, answer := d.claims.Claim(w.ctx, a.Key, w.fingerprint, a.Request)
-		answered.Verdict, answered.Answer = verdicts[decision], answer
+		answered.Result, answered.Answer = verdicts[decision], answer
 	}
 	d.Do(answered)
-	if !d.engine.Has(a.Request) && answered.Verdict == core.VerdictGranted {
+	if !d.engine.HasRequest(a.Request) && answered.Result == core.ClaimGranted {
 		// The request ended while its key was being claimed, so nothing of the stage ran.
 		d.claims.Settle(a.Key, a.Request, true, nil)
 	}
 }
 
-var verdicts = map[coord.Decision]core.Verdict{
-	coord.DecisionGranted:     core.VerdictGranted,
-	coord.DecisionTaken:       core.VerdictTaken,
-	coord.DecisionDone:        core.VerdictDone,
-	coord.DecisionMismatch:    core.VerdictMismatch,
-	coord.DecisionTooOld:      core.VerdictTooOld,
-	coord.DecisionTooNew:      core.VerdictTooNew,
-	coord.DecisionStale:       core.VerdictUnreachable,
-	coord.DecisionUnreachable: core.VerdictUnreachable,
+var verdicts = map[coord.Decision]core.ClaimResult{
+	coord.DecisionGranted:     core.ClaimGranted,
+	coord.DecisionTaken:       core.ClaimTaken,
+	coord.DecisionDone:        core.ClaimDone,
+	coord.DecisionMismatch:    core.ClaimMismatch,
+	coord.DecisionTooOld:      core.ClaimTooOld,
+	coord.DecisionTooNew:      core.ClaimTooNew,
+	coord.DecisionStale:       core.ClaimNoQuorum,
+	coord.DecisionUnreachable: core.ClaimNoQuorum,
 }
 
 // Run ticks the engine until the context ends.
--- a/wire/exchange.go
+++ b/wire/exchange.go
@@ -190,8 +190,8 @@
 }
 
 // Send writes a request and returns the head of its answer; ending the context closes the connection.
-func (e *Exchange) Send(ctx context.Context, to netip.AddrPort, out *relay.Outgoing) (*relay.Incoming, error) {
-	c, err := e.connect(ctx, to, out.Once)
+func (e *Exchange) Send(ctx context.Context, to netip.AddrPort, out *relay.TargetRequest) (*relay.TargetResponse, error) {
+	c, err := e.connect(ctx, to, out.NonIdempotent)
 	if err != nil {
 		return nil, &relay.SendError{Err: err}
 	}
@@ -208,7 +208,7 @@
 		return nil, &relay.SendError{Written: true, Err: err}
 	}
 	x.resp = resp
-	return &relay.Incoming{Status: resp.StatusCode, Header: resp.Header, Body: x}, nil
+	return &relay.TargetResponse{Status: resp.StatusCode, Header: resp.Header, Body: x}, nil
 }
 
 // Refuses tells whether an address turns connections away.
@@ -236,7 +236,7 @@
 }
 
 // write writes the head and the body, and tells whether a byte may have reached the target.
-func (x *exchanged) write(out *relay.Outgoing) (sent bool, err error) {
+func (x *exchanged) write(out *relay.TargetRequest) (sent bool, err error) {
 	var b bytes.Buffer
 	b.Grow(1024 + min(len(out.Body), inlineBody))
 	b.WriteString(out.Method + " " + out.URI + " HTTP/1.1\r\nHost: " + out.Host + "\r\n")
@@ -264,7 +264,7 @@
 }
 
 // readHead reads the head of the own answer; answers to earlier requests on the connection are dropped.
-func (x *exchanged) readHead(out *relay.Outgoing) (*http.Response, error) {
+func (x *exchanged) readHead(out *relay.TargetRequest) (*http.Response, error) {
 	request := &http.Request{Method: out.Method}
 	for stray := 0; ; stray++ {
 		resp, err := http.ReadResponse(x.conn.reader, request)
@@ -274,12 +274,12 @@
 		if resp.StatusCode/100 == 1 && resp.StatusCode != http.StatusSwitchingProtocols {
 			continue
 		}
-		if out.Mine == nil || out.Mine(resp.Header) {
+		if out.Matches == nil || out.Matches(resp.Header) {
 			return resp, nil
 		}
 		x.exchange.stray.Add(1)
 		if stray >= strayAnswers {
-			return nil, fault("read answer", proto.KindMismatch, "the answers on the connection are for other requests")
+			return nil, newError("read answer", proto.KindMismatch, "the answers on the connection are for other requests")
 		}
 		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxAnswer)); err != nil {
 			return nil, err
--- a/wire/exchange_test.go
+++ b/wire/exchange_test.go
@@ -82,10 +82,10 @@
 
 const headerID = "X-Id"
 
-func ask(id string, body string) *relay.Outgoing {
-	return &relay.Outgoing{
+func ask(id string, body string) *relay.TargetRequest {
+	return &relay.TargetRequest{
 		Method: http.MethodPost, URI: "/x", Host: "h", Header: http.Header{headerID: {id}}, Body: []byte(body),
-		Mine: func(h http.Header) bool { return h.Get(headerID) == id },
+		Matches: func(h http.Header) bool { return h.Get(headerID) == id },
 	}
 }
 
@@ -100,7 +100,7 @@
 	return itoa(n/10) + itoa(n%10)
 }
 
-func exchangeOnce(t *testing.T, e *Exchange, to netip.AddrPort, out *relay.Outgoing) (string, error) {
+func exchangeOnce(t *testing.T, e *Exchange, to netip.AddrPort, out *relay.TargetRequest) (string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -205,12 +205,12 @@
 	target, to := newScripted(t, func(_, _ int, r *http.Request) (string, bool) { return whole(r.Header.Get(headerID), "ok"), false })
 	clock := clockwork.NewFakeClock()
 	e := NewExchange(clock)
-	once := func(id string) *relay.Outgoing {
+	once := func(id string) *relay.TargetRequest {
 		out := ask(id, "")
-		out.Once = true
+		out.NonIdempotent = true
 		return out
 	}
-	send := func(out *relay.Outgoing, wantConns int) {
+	send := func(out *relay.TargetRequest, wantConns int) {
 		t.Helper()
 		if _, err := exchangeOnce(t, e, to, out); err != nil {
 			t.Fatal(err)
--- a/wire/front.go
+++ b/wire/front.go
@@ -348,7 +348,7 @@
 		select {
 		case <-ticker.Chan():
 		case <-ctx.Done():
-			return fault("wait", proto.KindUnavailable, "%d requests are still in progress", f.open.Load())
+			return newError("wait", proto.KindUnavailable, "%d requests are still in progress", f.open.Load())
 		}
 	}
 	return nil
--- a/wire/linkauth.go
+++ b/wire/linkauth.go
@@ -87,7 +87,7 @@
 		return nil
 	}
 	if name := resp.TLS.PeerCertificates[0].Subject.CommonName; name != string(vm) {
-		return fault("dial", proto.KindDenied, "%s is at the address of %s", name, vm)
+		return newError("dial", proto.KindDenied, "%s is at the address of %s", name, vm)
 	}
 	return nil
 }
--- a/wire/links.go
+++ b/wire/links.go
@@ -222,11 +222,11 @@
 	}
 	lk := l.link(to)
 	if lk == nil {
-		return nil, fault("call", proto.KindUnavailable, "no link to %s", to)
+		return nil, newError("call", proto.KindUnavailable, "no link to %s", to)
 	}
 	waiting := make(chan proto.Message, 1)
 	if !lk.expect(id, waiting) {
-		return nil, fault("call", proto.KindUnavailable, "%s could not be reached a moment ago", to)
+		return nil, newError("call", proto.KindUnavailable, "%s could not be reached a moment ago", to)
 	}
 	defer func() {
 		lk.mu.Lock()
@@ -234,13 +234,13 @@
 		lk.mu.Unlock()
 	}()
 	if !lk.queue(data) {
-		return nil, fault("call", proto.KindUnavailable, "the queue to %s is full", to)
+		return nil, newError("call", proto.KindUnavailable, "the queue to %s is full", to)
 	}
 	l.kinds.add(m, len(data))
 	select {
 	case answer, ok := <-waiting:
 		if !ok {
-			return nil, fault("call", proto.KindUnavailable, "the link to %s broke", to)
+			return nil, newError("call", proto.KindUnavailable, "the link to %s broke", to)
 		}
 		return answer, nil
 	case <-ctx.Done():
@@ -282,7 +282,7 @@
 	l := lk.owner
 	alive, ok := l.resolve(lk.to)
 	if !ok || !alive.Peer.IsValid() {
-		return nil, fault("dial", proto.KindNotFound, "%s has no known address", lk.to)
+		return nil, newError("dial", proto.KindNotFound, "%s has no known address", lk.to)
 	}
 	scheme := "ws"
 	if l.tls != nil {
--- a/wire/operator.go
+++ b/wire/operator.go
@@ -114,9 +114,9 @@
 }
 
 func (o *Operator) config(c echo.Context) error {
-	snapshot := o.node.Changes.Snapshot()
+	snapshot := o.node.Config.Snapshot()
 	s := ConfigStatus{Generation: snapshot.Generation, Files: []FileStatus{}, Stops: []proto.StopPlan{}}
-	for _, change := range o.node.Changes.Files() {
+	for _, change := range o.node.Config.Files() {
 		s.Files = append(s.Files, FileStatus{Name: change.Name, Generation: change.Generation, Hash: change.Hash, By: change.By, At: change.At})
 	}
 	for _, plan := range snapshot.Stops {
@@ -136,9 +136,9 @@
 	}
 	file, faults := proto.ReadFile(body)
 	if len(faults) == 0 {
-		faults = o.node.Changes.Snapshot().CheckFile(file)
+		faults = o.node.Config.Snapshot().CheckFile(file)
 	}
-	return c.JSON(http.StatusOK, coord.Applied{Faults: faults})
+	return c.JSON(http.StatusOK, coord.ApplyResult{Faults: faults})
 }
 
 func (o *Operator) apply(c echo.Context) error {
@@ -155,7 +155,7 @@
 		generation := proto.Generation(base)
 		req.Base = &generation
 	}
-	applied, err := o.node.Store.Apply(c.Request().Context(), o.node.Changes, req)
+	applied, err := o.node.ConfigStore.Apply(c.Request().Context(), o.node.Config, req)
 	return o.answer(c, applied, err)
 }
 
@@ -164,11 +164,11 @@
 	if err := c.Bind(&plan); err != nil || plan.VM == "" {
 		return c.JSON(http.StatusBadRequest, OperatorError{Kind: proto.KindInvalid, Error: "a stop plan needs a VM"})
 	}
-	applied, err := o.node.Store.PlanStop(c.Request().Context(), o.node.Changes, plan, c.QueryParam("by"))
+	applied, err := o.node.ConfigStore.PlanStop(c.Request().Context(), o.node.Config, plan, c.QueryParam("by"))
 	return o.answer(c, applied, err)
 }
 
-func (o *Operator) answer(c echo.Context, applied coord.Applied, err error) error {
+func (o *Operator) answer(c echo.Context, applied coord.ApplyResult, err error) error {
 	if err != nil {
 		status := http.StatusServiceUnavailable
 		if proto.KindOf(err) == proto.KindUnknown {
--- a/wire/platform.go
+++ b/wire/platform.go
@@ -145,15 +145,15 @@
 	case status < http.StatusMultipleChoices:
 		return nil
 	case status == http.StatusConflict:
-		return fault(op, proto.KindConflict, "%s", data)
+		return newError(op, proto.KindConflict, "%s", data)
 	case status == http.StatusNotFound:
-		return fault(op, proto.KindNotFound, "%s", data)
+		return newError(op, proto.KindNotFound, "%s", data)
 	case status == http.StatusTooManyRequests, status == http.StatusServiceUnavailable:
-		return fault(op, proto.KindUnavailable, "%s", data)
+		return newError(op, proto.KindUnavailable, "%s", data)
 	case status >= http.StatusInternalServerError:
-		return fault(op, proto.KindUnknown, "%s", data)
+		return newError(op, proto.KindUnknown, "%s", data)
 	}
-	return fault(op, proto.KindInvalid, "status %d: %s", status, data)
+	return newError(op, proto.KindInvalid, "status %d: %s", status, data)
 }
 
 func decode[T any](op string, data []byte, err error) (T, error) {
--- a/wire/targets.go
+++ b/wire/targets.go
@@ -111,8 +111,8 @@
 	ended := t.run(ctx, start, mayRepeat, emit)
 	ended.Attempt = start.ID
 	var spanErr error
-	if ended.Fate != core.FateDone {
-		spanErr = fault("run", proto.KindUnknown, "%s", ended.Reason)
+	if ended.Status != core.StatusDone {
+		spanErr = newError("run", proto.KindUnknown, "%s", ended.Reason)
 	}
 	endSpan(s, spanErr)
 	emit(ended)
@@ -125,7 +125,7 @@
 	watch := &sentWatch{}
 	req, err := newRun(watch.trace(ctx), start)
 	if err != nil {
-		return core.AttemptEnded{Fate: core.FateNotStarted, Reason: err.Error()}
+		return core.AttemptEnded{Status: core.StatusNotStarted, Reason: err.Error()}
 	}
 	// A reused connection may have been closed unseen, which leaves a written request in doubt.
 	client := t.reused
@@ -134,11 +134,11 @@
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		fate := core.FateUnknown
+		fate := core.StatusUnknown
 		if !watch.sent() {
-			fate = core.FateNotStarted
+			fate = core.StatusNotStarted
 		}
-		return core.AttemptEnded{Fate: fate, Reason: err.Error()}
+		return core.AttemptEnded{Status: fate, Reason: err.Error()}
 	}
 	defer resp.Body.Close()
 	return t.read(resp, start, emit)
@@ -190,7 +190,7 @@
 	}
 	var answer proto.RunAnswer
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(&answer); err != nil {
-		return core.AttemptEnded{Fate: core.FateUnknown, Reason: err.Error()}
+		return core.AttemptEnded{Status: core.StatusUnknown, Reason: err.Error()}
 	}
 	return answered(&answer, start, emit)
 }
@@ -202,22 +202,22 @@
 	reason := resp.Status + " " + refusal.Reason
 	switch {
 	case err == nil && refusal.Outcome == proto.OutcomeNotRun:
-		return core.AttemptEnded{Fate: core.FateNotStarted, Reason: reason}
+		return core.AttemptEnded{Status: core.StatusNotStarted, Reason: reason}
 	case err == nil && refusal.Outcome == proto.OutcomeRan:
-		return core.AttemptEnded{Fate: core.FateFailed, Reason: reason}
+		return core.AttemptEnded{Status: core.StatusFailed, Reason: reason}
 	}
-	return core.AttemptEnded{Fate: core.FateUnknown, Reason: reason}
+	return core.AttemptEnded{Status: core.StatusUnknown, Reason: reason}
 }
 
 func answered(answer *proto.RunAnswer, start *core.Start, emit func(core.Event)) core.AttemptEnded {
 	if answer.Attempt != start.ID.String() {
-		return core.AttemptEnded{Fate: core.FateUnknown, Reason: "the answer is to attempt " + answer.Attempt}
+		return core.AttemptEnded{Status: core.StatusUnknown, Reason: "the answer is to attempt " + answer.Attempt}
 	}
 	if answer.Load != nil {
 		emit(core.LoadReported{Pool: start.Pool, Load: *answer.Load})
 	}
 	return core.AttemptEnded{
-		Fate: core.FateDone, Output: answer.Output, Tokens: answer.Tokens,
+		Status: core.StatusDone, Output: answer.Output, Tokens: answer.Tokens,
 		Busy: answer.Busy.Std(), CacheHit: answer.CacheHit,
 	}
 }
@@ -227,18 +227,18 @@
 	for {
 		name, data, err := events.next()
 		if err != nil {
-			return core.AttemptEnded{Fate: core.FateUnknown, Reason: "the stream broke off: " + err.Error()}
+			return core.AttemptEnded{Status: core.StatusUnknown, Reason: "the stream broke off: " + err.Error()}
 		}
 		if name == "done" {
 			var answer proto.RunAnswer
 			if err := json.Unmarshal(data, &answer); err != nil {
-				return core.AttemptEnded{Fate: core.FateUnknown, Reason: err.Error()}
+				return core.AttemptEnded{Status: core.StatusUnknown, Reason: err.Error()}
 			}
 			return answered(&answer, start, emit)
 		}
 		var chunk proto.RunChunk
 		if err := json.Unmarshal(data, &chunk); err != nil || chunk.Attempt != start.ID.String() {
-			return core.AttemptEnded{Fate: core.FateUnknown, Reason: "the stream holds a chunk that is not of this attempt"}
+			return core.AttemptEnded{Status: core.StatusUnknown, Reason: "the stream holds a chunk that is not of this attempt"}
 		}
 		emit(core.AttemptChunk{Attempt: start.ID, Offset: chunk.Offset, Text: chunk.Text, Tokens: chunk.Tokens})
 	}
@@ -360,10 +360,10 @@
 		return nil, &Error{Op: "control", Kind: proto.KindUnavailable, Err: err}
 	}
 	if resp.StatusCode == http.StatusConflict {
-		return nil, fault("control", proto.KindDenied, "%s", bytes.TrimSpace(data))
+		return nil, newError("control", proto.KindDenied, "%s", bytes.TrimSpace(data))
 	}
 	if resp.StatusCode >= http.StatusMultipleChoices {
-		return nil, fault("control", proto.KindUnavailable, "%s", resp.Status)
+		return nil, newError("control", proto.KindUnavailable, "%s", resp.Status)
 	}
 	return data, nil
 }
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -100,19 +100,19 @@
 	if err := refused.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if got := runOnce(closed, false).Fate; got != core.FateNotStarted {
+	if got := runOnce(closed, false).Status; got != core.StatusNotStarted {
 		t.Errorf("refused connection: fate %d", got)
 	}
 	scenarios := []struct {
 		name   string
 		answer http.HandlerFunc
-		want   core.Fate
+		want   core.AttemptStatus
 	}{
-		{"breaks off", func(w http.ResponseWriter, _ *http.Request) { hangUp(w) }, core.FateUnknown},
-		{"says notRun", func(w http.ResponseWriter, _ *http.Request) { refuseWith(w, proto.OutcomeNotRun) }, core.FateNotStarted},
-		{"says ran", func(w http.ResponseWriter, _ *http.Request) { refuseWith(w, proto.OutcomeRan) }, core.FateFailed},
-		{"says nothing", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }, core.FateUnknown},
-		{"answers another attempt", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"attempt":"other"}`) }, core.FateUnknown},
+		{"breaks off", func(w http.ResponseWriter, _ *http.Request) { hangUp(w) }, core.StatusUnknown},
+		{"says notRun", func(w http.ResponseWriter, _ *http.Request) { refuseWith(w, proto.OutcomeNotRun) }, core.StatusNotStarted},
+		{"says ran", func(w http.ResponseWriter, _ *http.Request) { refuseWith(w, proto.OutcomeRan) }, core.StatusFailed},
+		{"says nothing", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }, core.StatusUnknown},
+		{"answers another attempt", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"attempt":"other"}`) }, core.StatusUnknown},
 	}
 	for _, scenario := range scenarios {
 		t.Run(scenario.name, func(t *testing.T) {
@@ -124,7 +124,7 @@
 			}))
 			defer target.Close()
 			for _, mayRepeat := range []bool{true, false} {
-				if got := runOnce(addressOf(target.URL), mayRepeat).Fate; got != scenario.want {
+				if got := runOnce(addressOf(target.URL), mayRepeat).Status; got != scenario.want {
 					t.Errorf("fate %d, want %d", got, scenario.want)
 				}
 			}
@@ -254,10 +254,10 @@
 		t.Fatal(err)
 	}
 	for range 400 {
-		if w := engine.Stats().Report().Workspaces["w"]; w.CallerLeft == 1 && engine.Open() == 0 {
+		if w := engine.Stats().Report().Workspaces["w"]; w.CallerLeft == 1 && engine.OpenRequests() == 0 {
 			return
 		}
 		time.Sleep(25 * time.Millisecond)
 	}
-	t.Fatalf("still open: %d; %+v", engine.Open(), engine.Stats().Report().Workspaces)
+	t.Fatalf("still open: %d; %+v", engine.OpenRequests(), engine.Stats().Report().Workspaces)
 }
