--- a/relay/accept.go
+++ b/relay/accept.go
@@ -15,12 +15,12 @@
 	if err != nil {
 		return nil, &failure{status: http.StatusBadRequest, reason: err.Error()}
 	}
-	f := &flow{server: s, w: w, req: req, startedAt: startedAt, triedTargets: map[string]bool{}, after: req.After}
+	f := &flow{server: s, w: w, req: req, startedAt: startedAt, triedTargets: map[string]bool{}, lastEventID: req.After}
 	table := s.tables.Current()
 	if table == nil {
 		return f, &failure{status: http.StatusServiceUnavailable, wait: outageRetryAfter(req), reason: "no configuration is known yet"}
 	}
-	f.version = table.Routing().Version
+	f.routingVersion = table.Routing().Version
 	f.route = table.Match(req.Host, req.Path)
 	if f.route == nil {
 		return f, &failure{status: http.StatusNotFound, reason: "no route has the host and path"}
@@ -36,14 +36,14 @@
 	}
 	f.digest = digestOf(req, f.workspace)
 	f.choosePool(table)
-	f.bound()
+	f.setDeadlines()
 	return f, f.refuseCrashing()
 }
 
 func (f *flow) authorize(table *Table) *failure {
-	f.owner = table.Owner(f.req.APIKey)
-	if f.owner != nil {
-		f.workspace = f.owner.Name
+	f.workspaceSpec = table.Owner(f.req.APIKey)
+	if f.workspaceSpec != nil {
+		f.workspace = f.workspaceSpec.Name
 		return nil
 	}
 	if f.route.Public || !table.Keyed() {
@@ -58,16 +58,16 @@
 	if plan == nil {
 		return nil
 	}
-	if f.startedAt.Before(plan.until(f.route.Kind, f.server.lengths.most(f.route.Name, 0))) {
+	if f.startedAt.Before(plan.acceptUntil(f.route.Kind, f.server.requestTimes.upperBound(f.route.Name, 0))) {
 		return nil
 	}
-	return &failure{status: http.StatusServiceUnavailable, wait: waitStopping, reason: "the daemon stops and the request might be cut off"}
+	return &failure{status: http.StatusServiceUnavailable, wait: stoppingRetryAfter, reason: "the daemon stops and the request might be cut off"}
 }
 
 func (f *flow) readBody(r *http.Request, most int64) *failure {
 	control := http.NewResponseController(f.w)
 	// Deadlines of connections are moments of the system's clock, which the daemon's own may differ from.
-	if err := control.SetReadDeadline(time.Now().Add(bodyWait)); err != nil {
+	if err := control.SetReadDeadline(time.Now().Add(bodyReadTimeout)); err != nil {
 		f.server.log.Debug("no deadline can be set on a body", "request", f.req.ID, "error", err)
 	}
 	body := r.Body
@@ -104,23 +104,23 @@
 		}
 	}
 	f.spec = table.Routing().Pools[f.pool]
-	f.rank = table.Rank(f.pool, f.owner, f.route)
-	f.homes = f.route.AllowedRegions
-	if f.owner != nil {
-		f.homes = f.homes.Intersect(f.owner.AllowedRegions)
+	f.rank = table.Rank(f.pool, f.workspaceSpec, f.route)
+	f.allowedRegions = f.route.AllowedRegions
+	if f.workspaceSpec != nil {
+		f.allowedRegions = f.allowedRegions.Intersect(f.workspaceSpec.AllowedRegions)
 	}
 }
 
-func (f *flow) bound() {
-	wait := noTimeout
+func (f *flow) setDeadlines() {
+	wait := defaultTimeout
 	if f.req.CallerTimeout > 0 {
 		wait = min(wait, f.req.CallerTimeout)
 	}
 	if f.route.Timeout > 0 {
 		wait = min(wait, f.route.Timeout)
 	}
-	f.end = f.startedAt.Add(wait - answerMargin)
-	f.due = f.end
+	f.deadline = f.startedAt.Add(wait - responseMargin)
+	f.due = f.deadline
 	if f.route.LatencyGoal > 0 {
 		f.due = f.startedAt.Add(min(wait, f.route.LatencyGoal))
 	}
--- a/relay/admit_test.go
+++ b/relay/admit_test.go
@@ -13,16 +13,16 @@
 
 // TestWhatIsBegunIsDividedByRank has requests of some ranks ask for any rates of tokens, beside any rate at which engines read. No more is
 // begun than that, each rank has a part, and none a larger one than a more urgent rank.
-func TestWhatIsBegunIsDividedByRank(t *testing.T) {
+func TestAdmissionSharesByRank(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
 	properties.Property("divided by rank", prop.ForAll(func(tokens []float64, rate float64) bool {
-		a := newAdmission()
+		a := newAdmissionController()
 		for _, n := range tokens {
 			d := state.DecayingSum{}
 			d.Add(start, rateHalfLife, n)
 			a.demand = append(a.demand, d)
 		}
-		demand, all := a.askedNow(start)
+		demand, all := a.currentDemand(start)
 		begun, before := 0.0, 1.0
 		for rank := range demand {
 			share := a.share(start, rate, rank)
@@ -37,8 +37,8 @@
 }
 
 // TestRanksAtTheirFloors has the most urgent requests ask for more than can be begun: what is left to the others falls by rank.
-func TestRanksAtTheirFloors(t *testing.T) {
-	a := newAdmission()
+func TestAdmissionFloorsDecreaseByRank(t *testing.T) {
+	a := newAdmissionController()
 	for range 4 {
 		d := state.DecayingSum{}
 		d.Add(start, rateHalfLife, 1e6)
--- a/relay/admitask.go
+++ b/relay/admitask.go
@@ -15,42 +15,42 @@
 		// Who has a part of the answer loses it by a refusal.
 		return nil
 	}
-	until := f.untilEngine()
+	until := f.timeToEngine()
 	ask := proto.AdmitAsk{
-		Pool: f.pool, Route: f.route.Name, Digest: f.digest, Seed: state.Hash(f.req.ID), Rank: f.rank, OwnTokens: f.want().OwnTokens,
-		Slack: f.due.Sub(f.server.clock.Now()) - until - f.toFirstEvent(),
+		Pool: f.pool, Route: f.route.Name, Digest: f.digest, Seed: state.Hash(f.req.ID), Rank: f.rank, OwnTokens: f.criteria().OwnTokens,
+		Slack: f.due.Sub(f.server.clock.Now()) - until - f.timeToFirstEvent(),
 	}
 	answer, owner := f.server.placer.Admit(ctx, ask)
 	if !answer.Refused {
 		return nil
 	}
 	f.server.counts.notAdmitted.Add(1)
-	f.note("request not admitted", "pool", f.pool, "by", owner, "queue", formatDuration(answer.QueueDelay), "share", answer.AdmittedShare, "slack", formatDuration(ask.Slack), "rank", f.rank,
+	f.logInfo("request not admitted", "pool", f.pool, "by", owner, "queue", formatDuration(answer.QueueDelay), "share", answer.AdmittedShare, "slack", formatDuration(ask.Slack), "rank", f.rank,
 		"engines", answer.Engines, "tokensPerSecond", int(answer.TokenRate))
-	return f.notRun(min(answer.RetryAfter, max(minRetryWait, f.left()/comeBackPart)), "the pool's engines have too much to read for the request to be in time")
+	return f.notRunFailure(min(answer.RetryAfter, max(minRetryWait, f.timeLeft()/retryAfterDivisor)), "the pool's engines have too much to read for the request to be in time")
 }
 
 // untilEngine is how long the stages of the request take on average, with their queues.
-func (f *flow) untilEngine() time.Duration {
+func (f *flow) timeToEngine() time.Duration {
 	longest := time.Duration(0)
 	for i := range f.route.Stages {
-		if f.pieces(i) > 0 && len(f.route.Stages[i].DependsOn) == 0 {
-			longest = max(longest, f.meanFrom(i))
+		if f.pieceCount(i) > 0 && len(f.route.Stages[i].DependsOn) == 0 {
+			longest = max(longest, f.averageTimeFrom(i))
 		}
 	}
 	return longest
 }
 
 // meanFrom is how long a stage and those after it take on average, with their queues.
-func (f *flow) meanFrom(stage int) time.Duration {
+func (f *flow) averageTimeFrom(stage int) time.Duration {
 	rest := time.Duration(0)
 	for i := range f.route.Stages {
-		if f.pieces(i) > 0 && contains(f.route.Stages[i].DependsOn, stage) {
-			rest = max(rest, f.meanFrom(i))
+		if f.pieceCount(i) > 0 && contains(f.route.Stages[i].DependsOn, stage) {
+			rest = max(rest, f.averageTimeFrom(i))
 		}
 	}
 	pool := f.route.Stages[stage].Pool
-	return f.server.pieces.QueueTime(pool, f.rank) + f.server.callTimes.mean(pool, f.stageLength(stage)) + rest
+	return f.server.pieces.QueueTime(pool, f.rank) + f.server.callTimes.mean(pool, f.stageCallTime(stage)) + rest
 }
 
 // Admit returns whether to begin a request, by the daemon that places for its pool, which is returned as well. While the pool is not
@@ -82,11 +82,11 @@
 func (p *Placer) DecideAdmission(ask proto.AdmitAsk) proto.AdmitAnswer {
 	now := p.clock.Now()
 	load := p.fleet.engineLoad(now, ask.Pool)
-	tokens := float64(ask.OwnTokens) + p.fleet.missingOf(now, ask.Pool, ask.Route)
+	tokens := float64(ask.OwnTokens) + p.fleet.missingTokens(now, ask.Pool, ask.Route)
 	p.admitMu.Lock()
 	defer p.admitMu.Unlock()
 	a := p.admissionOf(ask.Pool)
-	busy := a.look(now, load)
+	busy := a.observe(now, load)
 	answer := a.decide(now, load, &ask, tokens)
 	answer.AdmissionRequired = busy
 	return answer
@@ -95,7 +95,7 @@
 func (p *Placer) admissionOf(pool string) *admissionController {
 	a := p.admissions[pool]
 	if a == nil {
-		a = newAdmission()
+		a = newAdmissionController()
 		p.admissions[pool] = a
 	}
 	return a
@@ -106,7 +106,7 @@
 	load := p.fleet.engineLoad(now, pool)
 	p.admitMu.Lock()
 	defer p.admitMu.Unlock()
-	return p.admissionOf(pool).look(now, load)
+	return p.admissionOf(pool).observe(now, load)
 }
 
 // noteBusy takes in the word of the daemon that places for a pool.
@@ -116,7 +116,7 @@
 	}
 	p.admitMu.Lock()
 	defer p.admitMu.Unlock()
-	p.busyUntil[pool] = p.clock.Now().Add(busyFor)
+	p.busyUntil[pool] = p.clock.Now().Add(busyDuration)
 }
 
 func (p *Placer) reportedBusy(pool string) bool {
--- a/relay/answer.go
+++ b/relay/answer.go
@@ -12,7 +12,7 @@
 
 const (
 	// eventMost bounds one event of a stream.
-	eventMost = 1 << 20
+	maxEventBytes = 1 << 20
 	// readSize is the size of one read; events are some hundred bytes.
 	readSize = 8 << 10
 )
@@ -37,18 +37,18 @@
 	}
 }
 
-func (f *flow) passWhole(a *bufferedResponse) {
+func (f *flow) forwardResponse(a *bufferedResponse) {
 	f.copyHeader(a.header)
 	f.w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
 	f.w.WriteHeader(a.status)
 	f.committed = true
 	if _, err := f.w.Write(a.body); err != nil {
-		f.note("the answer could not be written to the caller", "error", err)
+		f.logInfo("the answer could not be written to the caller", "error", err)
 	}
 }
 
 // cutEvents splits off what follows the last blank line, which is not a whole event yet.
-func cutEvents(data []byte) (whole, rest []byte) {
+func splitEvents(data []byte) (whole, rest []byte) {
 	end := bytes.LastIndex(data, []byte("\n\n"))
 	if crlf := bytes.LastIndex(data, []byte("\r\n\r\n")); crlf >= 0 && crlf+2 > end {
 		end = crlf + 2
@@ -60,27 +60,27 @@
 }
 
 // passEvents writes whole events, without those that the caller has from an earlier target.
-func (f *flow) passEvents(h http.Header, events []byte) error {
+func (f *flow) forwardEvents(h http.Header, events []byte) error {
 	if !f.committed {
 		f.copyHeader(h)
 		f.w.WriteHeader(http.StatusOK)
 		f.committed = true
-		f.first = f.server.clock.Now()
-		f.passed = f.first
+		f.firstEventAt = f.server.clock.Now()
+		f.lastEventAt = f.firstEventAt
 	}
 	now := f.server.clock.Now()
-	f.pause = max(f.pause, now.Sub(f.passed))
-	f.passed = now
+	f.longestPause = max(f.longestPause, now.Sub(f.lastEventAt))
+	f.lastEventAt = now
 	for len(events) > 0 {
 		event, rest := firstEvent(events)
 		id, ok := eventID(event)
-		if !ok || id > f.after {
+		if !ok || id > f.lastEventID {
 			if _, err := f.w.Write(event); err != nil {
 				return err
 			}
 		}
 		if ok {
-			f.after = max(f.after, id)
+			f.lastEventID = max(f.lastEventID, id)
 		}
 		events = rest
 	}
@@ -88,11 +88,11 @@
 }
 
 // bringsNew tells whether events hold one that the caller does not have yet.
-func (f *flow) bringsNew(events []byte) bool {
+func (f *flow) hasNewEvents(events []byte) bool {
 	for len(events) > 0 {
 		event, rest := firstEvent(events)
 		id, ok := eventID(event)
-		if ok && id > f.after || !ok && bytes.Contains(event, []byte("data:")) {
+		if ok && id > f.lastEventID || !ok && bytes.Contains(event, []byte("data:")) {
 			return true
 		}
 		events = rest
--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -26,19 +26,19 @@
 	// is at work at most targets at any moment, and so at all that end together; it is answered each moment, while one
 	// that ends its targets is answered by none. Without this, requests that all callers send alike were refused for
 	// an hour when all three targets of a pool ended within a second.
-	answerCounts = time.Minute
-	crashPopular = 4 * crashLimit
+	answerValidity    = time.Minute
+	popularCrashLimit = 4 * crashLimit
 	// answersMost bounds how many answered requests are remembered, at some 50 bytes each: those of the last seconds of a
 	// busy daemon, and whatever comes again and again.
-	answersMost = 8192
+	maxAnswers = 8192
 	// crashKept is how long an end counts. A request that goes on ending targets costs three of them, and what is on
 	// its way, in each such time; targets may have new software by then.
-	crashKept = time.Hour
+	crashTTL = time.Hour
 	// crashesMost bounds how many ends of targets under requests are remembered, at about 200 bytes each; it is some
 	// hundred targets' ends with all that these ran.
-	crashesMost = 8192
+	maxCrashes = 8192
 	// crashesDropped is one in how many of them makes room for new ones.
-	crashesDropped = 4
+	crashDropDivisor = 4
 )
 
 // CrashTracker remembers which requests were at work at targets when these ended, whoever saw it. A nil *Crashes knows nothing.
@@ -46,10 +46,10 @@
 // An end under a request is a fact that is only ever added, or marked as answered for: daemons that know different ones come
 // to agree by telling each other what they know, in any order and any number of times.
 type CrashTracker struct {
-	self  proto.VM
-	clock clockwork.Clock
-	log   hclog.Logger
-	news  EndListener
+	self     proto.VM
+	clock    clockwork.Clock
+	log      hclog.Logger
+	listener EndListener
 
 	// answers are when requests were last answered here.
 	answers answerTimes
@@ -72,13 +72,13 @@
 // crash is one end of a target under a request.
 type crash struct {
 	at       time.Time
-	by       proto.VM
+	reporter proto.VM
 	answered bool
 }
 
 // NewCrashTracker returns a memory of no ends; news is told of each end that it learns.
-func NewCrashTracker(self proto.VM, clock clockwork.Clock, log hclog.Logger, news EndListener) *CrashTracker {
-	return &CrashTracker{self: self, clock: clock, log: log, news: news, requests: map[proto.RequestDigest]crashRecord{}}
+func NewCrashTracker(self proto.VM, clock clockwork.Clock, log hclog.Logger, listener EndListener) *CrashTracker {
+	return &CrashTracker{self: self, clock: clock, log: log, listener: listener, requests: map[proto.RequestDigest]crashRecord{}}
 }
 
 // counted returns how many ends count against the request.
@@ -132,7 +132,7 @@
 		return
 	}
 	now := c.clock.Now()
-	c.answers.note(now, request)
+	c.answers.record(now, request)
 	c.clear(now, request)
 }
 
@@ -145,7 +145,7 @@
 	c.mu.Lock()
 	for run, e := range c.requests[request] {
 		if !e.answered {
-			m.Ends = append(m.Ends, proto.TargetEnd{Run: run, Reporter: e.by, Age: now.Sub(e.at), Requests: []proto.RequestDigest{request}, Answered: true})
+			m.Ends = append(m.Ends, proto.TargetEnd{Run: run, Reporter: e.reporter, Age: now.Sub(e.at), Requests: []proto.RequestDigest{request}, Answered: true})
 		}
 	}
 	c.mu.Unlock()
@@ -162,31 +162,31 @@
 	var refused []proto.RequestDigest
 	c.mu.Lock()
 	for _, end := range m.Ends {
-		news, over := c.learnEnd(now, end)
+		added, over := c.mergeEnd(now, end)
 		refused = append(refused, over...)
-		if len(news) > 0 {
-			end.Requests = news
+		if len(added) > 0 {
+			end.Requests = added
 			fresh.Ends = append(fresh.Ends, end)
 		}
 	}
-	c.makeRoom()
+	c.evict()
 	c.mu.Unlock()
 	if len(fresh.Ends) == 0 {
 		return
 	}
-	c.noteLearnt(fresh, refused, from)
-	if c.news != nil {
-		c.news(fresh, from)
+	c.logMerged(fresh, refused, from)
+	if c.listener != nil {
+		c.listener(fresh, from)
 	}
-	c.speakFor(now, refused)
+	c.clearRecentlyAnswered(now, refused)
 }
 
 // speakFor clears requests that would be refused and that a target has answered here a short time before, unless too many
 // targets ended since.
-func (c *CrashTracker) speakFor(now time.Time, requests []proto.RequestDigest) {
+func (c *CrashTracker) clearRecentlyAnswered(now time.Time, requests []proto.RequestDigest) {
 	for _, request := range requests {
 		answered, known := c.answers.last(request)
-		if known && now.Sub(answered) <= answerCounts && c.endsSince(request, answered) < crashPopular {
+		if known && now.Sub(answered) <= answerValidity && c.endsSince(request, answered) < popularCrashLimit {
 			c.log.Info("a request is not refused, since a target has answered it lately", "digest", request.String(), "age", formatDuration(now.Sub(answered)))
 			c.clear(now, request)
 		}
@@ -208,27 +208,27 @@
 
 // learnEnd takes in one end and returns the requests for which it is news, and those that are refused from now on; the lock is
 // held.
-func (c *CrashTracker) learnEnd(now time.Time, end proto.TargetEnd) (news, refused []proto.RequestDigest) {
-	if end.Age > crashKept {
+func (c *CrashTracker) mergeEnd(now time.Time, end proto.TargetEnd) (added, refused []proto.RequestDigest) {
+	if end.Age > crashTTL {
 		return nil, nil
 	}
 	for _, request := range end.Requests {
 		before := c.requests[request].counted()
-		if !c.put(request, end.Run, crash{at: now.Add(-end.Age), by: end.Reporter, answered: end.Answered}) {
+		if !c.addEnd(request, end.Run, crash{at: now.Add(-end.Age), reporter: end.Reporter, answered: end.Answered}) {
 			continue
 		}
-		news = append(news, request)
+		added = append(added, request)
 		after := c.requests[request].counted()
-		c.recount(before, after)
+		c.updateTotals(before, after)
 		if before < crashLimit && after >= crashLimit {
 			refused = append(refused, request)
 		}
 	}
-	return news, refused
+	return added, refused
 }
 
 // put adds an end, or marks one as answered for, and tells whether that is news; the lock is held.
-func (c *CrashTracker) put(request proto.RequestDigest, run proto.RunName, e crash) bool {
+func (c *CrashTracker) addEnd(request proto.RequestDigest, run proto.RunName, e crash) bool {
 	record := c.requests[request]
 	if record == nil {
 		record = crashRecord{}
@@ -240,7 +240,7 @@
 		return false
 	case known:
 		c.digest ^= old.digest(request, run)
-		e.at, e.by = old.at, old.by
+		e.at, e.reporter = old.at, old.reporter
 	default:
 		c.size++
 	}
@@ -250,20 +250,20 @@
 }
 
 // drop forgets an end; the lock is held.
-func (c *CrashTracker) drop(request proto.RequestDigest, run proto.RunName) {
+func (c *CrashTracker) removeEnd(request proto.RequestDigest, run proto.RunName) {
 	record := c.requests[request]
 	before := record.counted()
 	c.digest ^= record[run].digest(request, run)
 	c.size--
 	delete(record, run)
-	c.recount(before, record.counted())
+	c.updateTotals(before, record.counted())
 	if len(record) == 0 {
 		delete(c.requests, request)
 	}
 }
 
 // recount keeps the totals when the ends that count against a request change.
-func (c *CrashTracker) recount(before, after int) {
+func (c *CrashTracker) updateTotals(before, after int) {
 	c.suspected.Add(int64(min(1, after) - min(1, before)))
 	c.refused.Add(int64(min(1, after/crashLimit) - min(1, before/crashLimit)))
 }
@@ -298,7 +298,7 @@
 		for run, e := range record {
 			k := key{run, e.answered}
 			if ends[k] == nil {
-				ends[k] = &proto.TargetEnd{Run: run, Reporter: e.by, Age: now.Sub(e.at), Answered: e.answered}
+				ends[k] = &proto.TargetEnd{Run: run, Reporter: e.reporter, Age: now.Sub(e.at), Answered: e.answered}
 			}
 			ends[k].Requests = append(ends[k].Requests, request)
 		}
@@ -320,8 +320,8 @@
 	defer c.mu.Unlock()
 	for request, record := range c.requests {
 		for run, e := range record {
-			if now.Sub(e.at) > crashKept {
-				c.drop(request, run)
+			if now.Sub(e.at) > crashTTL {
+				c.removeEnd(request, run)
 			}
 		}
 	}
@@ -329,8 +329,8 @@
 
 // makeRoom forgets ends under requests that are least suspected, the oldest first, when there are too many; the lock is
 // held. What is refused stays refused.
-func (c *CrashTracker) makeRoom() {
-	if c.size <= crashesMost {
+func (c *CrashTracker) evict() {
+	if c.size <= maxCrashes {
 		return
 	}
 	type kept struct {
@@ -349,8 +349,8 @@
 	slices.SortFunc(all, func(a, b kept) int {
 		return cmp.Or(cmp.Compare(a.counted, b.counted), a.at.Compare(b.at), cmp.Compare(a.request, b.request))
 	})
-	for _, k := range all[:len(all)/crashesDropped] {
-		c.drop(k.request, k.run)
+	for _, k := range all[:len(all)/crashDropDivisor] {
+		c.removeEnd(k.request, k.run)
 	}
-	c.log.Warn("ends of targets are forgotten, since there are too many", "forgotten", len(all)/crashesDropped, "left", c.size)
+	c.log.Warn("ends of targets are forgotten, since there are too many", "forgotten", len(all)/crashDropDivisor, "left", c.size)
 }
--- a/relay/crashes_test.go
+++ b/relay/crashes_test.go
@@ -21,7 +21,7 @@
 
 func runName(n int) proto.RunName { return proto.RunName(fmt.Sprintf("t-%d", n)) }
 
-func TestWhatTargetsEndsSayOfARequest(t *testing.T) {
+func TestBlockingOfCrashingRequests(t *testing.T) {
 	const request = proto.RequestDigest(7)
 	type step func(c *CrashTracker, clock *clockwork.FakeClock)
 	ended := func(run int) step {
@@ -33,7 +33,7 @@
 	after := func(d time.Duration) step {
 		return func(c *CrashTracker, clock *clockwork.FakeClock) { clock.Advance(d); c.Sweep() }
 	}
-	told := func(run int, age time.Duration) step {
+	reported := func(run int, age time.Duration) step {
 		return func(c *CrashTracker, _ *clockwork.FakeClock) {
 			c.Merge(proto.TargetEnds{Ends: []proto.TargetEnd{{Run: runName(run), Reporter: "other", Age: age, Requests: []proto.RequestDigest{request}}}}, "other")
 		}
@@ -46,22 +46,22 @@
 		{"nothing ended", nil, false, false},
 		{"two targets ended", []step{ended(1), ended(2)}, false, true},
 		{"three ended", []step{ended(1), ended(2), ended(3)}, true, true},
-		{"one end is seen by several daemons", []step{ended(1), told(1, time.Second), told(1, 2*time.Second)}, false, true},
-		{"others saw two of the three", []step{told(1, time.Minute), ended(2), told(3, 0)}, true, true},
+		{"one end is seen by several daemons", []step{ended(1), reported(1, time.Second), reported(1, 2*time.Second)}, false, true},
+		{"others saw two of the three", []step{reported(1, time.Minute), ended(2), reported(3, 0)}, true, true},
 		{"answered between", []step{ended(1), ended(2), answered, ended(3)}, false, true},
 		{"answered at last", []step{ended(1), ended(2), ended(3), answered}, false, false},
-		{"an answered end is told again", []step{ended(1), ended(2), ended(3), answered, told(2, time.Second)}, false, false},
+		{"an answered end is told again", []step{ended(1), ended(2), ended(3), answered, reported(2, time.Second)}, false, false},
 		{"answered a moment before", []step{answered, ended(1), ended(2), ended(3)}, false, false},
-		{"answered long before", []step{answered, after(answerCounts + time.Second), ended(1), ended(2), ended(3)}, true, true},
+		{"answered long before", []step{answered, after(answerValidity + time.Second), ended(1), ended(2), ended(3)}, true, true},
 		{"answered before, and ended on and on since", []step{
 			answered, after(time.Second), ended(1), ended(2), ended(3), ended(4), ended(5), ended(6), ended(7), ended(8), ended(9),
 			ended(10), ended(11), ended(12),
 		}, true, true},
-		{"others tell of ends of what was answered here", []step{answered, told(1, 0), told(2, 0), told(3, 0)}, false, false},
-		{"an hour later", []step{ended(1), ended(2), ended(3), after(crashKept + time.Second)}, false, false},
-		{"the first an hour ago", []step{ended(1), after(crashKept / 2), ended(2), ended(3), after(crashKept/2 + time.Second)}, false, true},
-		{"told of what is too old", []step{ended(1), ended(2), told(3, crashKept+time.Second)}, false, true},
-		{"told of what is nearly too old", []step{ended(1), ended(2), told(3, crashKept-time.Second)}, true, true},
+		{"others tell of ends of what was answered here", []step{answered, reported(1, 0), reported(2, 0), reported(3, 0)}, false, false},
+		{"an hour later", []step{ended(1), ended(2), ended(3), after(crashTTL + time.Second)}, false, false},
+		{"the first an hour ago", []step{ended(1), after(crashTTL / 2), ended(2), ended(3), after(crashTTL/2 + time.Second)}, false, true},
+		{"told of what is too old", []step{ended(1), ended(2), reported(3, crashTTL+time.Second)}, false, true},
+		{"told of what is nearly too old", []step{ended(1), ended(2), reported(3, crashTTL-time.Second)}, true, true},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -74,7 +74,7 @@
 			if refused != s.refused || c.Suspects(request) != s.suspected {
 				t.Errorf("refused %v, suspected %v", refused, c.Suspects(request))
 			}
-			if refused && (len(evidence.Ends) < crashLimit || evidence.ComeBack <= 0 || evidence.ComeBack > crashKept) {
+			if refused && (len(evidence.Ends) < crashLimit || evidence.RetryAfter <= 0 || evidence.RetryAfter > crashTTL) {
 				t.Errorf("evidence %+v", evidence)
 			}
 			if _, other := c.Blocks(request + 1); other || c.Suspects(request+1) {
@@ -85,7 +85,7 @@
 }
 
 // TestARefusalNamesTheTimeAfterWhichTheRequestIsRunAgain waits for that time, and for a little less.
-func TestARefusalNamesTheTimeAfterWhichTheRequestIsRunAgain(t *testing.T) {
+func TestBlockedRequestRunsAfterRetryAfter(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(start)
 	c := newTestCrashTracker(clock)
 	for run := range 4 {
@@ -93,7 +93,7 @@
 		clock.Advance(time.Minute)
 	}
 	evidence, _ := c.Blocks(1)
-	clock.Advance(evidence.ComeBack - time.Second)
+	clock.Advance(evidence.RetryAfter - time.Second)
 	c.Sweep()
 	if _, refused := c.Blocks(1); !refused {
 		t.Error("it is run before the time that was named")
@@ -107,7 +107,7 @@
 
 // TestDaemonsThatTellEachOtherAgree gives random facts to several daemons in random orders, some more than once, and has them
 // tell each other all they know: they refuse the same requests, and show it by equal digests.
-func TestDaemonsThatTellEachOtherAgree(t *testing.T) {
+func TestCrashTrackersConverge(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(1)
 	parameters.MinSuccessfulTests = 200
 	properties := gopter.NewProperties(parameters)
@@ -153,12 +153,12 @@
 }
 
 // TestTheMemoryOfEndsIsBounded has more targets end under more requests than are remembered, beside one that ends them.
-func TestTheMemoryOfEndsIsBounded(t *testing.T) {
+func TestCrashTrackerSizeIsLimited(t *testing.T) {
 	const guilty = proto.RequestDigest(1 << 60)
 	clock := clockwork.NewFakeClockAt(start)
 	c := newTestCrashTracker(clock)
 	next := proto.RequestDigest(1)
-	for run := range 3 * crashesMost / 50 {
+	for run := range 3 * maxCrashes / 50 {
 		at := make([]proto.RequestDigest, 0, 51)
 		for range 50 {
 			at = append(at, next)
@@ -170,7 +170,7 @@
 		c.Ended(runName(run), clock.Now(), at)
 		clock.Advance(time.Second)
 	}
-	if n := c.Counts().Ends; n > crashesMost {
+	if n := c.Counts().Ends; n > maxCrashes {
 		t.Errorf("%d ends are remembered", n)
 	}
 	if _, refused := c.Blocks(guilty); !refused {
@@ -179,7 +179,7 @@
 	if c.Suspects(next-50) != true {
 		t.Error("the newest end is forgotten")
 	}
-	clock.Advance(crashKept + time.Second)
+	clock.Advance(crashTTL + time.Second)
 	c.Sweep()
 	if c.Counts() != (CrashCounts{}) || c.Digest() != 0 {
 		t.Errorf("after an hour: %+v, digest %x", c.Counts(), c.Digest())
@@ -236,7 +236,7 @@
 		p.next++
 		p.runs[n] = p.next
 	}
-	p.goOn()
+	p.moveWork()
 }
 
 func (p *wavePool) inService() int {
@@ -250,7 +250,7 @@
 }
 
 // goOn gives what was at work at targets that ended to others, unless it is refused.
-func (p *wavePool) goOn() {
+func (p *wavePool) moveWork() {
 	kept := p.work[:0]
 	for _, w := range p.work {
 		if p.clock.Now().Before(p.back[w.target]) {
@@ -291,7 +291,7 @@
 // TestRequestsAreServedThroughWavesOfEnds has targets end by themselves each second or two, a tenth to a half of them at a time,
 // while requests of a second and a half on average go on elsewhere. Nothing but these ends speaks against the requests, and of a
 // hundred at most one may be refused; with a limit of two ends it would be four.
-func TestRequestsAreServedThroughWavesOfEnds(t *testing.T) {
+func TestFewRequestsAreBlockedByWaves(t *testing.T) {
 	begun, hitTwice, refused := 0, 0, 0
 	for seed := range uint64(20) {
 		clock := clockwork.NewFakeClockAt(start)
@@ -312,7 +312,7 @@
 
 // TestARequestThatAllSendAlikeIsServed has a request be at work at all targets at any moment, as a page that all callers read, when
 // these end together; what is on its way is all lost, so that nothing is answered after the ends and before the next try.
-func TestARequestThatAllSendAlikeIsServed(t *testing.T) {
+func TestPopularRequestIsNotBlocked(t *testing.T) {
 	const alike = proto.RequestDigest(5)
 	clock := clockwork.NewFakeClockAt(start)
 	c := newTestCrashTracker(clock)
@@ -331,13 +331,13 @@
 	}
 }
 
-func TestTheMemoryOfAnswersIsBounded(t *testing.T) {
+func TestAnswerTimesSizeIsLimited(t *testing.T) {
 	var a answerTimes
-	for n := range proto.RequestDigest(3 * answersMost) {
-		a.note(start, n)
-		a.note(start, 1<<60)
+	for n := range proto.RequestDigest(3 * maxAnswers) {
+		a.record(start, n)
+		a.record(start, 1<<60)
 	}
-	if n := len(a.newer) + len(a.former); n > answersMost+2 {
+	if n := len(a.recent) + len(a.older); n > maxAnswers+2 {
 		t.Errorf("%d answers are remembered", n)
 	}
 	if _, known := a.last(1 << 60); !known {
--- a/relay/crashing.go
+++ b/relay/crashing.go
@@ -14,22 +14,22 @@
 		return nil
 	}
 	f.server.counts.crashing.Add(1)
-	f.note("a request is not run, since targets end that run it", "digest", f.digest.String(), "ends", evidence.Ends, "runs", f.runs)
-	return f.notRun(evidence.ComeBack, "targets ended that ran it")
+	f.logInfo("a request is not run, since targets end that run it", "digest", f.digest.String(), "ends", evidence.Ends, "runs", f.runs)
+	return f.notRunFailure(evidence.RetryAfter, "targets ended that ran it")
 }
 
 // noteEnd notes what an attempt's end says of the request and of the run of its target.
-func (a *attempt) recordOutcome(end *attemptResult) {
+func (a *attempt) recordOutcome(result *attemptResult) {
 	f := a.race.flow
 	switch {
 	case a.answered:
 		f.server.crashes.Answered(f.digest)
 		f.server.ends.RecordAlive(a.placement.Spec)
-	case end.misdirected || errors.Is(end.err, syscall.ECONNREFUSED):
-		a.noteTargetGone(end.reason)
-	case end.done || end.response != nil || end.notRun && end.sent:
+	case result.misdirected || errors.Is(result.err, syscall.ECONNREFUSED):
+		a.recordTargetGone(result.reason)
+	case result.done || result.response != nil || result.notRun && result.sent:
 		f.server.ends.RecordAlive(a.placement.Spec)
-	case end.notRun:
+	case result.notRun:
 		// The target never had the request.
 	case context.Cause(a.ctx) != nil:
 		// It was silent, so it may have ended long before its entry went, or not at all.
@@ -42,7 +42,7 @@
 }
 
 // noteTargetGone notes that a target has ended whose entry says that it is in service.
-func (a *attempt) noteTargetGone(cause string) {
+func (a *attempt) recordTargetGone(cause string) {
 	s := a.race.flow.server
 	if s.fleet.AcceptsWork(a.placement.Target) {
 		s.ends.RecordEnd(a.placement.Spec, cause)
--- a/relay/crashreport.go
+++ b/relay/crashreport.go
@@ -9,21 +9,21 @@
 )
 
 // crashesLogged bounds the ends that one line of the log names.
-const crashesLogged = 16
+const maxLoggedEnds = 16
 
 // Evidence is why a request is refused.
 type Evidence struct {
 	// Ends are those that count, oldest first.
 	Ends []EvidenceEnd
 	// ComeBack is how long the request is refused, if no further end comes to be known.
-	ComeBack time.Duration
+	RetryAfter time.Duration
 }
 
 // EvidenceEnd is one target's end as the log tells it.
 type EvidenceEnd struct {
-	Run proto.RunName `json:"run"`
-	By  proto.VM      `json:"by"`
-	Age string        `json:"age"`
+	Run      proto.RunName `json:"run"`
+	Reporter proto.VM      `json:"by"`
+	Age      string        `json:"age"`
 }
 
 func (r crashRecord) evidence(now time.Time) Evidence {
@@ -34,7 +34,7 @@
 			continue
 		}
 		times = append(times, c.at)
-		e.Ends = append(e.Ends, EvidenceEnd{Run: run, By: c.by, Age: formatDuration(now.Sub(c.at))})
+		e.Ends = append(e.Ends, EvidenceEnd{Run: run, Reporter: c.reporter, Age: formatDuration(now.Sub(c.at))})
 	}
 	slices.SortFunc(times, time.Time.Compare)
 	slices.SortFunc(e.Ends, func(a, b EvidenceEnd) int {
@@ -42,12 +42,12 @@
 	})
 	// It is run again once fewer ends than the limit are left.
 	last := times[len(times)-crashLimit]
-	e.ComeBack = max(minRetryWait, last.Add(crashKept).Sub(now))
+	e.RetryAfter = max(minRetryWait, last.Add(crashTTL).Sub(now))
 	return e
 }
 
 // learntEnd is one end as the log tells it.
-type learntEnd struct {
+type mergedEnd struct {
 	EvidenceEnd
 	// Requests is how many were at work there, and Answered says that they have been answered since.
 	Requests int  `json:"requests"`
@@ -56,15 +56,15 @@
 
 // noteLearnt logs what is known now that was not before: one line for all ends that came together, since a wave of ends
 // brings some hundred.
-func (c *CrashTracker) noteLearnt(fresh proto.TargetEnds, refused []proto.RequestDigest, from proto.VM) {
-	var learnt []learntEnd
-	for _, end := range fresh.Ends[:min(crashesLogged, len(fresh.Ends))] {
-		learnt = append(learnt, learntEnd{EvidenceEnd{end.Run, end.Reporter, formatDuration(end.Age)}, len(end.Requests), end.Answered})
+func (c *CrashTracker) logMerged(fresh proto.TargetEnds, refused []proto.RequestDigest, from proto.VM) {
+	var learnt []mergedEnd
+	for _, end := range fresh.Ends[:min(maxLoggedEnds, len(fresh.Ends))] {
+		learnt = append(learnt, mergedEnd{EvidenceEnd{end.Run, end.Reporter, formatDuration(end.Age)}, len(end.Requests), end.Answered})
 	}
 	c.log.Info("requests were at work when targets ended", "from", from, "count", len(fresh.Ends), "ends", learnt)
 	for _, request := range refused {
 		evidence, _ := c.Blocks(request)
-		c.log.Warn("a request is refused from now on, since targets end that run it", "digest", request.String(), "ends", evidence.Ends, "for", formatDuration(evidence.ComeBack), "from", from)
+		c.log.Warn("a request is refused from now on, since targets end that run it", "digest", request.String(), "ends", evidence.Ends, "for", formatDuration(evidence.RetryAfter), "from", from)
 	}
 }
 
--- a/relay/homes_test.go
+++ b/relay/homes_test.go
@@ -23,7 +23,7 @@
 }
 
 // TestNoTargetOutsideAHomeIsChosen asks in each way that work takes, also when all at home fail or were tried before.
-func TestNoTargetOutsideAHomeIsChosen(t *testing.T) {
+func TestOnlyTargetsInAllowedRegionsAreChosen(t *testing.T) {
 	home := proto.AllowRegions([]string{"south"})
 	bound := func(w TargetCriteria) TargetCriteria {
 		w.AllowedRegions = home
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestBothHomesHold(t *testing.T) {
+func TestRouteAndWorkspaceRegionsIntersect(t *testing.T) {
 	route, owner := proto.AllowRegions([]string{"north", "south"}), proto.AllowRegions([]string{"south", "east"})
 	scenarios := []struct {
 		testName string
@@ -92,7 +92,7 @@
 
 // TestPiecesAreMadeAtHome has a job that is bound to a region beside one that is not, in a pool with a target in each region; no
 // call for the first goes elsewhere, and without a target at home it is refused at once.
-func TestPiecesAreMadeAtHome(t *testing.T) {
+func TestPiecesStayInAllowedRegions(t *testing.T) {
 	spec := proto.BatchSpec{Slots: 1, MaxPieces: 4, CallCost: 10 * time.Millisecond, PieceCost: time.Millisecond, ResultLifetime: time.Second}
 	targets := func(regions ...string) []proto.RelayTarget {
 		var list []proto.RelayTarget
--- a/relay/race_test.go
+++ b/relay/race_test.go
@@ -35,7 +35,7 @@
 
 // TestAnAttemptIsNotGivenUpForOneThatCannotBeMade has the only target that a request may go to answer late, for each reason why it is
 // the only one. The answer must be delivered, and the target's work must not be given up.
-func TestAnAttemptIsNotGivenUpForOneThatCannotBeMade(t *testing.T) {
+func TestLateAttemptContinuesWithoutAlternative(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		// alone makes the first target the only one that the request may go to.
@@ -53,7 +53,7 @@
 		{"the other one's zone is evacuated", func(r *racedRequest) {
 			r.fleet.ApplyEvacuations(time.Now(), []proto.Evacuation{{Zone: "other", Version: rev(100)}})
 		}, false},
-		{"the other one is away from the request's regions", func(r *racedRequest) { r.homes = proto.AllowRegions([]string{"north"}) }, false},
+		{"the other one is away from the request's regions", func(r *racedRequest) { r.allowedRegions = proto.AllowRegions([]string{"north"}) }, false},
 		{"the other one is cold and has had what it may get", func(r *racedRequest) {
 			r.fleet.SetColdSpec("p", proto.ColdSpec{WarmUpTime: time.Minute, RequestsPerSecond: 1})
 			other := raceTarget(1)
@@ -95,7 +95,7 @@
 
 // TestAnotherAttemptBeginsBesideTheFirst has the first target be late and the second do something else. Whichever answer is whole first
 // counts, and nobody waits for the late one if the other is quick.
-func TestAnotherAttemptBeginsBesideTheFirst(t *testing.T) {
+func TestLateAttemptIsHedged(t *testing.T) {
 	for _, k := range kindsOfRace {
 		scenarios := []struct {
 			testName string
@@ -134,7 +134,7 @@
 }
 
 // TestASilentStreamGoesOnWhereItCan has the first target fall silent for a while after two events.
-func TestASilentStreamGoesOnWhereItCan(t *testing.T) {
+func TestSilentStreamIsResumedElsewhere(t *testing.T) {
 	const silence = 3 * time.Second
 	silent := func() racer {
 		parts := eventParts(1, 2)
@@ -170,7 +170,7 @@
 
 // TestAStreamThatBreaksOffAtOnceIsMadeUpFor has one of two targets break off as soon as it has begun, with the whole answer of the other on its
 // way or there.
-func TestAStreamThatBreaksOffAtOnceIsMadeUpFor(t *testing.T) {
+func TestBrokenStreamIsReplacedByHedge(t *testing.T) {
 	breaks := func(wait time.Duration, events ...int) racer {
 		return respondsAfter(wait, http.StatusOK, io.ErrUnexpectedEOF, eventParts(events...)...)
 	}
@@ -198,7 +198,7 @@
 
 // TestAStreamReturnsToATargetThatWasGivenUp guards against a stream that is lost although the attempt given up for the one that broke off
 // would have brought it whole.
-func TestAStreamReturnsToATargetThatWasGivenUp(t *testing.T) {
+func TestStreamReturnsToCanceledTarget(t *testing.T) {
 	breaksLate := func(events ...int) racer {
 		parts := eventParts(events...)
 		parts[len(parts)-1].after = 2 * overlap
@@ -247,7 +247,7 @@
 
 // TestARequestIsAnsweredWhenItsDaemonCloses guards against requests that end without an answer, or with a promise that they were not run, since the
 // daemon stops.
-func TestARequestIsAnsweredWhenItsDaemonCloses(t *testing.T) {
+func TestRequestIsAnsweredWhenDaemonStops(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		kind     proto.RouteKind
@@ -279,7 +279,7 @@
 }
 
 // TestACallerWhoLeavesEndsAllAttempts has two attempts at work when the caller leaves.
-func TestACallerWhoLeavesEndsAllAttempts(t *testing.T) {
+func TestCallerLeavingCancelsAllAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRaced(proto.RouteRepeatable, hangs, hangs)
 		ctx, leave := context.WithTimeout(t.Context(), time.Second)
@@ -300,7 +300,7 @@
 }
 
 // TestARequestThatRunsOnceHasOneAttempt waits for the only run of a request, however late it answers.
-func TestARequestThatRunsOnceHasOneAttempt(t *testing.T) {
+func TestNonIdempotentRequestHasOneAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRaced(proto.RouteOnce, whole(raceLate, "whole"), whole(raceTypicalLatency, "other"))
 		if got := r.end(t); got != "whole" || r.sender.askedOf(1) > 0 {
@@ -328,12 +328,12 @@
 
 // TestInputsAreMadeAnewBesideALateAttempt has the inputs of a request given up, once its target has fetched them, before it is late. For
 // another target they are made anew, while the first goes on; whichever answers counts.
-func TestInputsAreMadeAnewBesideALateAttempt(t *testing.T) {
+func TestInputsAreRebuiltForHedge(t *testing.T) {
 	const (
 		// lateFrom is when the first attempt is late, and its inputs are given up by then.
-		lateFrom = 3 * initialKeepTime
-		late     = 2 * lateFrom
-		soon     = lateFrom / 10
+		lateFrom   = 3 * initialKeepTime
+		lateAnswer = 2 * lateFrom
+		soon       = lateFrom / 10
 	)
 	scenarios := []struct {
 		testName      string
@@ -345,17 +345,17 @@
 		done    int
 	}{
 		{"the first hangs", hangs, whole(raceTypicalLatency, "whole"), soon, 0, lateFrom + 2*soon, 2},
-		{"the first answers meanwhile", whole(late, "whole"), hangs, raceLeft, 0, late + soon, 2},
-		{"the first answers while the second works", whole(late, "whole"), hangs, soon, 0, late + soon, 2},
-		{"they may not be made anew", whole(late, "whole"), hangs, soon, stageRebuilds, late + soon, 1},
-		{"the first breaks off meanwhile", failsAfter(late), whole(raceTypicalLatency, "whole"), late, 0, 2*late + soon, 2},
+		{"the first answers meanwhile", whole(lateAnswer, "whole"), hangs, raceLeft, 0, lateAnswer + soon, 2},
+		{"the first answers while the second works", whole(lateAnswer, "whole"), hangs, soon, 0, lateAnswer + soon, 2},
+		{"they may not be made anew", whole(lateAnswer, "whole"), hangs, soon, maxRebuilds, lateAnswer + soon, 1},
+		{"the first breaks off meanwhile", failsAfter(lateAnswer), whole(raceTypicalLatency, "whole"), lateAnswer, 0, 2*lateAnswer + soon, 2},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := newRaced(proto.RouteRepeatable, s.first, s.second)
 				r.withStage()
-				r.rebuilt, r.route.LatencyGoal = s.rebuilt, lateFrom
+				r.rebuilds, r.route.LatencyGoal = s.rebuilt, lateFrom
 				peers := r.server.peers.(*recordingPeers)
 				peers.takes = func(n int) time.Duration {
 					if n == 1 {
@@ -379,7 +379,7 @@
 
 // TestAFailureAnswerIsPassedOnWhereNothingBetterComes has a target answer that it failed, and no other target be there to ask, or one that
 // does no better.
-func TestAFailureAnswerIsPassedOnWhereNothingBetterComes(t *testing.T) {
+func TestFailureResponseIsForwardedAsFallback(t *testing.T) {
 	fails := respondsAfter(raceTypicalLatency, http.StatusInternalServerError, io.EOF, part{0, "why"})
 	scenarios := []struct {
 		testName string
@@ -402,7 +402,7 @@
 }
 
 // TestTheLogTellsWhyAnAttemptWasGivenUp reads what is logged of a late attempt.
-func TestTheLogTellsWhyAnAttemptWasGivenUp(t *testing.T) {
+func TestCanceledAttemptIsLogged(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		racers   []racer
--- a/relay/raceprop_test.go
+++ b/relay/raceprop_test.go
@@ -18,7 +18,7 @@
 )
 
 // randomRacer is a target that does something at some time; alone tells whether a request that it gets alone is answered whole in time.
-func randomRacer(random *rand.Rand, kind proto.RouteKind) (r racer, alone bool) {
+func randomRacer(random *rand.Rand, kind proto.RouteKind) (r racer, answers bool) {
 	wait := time.Duration(random.IntN(800)) * time.Millisecond
 	switch random.IntN(7) {
 	case 0:
@@ -51,14 +51,14 @@
 	for _, k := range kindsOfRace {
 		kind := k.kind
 		properties.Property(k.testName, prop.ForAll(func(seed uint64) (held bool) {
-			synctest.Test(t, func(t *testing.T) { held = holdsFor(t, kind, seed) })
+			synctest.Test(t, func(t *testing.T) { held = raceInvariantsHold(t, kind, seed) })
 			return held
 		}, gen.UInt64()))
 	}
 	properties.TestingRun(t)
 }
 
-func holdsFor(t *testing.T, kind proto.RouteKind, seed uint64) bool {
+func raceInvariantsHold(t *testing.T, kind proto.RouteKind, seed uint64) bool {
 	random := rand.New(rand.NewPCG(seed, 3))
 	var racers []racer
 	allAnswer := true
@@ -69,16 +69,16 @@
 	}
 	r := newRaced(kind, racers...)
 	fail := r.run(t.Context())
-	left, body := r.left(), r.recorder.Body.String()
+	timeLeft, body := r.timeLeft(), r.recorder.Body.String()
 	time.Sleep(time.Minute)
 	synctest.Wait()
 	asked := 0
 	for i := range racers {
 		n := r.sender.askedOf(i)
 		asked += n
-		overtaken := strings.Count(r.log.String(), fmt.Sprintf("attempt given up: request=r target=t%d for=t", i))
-		if n > 1+overtaken || n != r.sender.gaveUpOn(i) {
-			t.Logf("seed %d: target %d was asked %d times, overtaken %d times, and %d attempts are over", seed, i, n, overtaken, r.sender.gaveUpOn(i))
+		superseded := strings.Count(r.log.String(), fmt.Sprintf("attempt given up: request=r target=t%d for=t", i))
+		if n > 1+superseded || n != r.sender.gaveUpOn(i) {
+			t.Logf("seed %d: target %d was asked %d times, overtaken %d times, and %d attempts are over", seed, i, n, superseded, r.sender.gaveUpOn(i))
 			return false
 		}
 	}
@@ -88,9 +88,9 @@
 		fail == nil && kind == proto.RouteStream && events != "1234" && r.recorder.Code == http.StatusOK,
 		events != "1234"[:len(events)],
 		fail != nil && allAnswer,
-		fail != nil && len(r.overtaken) > 0 && left >= leastLeft && asked < maxAttempts,
+		fail != nil && len(r.superseded) > 0 && timeLeft >= minAttemptTime && asked < maxAttempts,
 		fail != nil && fail.status == http.StatusServiceUnavailable && r.runs > 0,
-		r.runs > r.mostRuns(), asked > maxAttempts:
+		r.runs > r.maxRuns(), asked > maxAttempts:
 		t.Logf("seed %d: %d targets, end %+v, events %q, body %q, %d runs, %d asked", seed, len(racers), fail, events, body, r.runs, asked)
 		return false
 	}
--- a/relay/racerig_test.go
+++ b/relay/racerig_test.go
@@ -197,15 +197,15 @@
 		Placer: NewPlacer("self", clock, log, fleet, peers), Budget: raceBudget,
 	})
 	for range 200 {
-		s.answers.observe("p", answerPrior, raceTypicalLatency)
-		s.firstEvents.observe(raceRoute, firstEventPrior, raceTypicalLatency)
+		s.responseTimes.observe("p", initialResponseTime, raceTypicalLatency)
+		s.firstEventTimes.observe(raceRoute, initialFirstEventTime, raceTypicalLatency)
 	}
 	now := clock.Now()
 	recorder := httptest.NewRecorder()
 	f := &flow{
 		server: s, w: recorder, req: &Request{ID: "r"}, pool: "p", spec: &proto.RelayPool{Name: "p"}, triedTargets: map[string]bool{},
 		route:     &proto.Route{Name: raceRoute, Kind: kind, MaxTargets: 3, Resumable: true, MaxPause: 100 * time.Millisecond},
-		startedAt: now, due: now.Add(raceLeft), end: now.Add(raceLeft),
+		startedAt: now, due: now.Add(raceLeft), deadline: now.Add(raceLeft),
 	}
 	return &racedRequest{flow: f, fleet: fleet, sender: sender, recorder: recorder, log: lines}
 }
--- a/relay/server_test.go
+++ b/relay/server_test.go
@@ -10,7 +10,7 @@
 	"emberlead/proto"
 )
 
-func TestAStoppingDaemonTakesOnlyWhatCanEnd(t *testing.T) {
+func TestStoppingDaemonAcceptsOnlyRequestsThatCanFinish(t *testing.T) {
 	s := NewServer(ServerConfig{Clock: clockwork.NewFakeClockAt(start)})
 	const long, short = 7 * time.Second, 2 * time.Second // until the last moment
 	scenarios := []struct {
@@ -21,10 +21,10 @@
 		refused bool
 	}{
 		{"not stopping", 0, proto.RouteStream, time.Minute, false},
-		{"a stream at first", long, proto.RouteStream, streamsTaken - time.Millisecond, false},
-		{"a stream later", long, proto.RouteStream, streamsTaken, true},
-		{"another request later", long, proto.RouteOnce, streamsTaken, false},
-		{"another request at the end", long, proto.RouteOnce, long - othersLength, true},
+		{"a stream at first", long, proto.RouteStream, streamAcceptTime - time.Millisecond, false},
+		{"a stream later", long, proto.RouteStream, streamAcceptTime, true},
+		{"another request later", long, proto.RouteOnce, streamAcceptTime, false},
+		{"another request at the end", long, proto.RouteOnce, long - minRequestTime, true},
 		{"a stream that a short time would cut off", short, proto.RouteStream, time.Millisecond, true},
 		{"another request in a short time", short, proto.RouteOnce, time.Millisecond, false},
 	}
@@ -47,7 +47,7 @@
 }
 
 // TestAStoppingDaemonRefusesWhoseStagesAreNotDone has a request wait in the queue of a stage until the daemon ends.
-func TestAStoppingDaemonRefusesWhoseStagesAreNotDone(t *testing.T) {
+func TestStoppingDaemonRefusesUnfinishedStages(t *testing.T) {
 	const grace = 7 * time.Second
 	peers := &scriptedPeers{silent: make(chan struct{}), answer: func(ctx context.Context) (proto.Message, error) {
 		<-ctx.Done()
@@ -63,26 +63,26 @@
 	}
 	ends := make(chan end, 1)
 	go func() {
-		fail, lost := f.runStagesUntilTheEnd(context.Background())
+		fail, lost := f.runStagesUntilStop(context.Background())
 		ends <- end{fail, lost}
 	}()
 	// The stop and the look whether the owner of the stage still lives wait for the clock.
 	if err := clock.BlockUntilContext(t.Context(), 2); err != nil {
 		t.Fatal(err)
 	}
-	clock.Advance(grace - stopAnswer - time.Nanosecond)
+	clock.Advance(grace - stopMargin - time.Nanosecond)
 	select {
 	case e := <-ends:
 		t.Fatalf("refused while there is time: %+v", e.fail)
 	default:
 	}
 	clock.Advance(time.Nanosecond)
-	if e := <-ends; e.fail == nil || e.lost || e.fail.status != 503 || e.fail.wait != waitStopping {
+	if e := <-ends; e.fail == nil || e.lost || e.fail.status != 503 || e.fail.wait != stoppingRetryAfter {
 		t.Errorf("end %+v, want a refusal that tells to come back at once", e)
 	}
 }
 
-func TestAStoppingDaemonKnowsHowLongARouteTakes(t *testing.T) {
+func TestStoppingDaemonUsesRouteDurations(t *testing.T) {
 	s := NewServer(ServerConfig{Clock: clockwork.NewFakeClockAt(start)})
 	s.Stop(start, start.Add(7*time.Second))
 	f := &flow{server: s, route: &proto.Route{Name: "long", Kind: proto.RouteStream}, startedAt: start.Add(time.Second)}
@@ -90,14 +90,14 @@
 		t.Fatalf("refused before anything is known: %s", fail.reason)
 	}
 	for range 50 {
-		s.lengths.observe("long", streamsLength, 6500*time.Millisecond)
+		s.requestTimes.observe("long", minStreamTime, 6500*time.Millisecond)
 	}
 	if f.refuseStopping() == nil {
 		t.Error("taken, though streams of the route take longer than there is time")
 	}
 }
 
-func TestARequestWaitsForADaemonThatIsStarting(t *testing.T) {
+func TestRequestWaitsForDaemonStartup(t *testing.T) {
 	type world struct {
 		clock   *clockwork.FakeClock
 		started chan struct{}
@@ -109,7 +109,7 @@
 	}{
 		{"until it knows what it needs", func(w world) { close(w.started) }},
 		{"until its caller leaves", func(w world) { w.leave() }},
-		{"not for long", func(w world) { w.clock.Advance(startWait) }},
+		{"not for long", func(w world) { w.clock.Advance(startupWait) }},
 	}
 	for _, c := range scenarios {
 		t.Run(c.name, func(t *testing.T) {
@@ -119,7 +119,7 @@
 			s := NewServer(ServerConfig{Clock: w.clock, Started: w.started})
 			done := make(chan struct{})
 			go func() {
-				s.awaitStart(ctx)
+				s.waitForStartup(ctx)
 				close(done)
 			}()
 			if err := w.clock.BlockUntilContext(t.Context(), 1); err != nil {
@@ -136,14 +136,14 @@
 	}
 }
 
-func TestAStreamWithALongPauseIsLate(t *testing.T) {
-	f := &flow{route: &proto.Route{MaxPause: 200 * time.Millisecond}, startedAt: start, due: start.Add(time.Second), first: start.Add(500 * time.Millisecond)}
-	f.pause = f.route.MaxPause
-	if !f.inTime(start.Add(time.Minute)) {
+func TestStreamWithLongPauseIsLate(t *testing.T) {
+	f := &flow{route: &proto.Route{MaxPause: 200 * time.Millisecond}, startedAt: start, due: start.Add(time.Second), firstEventAt: start.Add(500 * time.Millisecond)}
+	f.longestPause = f.route.MaxPause
+	if !f.onTime(start.Add(time.Minute)) {
 		t.Error("late, though its first event and its pauses were in time")
 	}
-	f.pause++
-	if f.inTime(start.Add(time.Minute)) {
+	f.longestPause++
+	if f.onTime(start.Add(time.Minute)) {
 		t.Error("in time in spite of a pause that is too long")
 	}
 }
--- a/relay/stages.go
+++ b/relay/stages.go
@@ -11,47 +11,47 @@
 
 const (
 	// stageRebuilds is how often a request's stages are done anew after a result was lost.
-	stageRebuilds = 2
+	maxRebuilds = 2
 	// firstEventPrior is the time to an engine's first event, waiting included, before the route was observed.
-	firstEventPrior = 300 * time.Millisecond
+	initialFirstEventTime = 300 * time.Millisecond
 	// comeBackCalls is after how many calls' time a caller comes back at the least: a queue that is too long now takes
 	// a few calls to drain. comeBackSpread is over how many calls' time those who were refused together come back.
-	comeBackCalls  = 4
-	comeBackSpread = 3
+	retryAfterCalls  = 4
+	retrySpreadCalls = 3
 	// comeBackPart is the part of their time left for which callers wait at most.
-	comeBackPart = 3
+	retryAfterDivisor = 3
 	// stageFill is the part of a full call's pieces that a stage's expected length counts.
-	stageFill = 0.7
+	expectedFill = 0.7
 )
 
 // stageResult is what is known of one stage of a request.
 type stageResult struct {
-	asked, done, freed bool
-	handles            []string
-	zone               string
-	bytes              int
+	requested, done, freed bool
+	handles                []string
+	zone                   string
+	bytes                  int
 	// shard is that of the stage's pool that made them.
 	shard int
 }
 
-type stageEnd struct {
+type stageOutcome struct {
 	stage  int
 	answer proto.PiecesAnswer
 	took   time.Duration
 }
 
 // stageNote is how the log tells where a stage's time went.
-type stageNote struct {
-	Stage int    `json:"stage"`
-	Pool  string `json:"pool"`
-	Fate  string `json:"fate"`
+type stageLogEntry struct {
+	Stage   int    `json:"stage"`
+	Pool    string `json:"pool"`
+	Outcome string `json:"fate"`
 	// Queued and Made are what the daemon that batches for the pool says; Took is the whole time until its answer.
-	Queued string `json:"queued"`
-	Made   string `json:"made"`
-	Took   string `json:"took"`
+	QueuedFor string `json:"queued"`
+	CallTime  string `json:"made"`
+	Took      string `json:"took"`
 }
 
-func (f *flow) pieces(stage int) int {
+func (f *flow) pieceCount(stage int) int {
 	if stage >= len(f.req.Pieces) {
 		return 0
 	}
@@ -61,42 +61,42 @@
 // runStages has all stages done that the request does not leave out, each as soon as those before it are.
 // lost says that a result was lost, so that they may be done anew.
 func (f *flow) runStages(ctx context.Context) (fail *failure, lost bool) {
-	f.handles, f.zone, f.bulk, f.lacking = nil, "", 0, true
-	home := f.server.fleet.HomeZone(f.server.clock.Now(), f.pool, f.want())
+	f.inputHandles, f.inputZone, f.inputBytes, f.inputsMissing = nil, "", 0, true
+	homeZone := f.server.fleet.HomeZone(f.server.clock.Now(), f.pool, f.criteria())
 	stages := f.route.Stages
 	f.stageResults = make([]stageResult, len(stages))
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ends := make(chan stageEnd, len(stages))
-	open := f.startStages(ctx, ends, home)
+	ends := make(chan stageOutcome, len(stages))
+	open := f.startStages(ctx, ends, homeZone)
 	for open > 0 {
 		e := <-ends
 		open--
-		f.noteStage(e)
-		f.noteFreed(e)
+		f.recordStage(e)
+		f.recordFreed(e)
 		if e.answer.Outcome != proto.PiecesDone {
 			cancel()
-			f.drain(ends, open)
-			return f.stageFailed(e), e.answer.Outcome == proto.PiecesLost
+			f.collectRest(ends, open)
+			return f.stageFailure(e), e.answer.Outcome == proto.PiecesLost
 		}
-		f.server.callTimes.observe(stages[e.stage].Pool, f.stageLength(e.stage), e.answer.CallTime)
+		f.server.callTimes.observe(stages[e.stage].Pool, f.stageCallTime(e.stage), e.answer.CallTime)
 		r := &f.stageResults[e.stage]
 		r.done, r.handles, r.zone, r.shard = true, e.answer.Handles, e.answer.Zone, e.answer.Shard
 		r.bytes = stages[e.stage].ResultBytes * len(r.handles)
-		f.freeUsed()
-		open += f.startStages(ctx, ends, home)
+		f.freeConsumed()
+		open += f.startStages(ctx, ends, homeZone)
 	}
 	f.collectInputs()
-	f.lacking = false
+	f.inputsMissing = false
 	return nil, false
 }
 
 // drain takes in what the other stages still give, so that their results are freed with the rest.
-func (f *flow) drain(ends chan stageEnd, open int) {
+func (f *flow) collectRest(ends chan stageOutcome, open int) {
 	for ; open > 0; open-- {
 		e := <-ends
-		f.noteStage(e)
-		f.noteFreed(e)
+		f.recordStage(e)
+		f.recordFreed(e)
 		if e.answer.Outcome == proto.PiecesDone {
 			r := &f.stageResults[e.stage]
 			r.done, r.handles, r.shard = true, e.answer.Handles, e.answer.Shard
@@ -104,78 +104,78 @@
 	}
 }
 
-func (f *flow) stageFailed(e stageEnd) *failure {
+func (f *flow) stageFailure(e stageOutcome) *failure {
 	pool := f.route.Stages[e.stage].Pool
 	if fail := f.refuseCrashing(); fail != nil {
 		return fail
 	}
-	f.note("a stage failed", "stage", e.stage, "pool", pool, "fate", e.answer.Outcome.String(), "wait", formatDuration(e.answer.RetryAfter), "detail", e.answer.Detail)
-	return f.notRun(f.comeBack(f.stageLength(e.stage), e.answer.RetryAfter), "stage "+pool+": "+e.answer.Detail)
+	f.logInfo("a stage failed", "stage", e.stage, "pool", pool, "fate", e.answer.Outcome.String(), "wait", formatDuration(e.answer.RetryAfter), "detail", e.answer.Detail)
+	return f.notRunFailure(f.queueRetryAfter(f.stageCallTime(e.stage), e.answer.RetryAfter), "stage "+pool+": "+e.answer.Detail)
 }
 
 // comeBack is when a caller that was refused for a queue should come back: once the queue has drained, and not all
 // at the same moment; call is the length of the pool's calls. Callers wait for a third of their time at most.
-func (f *flow) comeBack(call, queue time.Duration) time.Duration {
+func (f *flow) queueRetryAfter(call, queue time.Duration) time.Duration {
 	spread := time.Duration(0)
 	if call > 0 {
-		spread = time.Duration(xxhash.Sum64String(f.req.ID) % uint64(comeBackSpread*call))
+		spread = time.Duration(xxhash.Sum64String(f.req.ID) % uint64(retrySpreadCalls*call))
 	}
-	wait := max(comeBackCalls*call, 2*queue) + spread
-	return max(minRetryWait, min(wait, f.left()/comeBackPart))
+	wait := max(retryAfterCalls*call, 2*queue) + spread
+	return max(minRetryWait, min(wait, f.timeLeft()/retryAfterDivisor))
 }
 
 // startStages starts the stages whose needs are met and returns how many.
-func (f *flow) startStages(ctx context.Context, ends chan stageEnd, home string) int {
+func (f *flow) startStages(ctx context.Context, ends chan stageOutcome, homeZone string) int {
 	started := 0
 	// Once a stream has begun, refusing its stages would break it off.
-	first := !f.anyDone() && !f.committed
+	first := !f.anyStageDone() && !f.committed
 	for i := range f.route.Stages {
-		if f.stageResults[i].asked || f.pieces(i) == 0 || !f.needsMet(i) || f.canWait(i) {
+		if f.stageResults[i].requested || f.pieceCount(i) == 0 || !f.dependenciesDone(i) || f.canDefer(i) {
 			continue
 		}
-		f.stageResults[i].asked = true
+		f.stageResults[i].requested = true
 		started++
-		ask := f.askFor(i, first, home)
-		rest := f.restAfter(i)
-		due, end := f.due.Add(-rest), f.end.Add(-f.toFirstEvent()/2)
+		ask := f.newPiecesAsk(i, first, homeZone)
+		rest := f.remainingTimeAfter(i)
+		due, deadline := f.due.Add(-rest), f.deadline.Add(-f.timeToFirstEvent()/2)
 		if first {
 			// What does not leave time for the later stages is better refused before anything has run.
-			end = f.end.Add(-rest)
+			deadline = f.deadline.Add(-rest)
 		}
-		go func() { ends <- f.askStage(ctx, ask, due, end) }()
+		go func() { ends <- f.runStage(ctx, ask, due, deadline) }()
 	}
 	return started
 }
 
-func (f *flow) askStage(ctx context.Context, ask proto.PiecesAsk, due, end time.Time) stageEnd {
+func (f *flow) runStage(ctx context.Context, ask proto.PiecesAsk, due, deadline time.Time) stageOutcome {
 	clock := f.server.clock
 	began := clock.Now()
-	answer := f.server.pieces.Run(ctx, ask, due, end)
-	return stageEnd{stage: ask.Stage, answer: answer, took: clock.Now().Sub(began)}
+	answer := f.server.pieces.Run(ctx, ask, due, deadline)
+	return stageOutcome{stage: ask.Stage, answer: answer, took: clock.Now().Sub(began)}
 }
 
-func (f *flow) noteStage(e stageEnd) {
-	f.stages = append(f.stages, stageNote{
-		Stage: e.stage, Pool: f.route.Stages[e.stage].Pool, Fate: e.answer.Outcome.String(),
-		Queued: formatDuration(e.answer.QueuedFor), Made: formatDuration(e.answer.CallTime), Took: formatDuration(e.took),
+func (f *flow) recordStage(e stageOutcome) {
+	f.stageLog = append(f.stageLog, stageLogEntry{
+		Stage: e.stage, Pool: f.route.Stages[e.stage].Pool, Outcome: e.answer.Outcome.String(),
+		QueuedFor: formatDuration(e.answer.QueuedFor), CallTime: formatDuration(e.answer.CallTime), Took: formatDuration(e.took),
 	})
 }
 
 // canWait tells whether a stage with large results is better done later: nothing but the request itself needs them,
 // and until it runs they take up room that other requests need.
-func (f *flow) canWait(stage int) bool {
-	if !f.last(stage) || f.route.Stages[stage].ResultBytes*f.pieces(stage) < minBulkInputBytes {
+func (f *flow) canDefer(stage int) bool {
+	if !f.isFinalStage(stage) || f.route.Stages[stage].ResultBytes*f.pieceCount(stage) < minBulkInputBytes {
 		return false
 	}
 	for i := range f.route.Stages {
-		if i != stage && f.pieces(i) > 0 && !f.stageResults[i].asked && !(f.last(i) && f.needsMet(i)) {
+		if i != stage && f.pieceCount(i) > 0 && !f.stageResults[i].requested && !(f.isFinalStage(i) && f.dependenciesDone(i)) {
 			return true
 		}
 	}
 	return false
 }
 
-func (f *flow) anyDone() bool {
+func (f *flow) anyStageDone() bool {
 	for i := range f.stageResults {
 		if f.stageResults[i].done {
 			return true
@@ -184,9 +184,9 @@
 	return false
 }
 
-func (f *flow) needsMet(stage int) bool {
+func (f *flow) dependenciesDone(stage int) bool {
 	for _, before := range f.route.Stages[stage].DependsOn {
-		if f.pieces(before) > 0 && !f.stageResults[before].done {
+		if f.pieceCount(before) > 0 && !f.stageResults[before].done {
 			return false
 		}
 	}
@@ -194,11 +194,11 @@
 }
 
 // askFor describes a stage; home is the zone of the target that the request will likely go to.
-func (f *flow) askFor(stage int, first bool, home string) proto.PiecesAsk {
+func (f *flow) newPiecesAsk(stage int, first bool, homeZone string) proto.PiecesAsk {
 	spec := &f.route.Stages[stage]
 	ask := proto.PiecesAsk{
-		Pool: spec.Pool, RequestID: f.req.ID, Stage: stage, Pieces: f.pieces(stage), Rank: f.rank,
-		ResultBytes: spec.ResultBytes, NoWorkDone: first, AnswerStarted: f.committed, LatencyGoal: f.due.Sub(f.startedAt), Digest: f.digest, AllowedRegions: f.homes,
+		Pool: spec.Pool, RequestID: f.req.ID, Stage: stage, Pieces: f.pieceCount(stage), Rank: f.rank,
+		ResultBytes: spec.ResultBytes, NoWorkDone: first, AnswerStarted: f.committed, LatencyGoal: f.due.Sub(f.startedAt), Digest: f.digest, AllowedRegions: f.allowedRegions,
 	}
 	bulk := 0
 	for _, before := range spec.DependsOn {
@@ -208,14 +208,14 @@
 			bulk, ask.Zone = r.bytes, r.zone
 		}
 	}
-	if len(spec.DependsOn) == 1 && f.soleReader(stage, spec.DependsOn[0]) {
+	if len(spec.DependsOn) == 1 && f.isOnlyReader(stage, spec.DependsOn[0]) {
 		ask.InputPool, ask.InputShard = f.route.Stages[spec.DependsOn[0]].Pool, f.stageResults[spec.DependsOn[0]].shard
 	}
 	if bulk*ask.Pieces < minBulkInputBytes {
 		ask.Zone = ""
 	}
-	if ask.Zone == "" && f.last(stage) && spec.ResultBytes*ask.Pieces >= minBulkInputBytes {
-		ask.Zone = home
+	if ask.Zone == "" && f.isFinalStage(stage) && spec.ResultBytes*ask.Pieces >= minBulkInputBytes {
+		ask.Zone = homeZone
 	}
 	if len(spec.DependsOn) == 0 {
 		ask.Key = f.req.PieceKey
@@ -224,9 +224,9 @@
 }
 
 // soleReader tells whether no other stage of the request reads the results of one.
-func (f *flow) soleReader(stage, before int) bool {
+func (f *flow) isOnlyReader(stage, before int) bool {
 	for i := range f.route.Stages {
-		if i != stage && f.pieces(i) > 0 && contains(f.route.Stages[i].DependsOn, before) {
+		if i != stage && f.pieceCount(i) > 0 && contains(f.route.Stages[i].DependsOn, before) {
 			return false
 		}
 	}
@@ -235,50 +235,50 @@
 
 // restAfter is the expected time from the end of a stage to the first event of the answer, with the queues of the
 // stages that come after it: a request that would get stuck there is better refused before anything has run.
-func (f *flow) restAfter(stage int) time.Duration {
+func (f *flow) remainingTimeAfter(stage int) time.Duration {
 	longest := time.Duration(0)
 	for i := range f.route.Stages {
-		if f.pieces(i) == 0 || !contains(f.route.Stages[i].DependsOn, stage) {
+		if f.pieceCount(i) == 0 || !contains(f.route.Stages[i].DependsOn, stage) {
 			continue
 		}
 		queue := f.server.pieces.QueueTime(f.route.Stages[i].Pool, f.rank)
-		longest = max(longest, queue+f.stageLength(i)+f.restAfter(i))
+		longest = max(longest, queue+f.stageCallTime(i)+f.remainingTimeAfter(i))
 	}
 	if longest == 0 {
-		return f.toFirstEvent()
+		return f.timeToFirstEvent()
 	}
 	return longest
 }
 
 // stageLength is the usual length of a call for a stage: by the configuration a rather full one, until calls were seen.
-func (f *flow) stageLength(stage int) time.Duration {
+func (f *flow) stageCallTime(stage int) time.Duration {
 	pool := f.route.Stages[stage].Pool
 	spec := f.server.tables.Current().Routing().Pools[pool]
 	if spec == nil || spec.Batch == nil {
 		return 0
 	}
-	stated := spec.Batch.CallCost + time.Duration(stageFill*float64(spec.Batch.MaxPieces)*float64(spec.Batch.PieceCost))
-	return f.server.callTimes.most(pool, stated)
+	stated := spec.Batch.CallCost + time.Duration(expectedFill*float64(spec.Batch.MaxPieces)*float64(spec.Batch.PieceCost))
+	return f.server.callTimes.upperBound(pool, stated)
 }
 
 // toFirstEvent is how long the request itself nearly always takes to its first event once its stages are done: what
 // those of its route take beside the reading of the parts that are their own, and the reading of its own part.
-func (f *flow) toFirstEvent() time.Duration {
-	return f.server.firstEvents.most(f.route.Name, firstEventPrior) + f.reading()
+func (f *flow) timeToFirstEvent() time.Duration {
+	return f.server.firstEventTimes.upperBound(f.route.Name, initialFirstEventTime) + f.ownPromptTime()
 }
 
 // sawFirstEvent learns from a first event that came after a time.
-func (f *flow) sawFirstEvent(took time.Duration) {
-	f.server.firstEvents.observe(f.route.Name, firstEventPrior, max(0, took-f.reading()))
+func (f *flow) recordFirstEvent(took time.Duration) {
+	f.server.firstEventTimes.observe(f.route.Name, initialFirstEventTime, max(0, took-f.ownPromptTime()))
 }
 
 // reading is how long an engine of the pool reads the part of the prompt that is the request's own. Prompts of one route
 // differ by ten times, and the longest leave the least time to their stages.
-func (f *flow) reading() time.Duration {
+func (f *flow) ownPromptTime() time.Duration {
 	if f.spec.Engine == nil {
 		return 0
 	}
-	return time.Duration(f.want().OwnTokens) * f.server.fleet.EngineTimes(f.pool).PerPromptToken
+	return time.Duration(f.criteria().OwnTokens) * f.server.fleet.EngineTimes(f.pool).PerPromptToken
 }
 
 func contains(list []int, value int) bool {
@@ -291,9 +291,9 @@
 }
 
 // last tells whether no stage that is done needs the results of this one.
-func (f *flow) last(stage int) bool {
+func (f *flow) isFinalStage(stage int) bool {
 	for i := range f.route.Stages {
-		if f.pieces(i) > 0 && contains(f.route.Stages[i].DependsOn, stage) {
+		if f.pieceCount(i) > 0 && contains(f.route.Stages[i].DependsOn, stage) {
 			return false
 		}
 	}
@@ -304,35 +304,35 @@
 func (f *flow) collectInputs() {
 	most := 0
 	for i := range f.stageResults {
-		if !f.stageResults[i].done || !f.last(i) {
+		if !f.stageResults[i].done || !f.isFinalStage(i) {
 			continue
 		}
-		f.handles = append(f.handles, f.stageResults[i].handles...)
+		f.inputHandles = append(f.inputHandles, f.stageResults[i].handles...)
 		if f.stageResults[i].bytes >= minBulkInputBytes && f.stageResults[i].bytes > most {
-			most, f.zone, f.bulk = f.stageResults[i].bytes, f.stageResults[i].zone, f.stageResults[i].bytes
+			most, f.inputZone, f.inputBytes = f.stageResults[i].bytes, f.stageResults[i].zone, f.stageResults[i].bytes
 		}
 	}
 }
 
 // freeUsed frees the results of stages whose every reader is done.
-func (f *flow) freeUsed() {
+func (f *flow) freeConsumed() {
 	for i := range f.stageResults {
-		if !f.stageResults[i].done || f.stageResults[i].freed || f.last(i) {
+		if !f.stageResults[i].done || f.stageResults[i].freed || f.isFinalStage(i) {
 			continue
 		}
 		used := true
 		for j := range f.route.Stages {
-			if f.pieces(j) > 0 && contains(f.route.Stages[j].DependsOn, i) && !f.stageResults[j].done {
+			if f.pieceCount(j) > 0 && contains(f.route.Stages[j].DependsOn, i) && !f.stageResults[j].done {
 				used = false
 			}
 		}
 		if used {
-			f.free(i)
+			f.freeStage(i)
 		}
 	}
 }
 
-func (f *flow) free(stage int) {
+func (f *flow) freeStage(stage int) {
 	f.freeMu.Lock()
 	defer f.freeMu.Unlock()
 	f.freeResult(f.stageResults, stage)
@@ -359,7 +359,7 @@
 }
 
 // noteFreed takes in that the daemon that batches for a stage has given the stage's inputs up.
-func (f *flow) noteFreed(e stageEnd) {
+func (f *flow) recordFreed(e stageOutcome) {
 	if !e.answer.InputsFreed {
 		return
 	}
@@ -372,13 +372,13 @@
 
 // inputsFreed tells whether inputs of the request itself were given up, so that no further target can fetch them.
 func (f *flow) inputsFreed() bool {
-	if f.lacking {
+	if f.inputsMissing {
 		return true
 	}
 	f.freeMu.Lock()
 	defer f.freeMu.Unlock()
 	for stage := range f.stageResults {
-		if f.stageResults[stage].freed && f.last(stage) {
+		if f.stageResults[stage].freed && f.isFinalStage(stage) {
 			return true
 		}
 	}
--- a/relay/stages_test.go
+++ b/relay/stages_test.go
@@ -67,14 +67,14 @@
 	})
 	now := clock.Now()
 	return &flow{
-		server: s, req: &Request{ID: "r", Pieces: counts, PieceKey: "k"}, spec: &proto.RelayPool{}, pool: "engines", startedAt: now, due: now.Add(5 * time.Second), end: now.Add(time.Minute),
+		server: s, req: &Request{ID: "r", Pieces: counts, PieceKey: "k"}, spec: &proto.RelayPool{}, pool: "engines", startedAt: now, due: now.Add(5 * time.Second), deadline: now.Add(time.Minute),
 		route: &proto.Route{Stages: []proto.RouteStage{
 			{Pool: "p", ResultBytes: 1_500_000}, {Pool: "p", ResultBytes: 8_000}, {Pool: "p", DependsOn: []int{1}, ResultBytes: 60_000}, {Pool: "p", DependsOn: []int{2}, ResultBytes: 6_000},
 		}},
 	}
 }
 
-func TestStagesAreDoneInTheirOrder(t *testing.T) {
+func TestStageOrder(t *testing.T) {
 	scenarios := []struct {
 		name    string
 		counts  []int
@@ -97,14 +97,14 @@
 			if got := peers.stages(); got != s.order && !(s.order == "1230" && got == "1203") {
 				t.Errorf("stages were asked for in the order %s, want %s", got, s.order)
 			}
-			if got := fmt.Sprint(f.handles); got != s.handles {
+			if got := fmt.Sprint(f.inputHandles); got != s.handles {
 				t.Errorf("the request's inputs are %s, want %s", got, s.handles)
 			}
 		})
 	}
 }
 
-func TestEachStageGetsItsOwnInputs(t *testing.T) {
+func TestStageInputs(t *testing.T) {
 	peers := &recordingPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}}
 	f := newStagedFlow(peers, 1, 1, 2, 3)
 	if fail, _ := f.runStages(context.Background()); fail != nil {
@@ -129,7 +129,7 @@
 
 // TestTheFirstStageCountsTheQueuesBehindIt has one request learn of the queues, and another begin earlier for them: it
 // is refused at once where it could only be late.
-func TestTheFirstStageCountsTheQueuesBehindIt(t *testing.T) {
+func TestFirstStageAccountsForLaterQueues(t *testing.T) {
 	peers := &recordingPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}, queue: 2 * time.Second}
 	f := newStagedFlow(peers, 0, 1, 2, 3)
 	for range 2 {
@@ -150,7 +150,7 @@
 
 // TestALongPromptLeavesItsStagesLessTime has engines that are known to read a token in 50 microseconds, and a route whose
 // requests take 100 ms to their first event beside the reading of their prompts.
-func TestALongPromptLeavesItsStagesLessTime(t *testing.T) {
+func TestLongPromptShortensStageDeadline(t *testing.T) {
 	const token, beside = 50 * time.Microsecond, 100 * time.Millisecond
 	due := map[int]time.Duration{}
 	for _, tokens := range []int{1_000, 20_000} {
@@ -160,13 +160,13 @@
 		f.server.fleet.SetCacheTokens("engines", 100_000)
 		f.server.fleet.SetEngineTimes("engines", proto.EngineTimes{PerRequest: time.Millisecond, PerPromptToken: token, PerConcurrentRequest: time.Microsecond})
 		for range 100 {
-			f.sawFirstEvent(beside + time.Duration(tokens)*token)
+			f.recordFirstEvent(beside + time.Duration(tokens)*token)
 		}
-		if got, want := f.toFirstEvent(), beside+time.Duration(tokens)*token; got < want || got > want+20*time.Millisecond {
+		if got, want := f.timeToFirstEvent(), beside+time.Duration(tokens)*token; got < want || got > want+20*time.Millisecond {
 			t.Errorf("%d tokens are expected to take %v, want about %v", tokens, got, want)
 		}
 		f.startedAt = f.server.clock.Now()
-		f.due, f.end = f.startedAt.Add(5*time.Second), f.startedAt.Add(time.Minute)
+		f.due, f.deadline = f.startedAt.Add(5*time.Second), f.startedAt.Add(time.Minute)
 		if fail, _ := f.runStages(context.Background()); fail != nil {
 			t.Fatal(fail.reason)
 		}
@@ -177,7 +177,7 @@
 	}
 }
 
-func TestAQueueCountsLessTheLongerAgoItWasHeardOf(t *testing.T) {
+func TestQueueReportsFade(t *testing.T) {
 	var q queueTimes
 	key := queueKey{shard{pool: "p"}, 1}
 	q.record(start, key, 2*time.Second)
@@ -196,7 +196,7 @@
 	}
 }
 
-func TestTheStagesOfABegunStreamAreNotRefused(t *testing.T) {
+func TestStagesOfStartedStreamAreNotRefused(t *testing.T) {
 	peers := &recordingPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}}
 	f := newStagedFlow(peers, 0, 1, 0, 0)
 	f.committed = true
@@ -211,19 +211,19 @@
 	}
 }
 
-func TestWhenToComeBack(t *testing.T) {
+func TestQueueRetryAfter(t *testing.T) {
 	f := newStagedFlow(&recordingPeers{}, 1)
 	for _, left := range []time.Duration{300 * time.Millisecond, 3 * time.Second, 10 * time.Second, time.Minute} {
-		f.end = f.server.clock.Now().Add(left)
+		f.deadline = f.server.clock.Now().Add(left)
 		for _, queue := range []time.Duration{0, time.Second, time.Minute} {
-			got := f.comeBack(300*time.Millisecond, queue)
-			if got < minRetryWait || got > max(minRetryWait, left/comeBackPart) {
+			got := f.queueRetryAfter(300*time.Millisecond, queue)
+			if got < minRetryWait || got > max(minRetryWait, left/retryAfterDivisor) {
 				t.Errorf("with %s left and a queue of %s: come back in %s", left, queue, got)
 			}
 		}
 	}
-	f.end = f.server.clock.Now().Add(time.Minute)
-	if got := f.comeBack(300*time.Millisecond, 2*time.Second); got < 4*time.Second {
+	f.deadline = f.server.clock.Now().Add(time.Minute)
+	if got := f.queueRetryAfter(300*time.Millisecond, 2*time.Second); got < 4*time.Second {
 		t.Errorf("come back in %s, before the queue has drained", got)
 	}
 }
--- a/relay/table_test.go
+++ b/relay/table_test.go
@@ -13,7 +13,7 @@
 	}
 }
 
-func TestTheLongestPrefixOfTheHostWins(t *testing.T) {
+func TestLongestPrefixOfHostMatches(t *testing.T) {
 	table := NewTable(routing(1,
 		proto.Route{Name: "wide", Host: "a.example", Prefix: "/"},
 		proto.Route{Name: "deep", Host: "a.example", Prefix: "/x/y/"},
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestKeysBelongToWorkspaces(t *testing.T) {
+func TestAPIKeysBelongToWorkspaces(t *testing.T) {
 	table := NewTable(routing(1))
 	if w := table.Owner("key-2"); w == nil || w.Name != "north" {
 		t.Errorf("owner of key-2 is %v", w)
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestAVersionNeverGoesBack(t *testing.T) {
+func TestTableVersionNeverDecreases(t *testing.T) {
 	tables := &Tables{}
 	if tables.Current() != nil || tables.Version() != 0 {
 		t.Fatal("a table is in force before any was adopted")
--- a/relay/typical_test.go
+++ b/relay/typical_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-func TestWhatIsNearlyAlwaysEnough(t *testing.T) {
+func TestDurationEstimateUpperBound(t *testing.T) {
 	noise := rand.New(rand.NewPCG(5, 6))
-	var times typicals[string]
+	var times durationEstimates[string]
 	const prior = 300 * time.Millisecond
-	if got := times.most("a", prior); got != prior {
+	if got := times.upperBound("a", prior); got != prior {
 		t.Errorf("before anything was seen %v", got)
 	}
 	sample := func(mean time.Duration) time.Duration {
@@ -22,20 +22,20 @@
 		}
 		enough := 0
 		for range 200 {
-			if sample(mean) <= times.most("a", prior) {
+			if sample(mean) <= times.upperBound("a", prior) {
 				enough++
 			}
 		}
-		if most := times.most("a", prior); enough < 180 || most > 2*mean {
-			t.Errorf("mean %v: %v is enough for %d of 200", mean, most, enough)
+		if upperBound := times.upperBound("a", prior); enough < 180 || upperBound > 2*mean {
+			t.Errorf("mean %v: %v is enough for %d of 200", mean, upperBound, enough)
 		}
 	}
-	before := times.most("a", prior)
+	before := times.upperBound("a", prior)
 	times.observe("a", prior, time.Hour)
-	if got := times.most("a", prior); got > 2*before {
+	if got := times.upperBound("a", prior); got > 2*before {
 		t.Errorf("one hour moved %v to %v", before, got)
 	}
-	if got := times.most("b", prior); got != prior {
+	if got := times.upperBound("b", prior); got != prior {
 		t.Errorf("another key knows %v", got)
 	}
 }
