--- a/core/bench_test.go
+++ b/core/bench_test.go
@@ -16,7 +16,7 @@
 	b.Helper()
 	tuning := DefaultTuning()
 	random := rand.New(rand.NewPCG(1, 1))
-	p := newPool("generate", tuning, &ExpectedFinish[*target]{Rand: random, Sample: expectedSample})
+	p := newPool("generate", tuning, &ExpectedFinish[*target]{Rand: random, Sample: expectedFinishSample})
 	spec := &proto.Pool{Name: "generate", Kind: proto.PoolEngine}
 	for i := range targets {
 		spec.Targets = append(spec.Targets, proto.Target{
@@ -29,7 +29,7 @@
 	for i := range targets {
 		p.report(now, proto.Load{Target: fmt.Sprintf("t-%d", i), Running: i % 7, Slots: 8, At: now})
 	}
-	return p, &Ticket{Need: Need{Zone: "r/1", Prefix: "some prompt", Service: 0.2}}
+	return p, &Ticket{Need: Need{Zone: "r/1", Prefix: "some prompt", ServiceTime: 0.2}}
 }
 
 func BenchmarkDecision(b *testing.B) {
--- a/core/drain.go
+++ b/core/drain.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// drain grants waiting tickets in rank order while targets are open.
-func (p *pool) drain(now time.Time) []grant {
+// dispatch grants waiting tickets in rank order while targets are open.
+func (p *pool) dispatch(now time.Time) []grant {
 	var grants []grant
 	for {
 		ticket := p.queue.Next(now)
@@ -17,13 +17,13 @@
 			continue
 		}
 		chosen := p.choose(now, ticket)
-		if chosen == openTarget {
+		if chosen == noTarget {
 			return grants
 		}
-		ticket, chosen = p.better(now, ticket, chosen)
+		ticket, chosen = p.preferCacheHit(now, ticket, chosen)
 		p.queue.Remove(ticket)
-		p.targets[chosen].started(now)
-		p.backlog.begin(ticket.Need.Service)
+		p.targets[chosen].recordStart(now)
+		p.backlog.addRunning(ticket.Need.ServiceTime)
 		if ticket.Need.entry != nil {
 			// The target will hold the prefix from now on; an event corrects that if it does not.
 			ticket.Need.entry.holders.set(chosen, true)
@@ -32,23 +32,23 @@
 	}
 }
 
-// urgentPart is the slack, in parts of the work left, below which a ticket does not let another one go first.
-const urgentPart = 1.0
+// urgentSlack is the slack, in parts of the work left, below which a ticket does not let another one go first.
+const urgentSlack = 1.0
 
-// better looks for a waiting ticket whose prefix an open target holds, if the first one's is held by none and it
+// preferCacheHit looks for a waiting ticket whose prefix an open target holds, if the first one's is held by none and it
 // can wait a little: a hit frees the slot earlier for all.
-func (p *pool) better(now time.Time, ticket *Ticket, chosen int) (*Ticket, int) {
+func (p *pool) preferCacheHit(now time.Time, ticket *Ticket, chosen int) (*Ticket, int) {
 	e := ticket.Need.entry
-	if e == nil || e.holders.has(chosen) || ticket.latest().Sub(now) < seconds(urgentPart*ticket.Remaining.Seconds()) {
+	if e == nil || e.holders.has(chosen) || ticket.latestStart().Sub(now) < seconds(urgentSlack*ticket.Remaining.Seconds()) {
 		return ticket, chosen
 	}
-	other := p.queue.Beside(ticket, func(t *Ticket) bool {
+	other := p.queue.Alternative(ticket, func(t *Ticket) bool {
 		return !t.withdrawn && t.Need.Prefix != "" && p.prefixes.entry(t.Need.Prefix, p.targets).holders.has(chosen)
 	})
 	if other == nil {
 		return ticket, chosen
 	}
-	if at := p.choose(now, other); at != openTarget {
+	if at := p.choose(now, other); at != noTarget {
 		return other, at
 	}
 	return ticket, chosen
@@ -63,7 +63,7 @@
 		need.saving = p.prefixes.saving()
 	}
 	chosen := p.chooser.Choose(p.targets, need)
-	if chosen != openTarget {
+	if chosen != noTarget {
 		return chosen
 	}
 	if need.Exclude != "" {
@@ -71,7 +71,7 @@
 		return p.chooser.Choose(p.targets, need)
 	}
 	p.readmitSome(now)
-	return openTarget
+	return noTarget
 }
 
 // readmitSome ends the ejections that are over soonest when more than half of the targets are ejected.
@@ -79,16 +79,16 @@
 	ejected := 0
 	var soonest *target
 	for _, t := range p.targets {
-		if !now.Before(t.ejectedTo) || t.leaving {
+		if !now.Before(t.ejectedUntil) || t.leaving {
 			continue
 		}
 		ejected++
-		if soonest == nil || t.ejectedTo.Before(soonest.ejectedTo) {
+		if soonest == nil || t.ejectedUntil.Before(soonest.ejectedUntil) {
 			soonest = t
 		}
 	}
 	if ejected*panicFraction > len(p.targets) {
-		soonest.ejectedTo = now
-		soonest.readmitted = now
+		soonest.ejectedUntil = now
+		soonest.readmittedAt = now
 	}
 }
--- a/core/engine.go
+++ b/core/engine.go
@@ -17,10 +17,10 @@
 
 // Engine decides for one entry daemon; its methods may be called from several threads.
 type Engine struct {
-	zone      proto.Zone
-	tuning    Tuning
-	newChoose func(*rand.Rand) Chooser[*target]
-	seed      uint64
+	zone       proto.Zone
+	tuning     Tuning
+	newChooser func(*rand.Rand) Chooser[*target]
+	seed       uint64
 
 	snapshot  atomic.Pointer[proto.Snapshot]
 	requests  *state.ShardedMap[proto.RequestID, *request]
@@ -30,8 +30,8 @@
 	poolsMu sync.RWMutex
 	pools   map[string]*pool
 	// poolList holds the same pools in order of name.
-	poolList atomic.Pointer[[]*pool]
-	listed   atomic.Pointer[map[proto.VM]bool]
+	poolList   atomic.Pointer[[]*pool]
+	leavingVMs atomic.Pointer[map[proto.VM]bool]
 
 	pauses   pauses
 	timersMu sync.Mutex
@@ -67,11 +67,11 @@
 	RouterLeastOutstanding RouterName = "leastOutstanding"
 )
 
-const expectedSample = 5
+const expectedFinishSample = 5
 
 // WithRouter sets the routing policy instead of RouterExpected.
 func WithRouter(name RouterName) Option {
-	return func(e *Engine) { e.newChoose = chooserOf(name) }
+	return func(e *Engine) { e.newChooser = chooserOf(name) }
 }
 
 func chooserOf(name RouterName) func(*rand.Rand) Chooser[*target] {
@@ -84,7 +84,7 @@
 		case RouterLeastOutstanding:
 			return &LeastOutstanding[*target]{Rand: r}
 		default:
-			return &ExpectedFinish[*target]{Rand: r, Sample: expectedSample}
+			return &ExpectedFinish[*target]{Rand: r, Sample: expectedFinishSample}
 		}
 	}
 }
@@ -92,12 +92,12 @@
 // New returns an engine without configuration.
 func New(options ...Option) *Engine {
 	e := &Engine{
-		tuning:    DefaultTuning(),
-		newChoose: chooserOf(RouterExpectedFinish),
-		estimates: newEstimates(),
-		stats:     newStats(),
-		pools:     map[string]*pool{},
-		timers:    state.NewHeap(func(a, b timer) bool { return a.at.Before(b.at) }),
+		tuning:     DefaultTuning(),
+		newChooser: chooserOf(RouterExpectedFinish),
+		estimates:  newEstimates(),
+		stats:      newStats(),
+		pools:      map[string]*pool{},
+		timers:     state.NewHeap(func(a, b timer) bool { return a.at.Before(b.at) }),
 	}
 	e.requests = state.NewShardedMap[proto.RequestID, *request](func(id proto.RequestID) uint64 {
 		return binary.LittleEndian.Uint64(id[8:])
@@ -143,9 +143,9 @@
 	p := e.pools[name]
 	if p == nil {
 		random := rand.New(rand.NewPCG(e.seed, uint64(len(e.pools)+1)))
-		p = newPool(name, e.tuning.ForObjective(poolObjective(s, name)), e.newChoose(random))
+		p = newPool(name, e.tuning.ForObjective(poolObjective(s, name)), e.newChooser(random))
 		e.pools[name] = p
-		e.listPools()
+		e.publishPools()
 	}
 	return p
 }
@@ -164,20 +164,20 @@
 }
 
 // SetLeavingVMs takes over the VMs that the platform lists as leaving.
-func (e *Engine) SetLeavingVMs(vms map[proto.VM]bool) { e.listed.Store(&vms) }
+func (e *Engine) SetLeavingVMs(vms map[proto.VM]bool) { e.leavingVMs.Store(&vms) }
 
 func (e *Engine) leavingFunc(s *proto.Snapshot, now time.Time, lead time.Duration) leavingFunc {
 	return func(vm proto.VM) (bool, time.Time) {
 		stopAt, _ := s.StopOf(vm)
-		if listed := e.listed.Load(); listed != nil && (*listed)[vm] {
+		if listed := e.leavingVMs.Load(); listed != nil && (*listed)[vm] {
 			return true, stopAt
 		}
 		return s.Leaving(vm, now, lead), stopAt
 	}
 }
 
-// listPools makes the list anew that allPools returns; the list itself is never changed.
-func (e *Engine) listPools() {
+// publishPools makes the list anew that allPools returns; the list itself is never changed.
+func (e *Engine) publishPools() {
 	list := make([]*pool, 0, len(e.pools))
 	for _, name := range slices.Sorted(maps.Keys(e.pools)) {
 		list = append(list, e.pools[name])
@@ -193,7 +193,7 @@
 	return nil
 }
 
-func (e *Engine) poolOf(name string) *pool {
+func (e *Engine) poolByName(name string) *pool {
 	e.poolsMu.RLock()
 	defer e.poolsMu.RUnlock()
 	return e.pools[name]
@@ -203,7 +203,7 @@
 func (e *Engine) TakeUsage() []UsageReported {
 	var reports []UsageReported
 	for _, p := range e.allPools() {
-		taken := p.usage.take()
+		taken := p.usage.takeUnreported()
 		for _, workspace := range slices.Sorted(maps.Keys(taken)) {
 			reports = append(reports, UsageReported{Pool: p.name, Workspace: workspace, Spent: taken[workspace]})
 		}
@@ -222,18 +222,18 @@
 	return rows
 }
 
-// turn collects what one event leads to.
-type turn struct {
+// eventResult collects what one event leads to.
+type eventResult struct {
 	now     time.Time
 	actions []Action
 	grants  []grant
 }
 
-func (t *turn) act(a Action) { t.actions = append(t.actions, a) }
+func (t *eventResult) emit(a Action) { t.actions = append(t.actions, a) }
 
 // Handle takes in one event and returns the actions that follow, in order.
 func (e *Engine) Handle(now time.Time, event Event) []Action {
-	t := &turn{now: now}
+	t := &eventResult{now: now}
 	switch ev := event.(type) {
 	case Arrival:
 		e.arrive(t, &ev)
@@ -246,19 +246,19 @@
 	case ClaimAnswered:
 		e.withRequest(ev.Request, func(r *request) { e.claimAnswered(t, r, &ev) }, nil)
 	case LoadReported:
-		if p := e.poolOf(ev.Pool); p != nil {
+		if p := e.poolByName(ev.Pool); p != nil {
 			t.grants = append(t.grants, p.report(now, ev.Load)...)
 		}
 	case CacheReported:
-		if p := e.poolOf(ev.Pool); p != nil {
+		if p := e.poolByName(ev.Pool); p != nil {
 			p.cacheEvent(ev.Event)
 		}
 	case UsageReported:
-		if p := e.poolOf(ev.Pool); p != nil {
+		if p := e.poolByName(ev.Pool); p != nil {
 			p.usage.add(ev.Workspace, now, ev.Spent, false)
 		}
 	case StopCheck:
-		e.stopsDue(t, ev.Lead)
+		e.checkStops(t, ev.Lead)
 	case Exported:
 		e.withRequest(ev.Attempt.Request, func(r *request) { e.exported(t, r, &ev) }, nil)
 	case Tick:
@@ -272,27 +272,27 @@
 	return t.actions
 }
 
-func (e *Engine) withRequest(id proto.RequestID, fn func(*request), gone func()) {
+func (e *Engine) withRequest(id proto.RequestID, fn func(*request), notFound func()) {
 	e.requests.With(id, func(items map[proto.RequestID]*request) {
 		r := items[id]
 		if r != nil {
 			fn(r)
-			forgetDone(items, r)
+			removeIfDone(items, r)
 			return
 		}
-		if gone != nil {
-			gone()
+		if notFound != nil {
+			notFound()
 		}
 	})
 }
 
-func (e *Engine) arm(at time.Time, id proto.RequestID, number int) {
+func (e *Engine) addTimer(at time.Time, id proto.RequestID, number int) {
 	e.timersMu.Lock()
 	defer e.timersMu.Unlock()
 	e.timers.Push(timer{at: at, request: id, attempt: number})
 }
 
-func (e *Engine) due(now time.Time) (timer, bool) {
+func (e *Engine) popDue(now time.Time) (timer, bool) {
 	e.timersMu.Lock()
 	defer e.timersMu.Unlock()
 	next, ok := e.timers.Peek()
@@ -302,10 +302,10 @@
 	return e.timers.Pop()
 }
 
-func (e *Engine) tick(t *turn) {
+func (e *Engine) tick(t *eventResult) {
 	e.pauses.tick(t.now)
 	for {
-		next, ok := e.due(t.now)
+		next, ok := e.popDue(t.now)
 		if !ok {
 			break
 		}
--- a/core/engine_test.go
+++ b/core/engine_test.go
@@ -15,7 +15,7 @@
 	"emberlead/proto"
 )
 
-func no() *bool {
+func falsePointer() *bool {
 	b := false
 	return &b
 }
@@ -28,7 +28,7 @@
 		Services: []proto.Service{
 			{Name: "plain", Deadline: proto.Duration(2 * time.Second), Stages: []proto.Stage{{Name: "one", Pool: "encode"}, {Name: "two", Pool: "generate"}}},
 			{Name: "stream", Deadline: proto.Duration(2 * time.Second), Stages: []proto.Stage{{Name: "one", Pool: "encode"}, {Name: "two", Pool: "generate", Stream: true, MaxTokens: 12}}},
-			{Name: "once", Deadline: proto.Duration(time.Second), Repeatable: no(), Stages: []proto.Stage{{Name: "one", Pool: "encode"}, {Name: "two", Pool: "push"}}},
+			{Name: "once", Deadline: proto.Duration(time.Second), Repeatable: falsePointer(), Stages: []proto.Stage{{Name: "one", Pool: "encode"}, {Name: "two", Pool: "push"}}},
 		},
 	}
 	for i, kind := range []proto.PoolKind{proto.PoolEncoder, proto.PoolEngine, proto.PoolService} {
@@ -46,8 +46,8 @@
 
 const testTokens = 12
 
-// seen is what the caller and the targets keep of a request.
-type seen struct {
+// observed is what the caller and the targets keep of a request.
+type observed struct {
 	service  string
 	stream   bool
 	once     bool
@@ -57,27 +57,27 @@
 	starts   map[int]int // possibly started attempts, by stage
 }
 
-// history drives an engine with targets that answer late, twice, out of order, wrongly or not at all.
-type history struct {
-	engine  *Engine
-	random  *rand.Rand
-	now     time.Time
-	pending []func()
-	seen    map[proto.RequestID]*seen
-	faults  []string
+// simulation drives an engine with targets that answer late, twice, out of order, wrongly or not at all.
+type simulation struct {
+	engine   *Engine
+	random   *rand.Rand
+	now      time.Time
+	pending  []func()
+	observed map[proto.RequestID]*observed
+	failures []string
 }
 
-func newHistory(seed uint64) *history {
-	h := &history{engine: New(WithSeed(seed), WithZone("r/0")), random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1_700_000_000, 0), seen: map[proto.RequestID]*seen{}}
+func newSimulation(seed uint64) *simulation {
+	h := &simulation{engine: New(WithSeed(seed), WithZone("r/0")), random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1_700_000_000, 0), observed: map[proto.RequestID]*observed{}}
 	h.engine.Configure(proto.EmptySnapshot().WithFile(1, testFile(3)), h.now, 0)
 	return h
 }
 
-func (h *history) fault(format string, args ...any) {
-	h.faults = append(h.faults, fmt.Sprintf(format, args...))
+func (h *simulation) fail(format string, args ...any) {
+	h.failures = append(h.failures, fmt.Sprintf(format, args...))
 }
 
-func (h *history) arrive() {
+func (h *simulation) arrive() {
 	service := []string{"plain", "stream", "once"}[h.random.IntN(3)]
 	id := NewRequestID(h.now, h.random)
 	stream := h.random.IntN(2) == 0
@@ -85,17 +85,17 @@
 	if service == "once" {
 		deadline = time.Second
 	}
-	h.seen[id] = &seen{service: service, stream: stream, once: service == "once", deadline: h.now.Add(deadline), starts: map[int]int{}}
+	h.observed[id] = &observed{service: service, stream: stream, once: service == "once", deadline: h.now.Add(deadline), starts: map[int]int{}}
 	a := Arrival{ID: id, Workspace: []string{"a", "b"}[h.random.IntN(2)], Service: service, Repeatable: true, Stream: stream, Prefix: "p"}
 	if h.random.IntN(2) == 0 {
 		a.Key = id
 	}
-	h.feed(a)
+	h.handle(a)
 }
 
-func (h *history) later(fn func()) { h.pending = append(h.pending, fn) }
+func (h *simulation) schedule(fn func()) { h.pending = append(h.pending, fn) }
 
-func (h *history) feed(ev Event) {
+func (h *simulation) handle(ev Event) {
 	for _, action := range h.engine.Handle(h.now, ev) {
 		switch a := action.(type) {
 		case Start:
@@ -105,7 +105,7 @@
 			if h.random.IntN(5) == 0 {
 				verdict = []ClaimResult{ClaimTaken, ClaimNoQuorum, ClaimTooOld, ClaimMismatch}[h.random.IntN(4)]
 			}
-			h.later(func() { h.feed(ClaimAnswered{Request: a.Request, Result: verdict}) })
+			h.schedule(func() { h.handle(ClaimAnswered{Request: a.Request, Result: verdict}) })
 		case Chunk:
 			h.chunk(a)
 		case Finish:
@@ -114,29 +114,29 @@
 	}
 }
 
-func (h *history) output(a *Start) []byte {
+func (h *simulation) output(a *Start) []byte {
 	return fmt.Appendf(nil, `"%s of %s"`, a.Stage.Name, a.ID.Request)
 }
 
-func (h *history) started(a Start) {
-	s := h.seen[a.ID.Request]
+func (h *simulation) started(a Start) {
+	s := h.observed[a.ID.Request]
 	s.starts[a.ID.Stage]++
 	if s.once && a.Stage.Name == "two" && s.starts[a.ID.Stage] > 1 {
-		h.fault("a stage that may run only once may have started %d times", s.starts[a.ID.Stage])
+		h.fail("a stage that may run only once may have started %d times", s.starts[a.ID.Stage])
 	}
 	if s.finished > 0 {
-		h.fault("an attempt started after the end")
+		h.fail("an attempt started after the end")
 	}
 	switch h.random.IntN(10) {
 	case 0:
-		h.later(func() {
+		h.schedule(func() {
 			s.starts[a.ID.Stage]--
-			h.feed(AttemptEnded{Attempt: a.ID, Status: StatusNotStarted})
+			h.handle(AttemptEnded{Attempt: a.ID, Status: StatusNotStarted})
 		})
 	case 1:
-		h.later(func() { h.feed(AttemptEnded{Attempt: a.ID, Status: StatusUnknown}) })
+		h.schedule(func() { h.handle(AttemptEnded{Attempt: a.ID, Status: StatusUnknown}) })
 	case 2:
-		h.later(func() { h.feed(AttemptEnded{Attempt: a.ID, Status: StatusFailed, Busy: time.Millisecond}) })
+		h.schedule(func() { h.handle(AttemptEnded{Attempt: a.ID, Status: StatusFailed, Busy: time.Millisecond}) })
 	case 3: // never answers
 	default:
 		h.answer(a)
@@ -144,15 +144,15 @@
 }
 
 // answer sends the whole answer, sometimes twice, with chunks that are doubled, missing or late.
-func (h *history) answer(a Start) {
+func (h *simulation) answer(a Start) {
 	if a.Stream {
 		for from := a.Offset; from < testTokens; from += 4 {
 			chunk := AttemptChunk{Attempt: a.ID, Offset: from, Text: text(a.ID.Request, from, from+4), Tokens: 4}
 			if h.random.IntN(15) > 0 {
-				h.later(func() { h.feed(chunk) })
+				h.schedule(func() { h.handle(chunk) })
 			}
 			if h.random.IntN(15) == 0 {
-				h.later(func() { h.feed(chunk) })
+				h.schedule(func() { h.handle(chunk) })
 			}
 		}
 	}
@@ -160,9 +160,9 @@
 	if a.Stream {
 		ended.Tokens = testTokens
 	}
-	h.later(func() { h.feed(ended) })
+	h.schedule(func() { h.handle(ended) })
 	if h.random.IntN(10) == 0 {
-		h.later(func() { h.feed(ended) })
+		h.schedule(func() { h.handle(ended) })
 	}
 }
 
@@ -170,38 +170,38 @@
 	return fmt.Sprintf("%s[%d,%d)", id, from, to)
 }
 
-func whole(id proto.RequestID) []byte {
+func wholeText(id proto.RequestID) []byte {
 	var all []byte
 	for from := 0; from < testTokens; from += 4 {
 		all = append(all, text(id, from, from+4)...)
 	}
-	return joinText(all)
+	return encodeText(all)
 }
 
-func (h *history) chunk(c Chunk) {
-	s := h.seen[c.Request]
+func (h *simulation) chunk(c Chunk) {
+	s := h.observed[c.Request]
 	if c.Offset != s.chunks || c.Text != text(c.Request, c.Offset, c.Offset+c.Tokens) || s.finished > 0 {
-		h.fault("chunk at %d after %d of %q", c.Offset, s.chunks, c.Text)
+		h.fail("chunk at %d after %d of %q", c.Offset, s.chunks, c.Text)
 	}
 	s.chunks += c.Tokens
 }
 
-func (h *history) finished(f Finish) {
-	s := h.seen[f.Request]
+func (h *simulation) finished(f Finish) {
+	s := h.observed[f.Request]
 	s.finished++
 	if s.finished > 1 {
-		h.fault("a request ended twice")
+		h.fail("a request ended twice")
 	}
 	if h.now.After(s.deadline.Add(50 * time.Millisecond)) {
-		h.fault("a request ended %s after its deadline", h.now.Sub(s.deadline))
+		h.fail("a request ended %s after its deadline", h.now.Sub(s.deadline))
 	}
 	if f.Failure == nil {
 		want := fmt.Appendf(nil, `"two of %s"`, f.Request)
 		if s.service == "stream" {
-			want = whole(f.Request)
+			want = wholeText(f.Request)
 		}
 		if !bytes.Equal(f.Output, want) {
-			h.fault("output %s, want %s", f.Output, want)
+			h.fail("output %s, want %s", f.Output, want)
 		}
 		return
 	}
@@ -210,24 +210,24 @@
 		possible += n
 	}
 	if f.Failure.Outcome == proto.OutcomeNotRun && possible > 0 {
-		h.fault("refused as not run, but %d attempts may have started", possible)
+		h.fail("refused as not run, but %d attempts may have started", possible)
 	}
 	if status := f.Failure.Status(); (status == 429 || status == 503) && f.Failure.Outcome != proto.OutcomeNotRun {
-		h.fault("status %d with outcome %s", status, f.Failure.Outcome)
+		h.fail("status %d with outcome %s", status, f.Failure.Outcome)
 	}
 }
 
 // step delivers one of the next answers; mostly in order, sometimes any.
-func (h *history) step() {
+func (h *simulation) step() {
 	switch n := h.random.IntN(10); {
 	case n < 2:
 		h.arrive()
 	case n < 4:
 		h.now = h.now.Add(time.Duration(h.random.IntN(40)) * time.Millisecond)
-		h.feed(Tick{})
-	case n == 4 && len(h.seen) > 0 && h.random.IntN(20) == 0:
-		for id := range h.seen {
-			h.feed(CallerLeft{Request: id})
+		h.handle(Tick{})
+	case n == 4 && len(h.observed) > 0 && h.random.IntN(20) == 0:
+		for id := range h.observed {
+			h.handle(CallerLeft{Request: id})
 			break
 		}
 	case len(h.pending) > 0:
@@ -241,40 +241,40 @@
 	}
 }
 
-func (h *history) end() {
+func (h *simulation) end() {
 	for range 400 {
 		h.now = h.now.Add(20 * time.Millisecond)
-		h.feed(Tick{})
+		h.handle(Tick{})
 	}
 	for len(h.pending) > 0 {
 		next := h.pending[0]
 		h.pending = h.pending[1:]
 		next()
 	}
-	for id, s := range h.seen {
+	for id, s := range h.observed {
 		if s.finished != 1 {
-			h.fault("request %s ended %d times", id, s.finished)
+			h.fail("request %s ended %d times", id, s.finished)
 		}
 	}
 	if n := h.engine.OpenRequests(); n != 0 {
-		h.fault("%d requests are still open", n)
+		h.fail("%d requests are still open", n)
 	}
 	for _, p := range h.engine.Pools(h.now) {
 		for _, t := range p.Targets {
 			if t.Inflight != 0 {
-				h.fault("target %s still counts %d attempts", t.Target, t.Inflight)
+				h.fail("target %s still counts %d attempts", t.Target, t.Inflight)
 			}
 		}
 	}
 }
 
-func TestAnswersReachTheirOwnRequestOnce(t *testing.T) {
+func TestEachRequestEndsOnceWithItsOwnAnswer(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(7)
 	parameters.MinSuccessfulTests = 300
 	properties := gopter.NewProperties(parameters)
 	delivered := int64(0)
 	properties.Property("own result only, once, in time, and not run means not run", prop.ForAll(func(seed uint64) string {
-		h := newHistory(seed)
+		h := newSimulation(seed)
 		for range 600 {
 			h.step()
 		}
@@ -282,8 +282,8 @@
 		for _, w := range h.engine.Stats().Report().Workspaces {
 			delivered += w.Delivered
 		}
-		if len(h.faults) > 0 {
-			return h.faults[0]
+		if len(h.failures) > 0 {
+			return h.failures[0]
 		}
 		return ""
 	}, gen.UInt64()))
--- a/core/estimate.go
+++ b/core/estimate.go
@@ -7,7 +7,7 @@
 	"emberlead/state"
 )
 
-const defaultService = 50 * time.Millisecond
+const defaultServiceTime = 50 * time.Millisecond
 
 // estimates learns the service time of each stage of each service online.
 type estimates struct {
@@ -42,7 +42,7 @@
 	defer e.mu.RUnlock()
 	m := e.stages[stageKey{service, stage}]
 	if m == nil {
-		return defaultService.Seconds(), defaultService.Seconds(), false
+		return defaultServiceTime.Seconds(), defaultServiceTime.Seconds(), false
 	}
 	return m.Mean(), m.Deviation(), true
 }
--- a/core/flow.go
+++ b/core/flow.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	retryFloor   = 250 * time.Millisecond
-	retryCeiling = 5 * time.Second
-	hedgeFloor   = 20 * time.Millisecond
+	minRetryAfter = 250 * time.Millisecond
+	maxRetryAfter = 5 * time.Second
+	minHedgeDelay = 20 * time.Millisecond
 )
 
-func (e *Engine) arrive(t *turn, a *Arrival) {
+func (e *Engine) arrive(t *eventResult, a *Arrival) {
 	s := e.snapshot.Load()
 	service := s.Services[a.Service]
 	workspace := s.Workspaces[a.Workspace]
 	if service == nil || workspace == nil || !mayCall(service, a.Workspace) {
-		t.act(Finish{Request: a.ID, Generation: s.Generation, Failure: &proto.Failure{
+		t.emit(Finish{Request: a.ID, Generation: s.Generation, Failure: &proto.Failure{
 			Kind: proto.FailureNotFound, Outcome: proto.OutcomeNotRun,
 			Detail: fmt.Sprintf("workspace %q has no service %q", a.Workspace, a.Service),
 		}})
@@ -36,29 +36,29 @@
 		objective:  s.Objectives[a.Service],
 		generation: s.Generation,
 		key:        a.Key,
-		keyed:      a.Key != proto.Key{},
+		hasKey:     a.Key != proto.Key{},
 		repeatable: a.Repeatable && service.MayRepeat(),
 		arrived:    t.now,
 		deadline:   e.pauses.arrived(t.now).Add(deadline),
 		prefix:     a.Prefix,
 		input:      a.Input,
 		wantStream: a.Stream,
-		live:       map[int]*attempt{},
+		attempts:   map[int]*attempt{},
 	}
 	for i := range service.Stages {
-		r.pools = append(r.pools, e.poolOf(service.Stages[i].Pool))
+		r.pools = append(r.pools, e.poolByName(service.Stages[i].Pool))
 	}
-	e.stats.asked(a.Workspace)
+	e.stats.requested(a.Workspace)
 	if refusal := e.admit(t, r, a.QuorumLost); refusal != nil {
 		e.stats.ended(r, t.now, refusal)
-		t.act(Finish{Request: a.ID, Failure: refusal, Generation: r.generation})
+		t.emit(Finish{Request: a.ID, Failure: refusal, Generation: r.generation})
 		return
 	}
 	e.requests.With(r.id, func(items map[proto.RequestID]*request) {
 		items[r.id] = r
-		e.arm(r.deadline, r.id, 0)
+		e.addTimer(r.deadline, r.id, 0)
 		e.begin(t, r)
-		forgetDone(items, r)
+		removeIfDone(items, r)
 	})
 }
 
@@ -75,73 +75,73 @@
 }
 
 // admit refuses at once what could not be in time, because that costs nothing and the caller learns it early.
-func (e *Engine) admit(t *turn, r *request, keyLost bool) *proto.Failure {
+func (e *Engine) admit(t *eventResult, r *request, quorumLost bool) *proto.Failure {
 	if !t.now.Before(r.deadline) {
 		return &proto.Failure{
-			Kind: proto.FailureTooLate, Outcome: proto.OutcomeNotRun, RetryAfter: retryFloor,
+			Kind: proto.FailureTooLate, Outcome: proto.OutcomeNotRun, RetryAfter: minRetryAfter,
 			Detail: "the daemon was paused, and the request may have waited beyond its deadline",
 		}
 	}
-	if keyLost && r.keyed && r.runsOnce() {
+	if quorumLost && r.hasKey && r.runsOnce() {
 		return &proto.Failure{
-			Kind: proto.FailureNoQuorum, Outcome: proto.OutcomeNotRun, RetryAfter: retryCeiling,
+			Kind: proto.FailureNoQuorum, Outcome: proto.OutcomeNotRun, RetryAfter: maxRetryAfter,
 			Detail: "too few replicas are live to tell whether the key was used",
 		}
 	}
 	if !e.tuning.Admission {
 		return nil
 	}
-	queueing := e.queueing(t.now, r, 0)
+	queueDelay := e.queueDelay(t.now, r, 0)
 	work := e.remaining(r, 0)
-	if t.now.Add(queueing + work).Before(r.deadline) {
-		return e.afford(t, r, queueing)
+	if t.now.Add(queueDelay + work).Before(r.deadline) {
+		return e.admitToPools(t, r, queueDelay)
 	}
 	kind := proto.FailureOverloaded
-	if queueing == 0 {
+	if queueDelay == 0 {
 		kind = proto.FailureTooLate
 	}
 	return &proto.Failure{
 		Kind: kind, Outcome: proto.OutcomeNotRun,
-		Detail:     fmt.Sprintf("expected %s of waiting and %s of work do not fit into %s", queueing.Round(time.Millisecond), work.Round(time.Millisecond), r.deadline.Sub(t.now)),
-		RetryAfter: retryAfter(queueing),
+		Detail:     fmt.Sprintf("expected %s of waiting and %s of work do not fit into %s", queueDelay.Round(time.Millisecond), work.Round(time.Millisecond), r.deadline.Sub(t.now)),
+		RetryAfter: retryAfter(queueDelay),
 	}
 }
 
-// afford refuses what needs more of an overloaded pool than others that wait for it.
-func (e *Engine) afford(t *turn, r *request, queueing time.Duration) *proto.Failure {
-	works := e.works(r)
+// admitToPools refuses what needs more of an overloaded pool than others that wait for it.
+func (e *Engine) admitToPools(t *eventResult, r *request, queueDelay time.Duration) *proto.Failure {
+	works := e.expectedWork(r)
 	for i, p := range r.pools {
-		if !p.takes(t.now, r.deadline.Add(-e.remaining(r, i)), r.workspace, works[i]) {
+		if !p.admits(t.now, r.deadline.Add(-e.remaining(r, i)), r.workspace, works[i]) {
 			return &proto.Failure{
 				Kind: proto.FailureOverloaded, Outcome: proto.OutcomeNotRun,
 				Detail:     fmt.Sprintf("pool %s is overloaded and others need less of it", p.name),
-				RetryAfter: retryAfter(queueing + backlogStep),
+				RetryAfter: retryAfter(queueDelay + bucketWidth),
 			}
 		}
 	}
-	e.promise(t.now, r, works)
+	e.commitWork(t.now, r, works)
 	return nil
 }
 
-func retryAfter(queueing time.Duration) time.Duration {
-	return min(retryCeiling, max(retryFloor, queueing))
+func retryAfter(queueDelay time.Duration) time.Duration {
+	return min(maxRetryAfter, max(minRetryAfter, queueDelay))
 }
 
 // begin claims the key first if some stage may run only once, so that a refusal is known before anything runs.
-func (e *Engine) begin(t *turn, r *request) {
-	if r.keyed && r.runsOnce() {
-		r.claim = claimAsked
-		t.act(Claim{Request: r.id, Key: r.key})
+func (e *Engine) begin(t *eventResult, r *request) {
+	if r.hasKey && r.runsOnce() {
+		r.claim = claimPending
+		t.emit(Claim{Request: r.id, Key: r.key})
 		return
 	}
 	e.enqueue(t, r)
 }
 
-func (e *Engine) enqueue(t *turn, r *request) {
-	spec := r.spec()
+func (e *Engine) enqueue(t *eventResult, r *request) {
+	spec := r.stageSpec()
 	mean, _, known := e.estimates.of(r.service.Name, spec.Name)
 	if !known {
-		mean = defaultService.Seconds()
+		mean = defaultServiceTime.Seconds()
 	}
 	r.ticket = &Ticket{
 		Request:   r.id,
@@ -150,18 +150,18 @@
 		Deadline:  r.deadline,
 		Remaining: e.remaining(r, r.stage),
 		Need: Need{
-			Prefix:  r.prefixFor(),
-			Zone:    e.zone,
-			Model:   spec.Model,
-			Service: mean,
-			Exclude: r.exclude, Deadline: r.deadline,
+			Prefix:      r.cachePrefix(),
+			Zone:        e.zone,
+			Model:       spec.Model,
+			ServiceTime: mean,
+			Exclude:     r.exclude, Deadline: r.deadline,
 		},
 	}
 	t.grants = append(t.grants, r.pool().offer(t.now, r.ticket)...)
 }
 
 // Only engines hold a prefix cache.
-func (r *request) prefixFor() string {
+func (r *request) cachePrefix() string {
 	if r.pool().kind != proto.PoolEngine {
 		return ""
 	}
@@ -169,7 +169,7 @@
 }
 
 // granted starts an attempt, unless the request ended while its ticket waited.
-func (e *Engine) granted(t *turn, g grant) {
+func (e *Engine) granted(t *eventResult, g grant) {
 	taken := false
 	e.withRequest(g.ticket.Request, func(r *request) {
 		if r.ticket != g.ticket || g.ticket.withdrawn {
@@ -184,36 +184,36 @@
 		e.start(t, r, g)
 	}, nil)
 	if !taken {
-		t.grants = append(t.grants, g.pool.giveBack(t.now, g.target, g.ticket.Need.Service)...)
+		t.grants = append(t.grants, g.pool.returnGrant(t.now, g.target, g.ticket.Need.ServiceTime)...)
 	}
 }
 
-func (e *Engine) start(t *turn, r *request, g grant) {
-	r.numbers++
-	spec := r.spec()
+func (e *Engine) start(t *eventResult, r *request, g grant) {
+	r.attemptCount++
+	spec := r.stageSpec()
 	a := &attempt{
-		id:       proto.AttemptID{Request: r.id, Stage: r.stage, Number: r.numbers},
-		pool:     g.pool,
-		target:   g.target,
-		began:    t.now,
-		expected: g.ticket.Need.Service,
-		prefix:   g.ticket.Need.Prefix,
-	}
-	r.live[r.numbers] = a
-	defer func() { r.handle = "" }()
-	r.settle(t.now, r.stage)
-	r.possible++
+		id:        proto.AttemptID{Request: r.id, Stage: r.stage, Number: r.attemptCount},
+		pool:      g.pool,
+		target:    g.target,
+		startedAt: t.now,
+		expected:  g.ticket.Need.ServiceTime,
+		prefix:    g.ticket.Need.Prefix,
+	}
+	r.attempts[r.attemptCount] = a
+	defer func() { r.cacheHandle = "" }()
+	r.releaseCommitment(t.now, r.stage)
+	r.possibleStarts++
 	if !r.mayRepeat() {
-		r.unsafe++
+		r.unsafeStarts++
 	}
 	e.stats.attempt(r.service.Name, spec.Name)
 	if at, ok := e.hedgeAt(t.now, r); ok {
-		e.arm(at, r.id, a.id.Number)
+		e.addTimer(at, r.id, a.id.Number)
 	}
-	t.act(Start{
+	t.emit(Start{
 		ID: a.id, Pool: g.pool.name, Target: g.target.spec, Workspace: r.workspace, Service: r.service.Name,
 		Stage: *spec, Input: r.input, Prefix: g.ticket.Need.Prefix, Priority: priority(r.deadline.Sub(t.now)),
-		Deadline: r.deadline, Stream: spec.Stream, Offset: r.offset, Delivered: string(r.text), CacheHandle: r.handle, MayRepeat: r.mayRepeat(),
+		Deadline: r.deadline, Stream: spec.Stream, Offset: r.offset, Delivered: string(r.text), CacheHandle: r.cacheHandle, MayRepeat: r.mayRepeat(),
 	})
 }
 
@@ -225,52 +225,52 @@
 
 // hedgeAt is when an attempt has taken so long that a second one may be worth its cost.
 func (e *Engine) hedgeAt(now time.Time, r *request) (time.Time, bool) {
-	if !r.mayRepeat() || r.spec().Stream {
+	if !r.mayRepeat() || r.stageSpec().Stream {
 		return time.Time{}, false
 	}
-	mean, deviation, known := e.estimates.of(r.service.Name, r.spec().Name)
+	mean, deviation, known := e.estimates.of(r.service.Name, r.stageSpec().Name)
 	if !known {
 		return time.Time{}, false
 	}
-	wait := max(hedgeFloor, seconds(mean+e.tuning.HedgeAfter*deviation))
+	wait := max(minHedgeDelay, seconds(mean+e.tuning.HedgeDeviations*deviation))
 	return now.Add(wait), now.Add(wait).Before(r.deadline)
 }
 
-func (e *Engine) timerFired(t *turn, r *request, number int) {
+func (e *Engine) timerFired(t *eventResult, r *request, number int) {
 	if number == 0 {
-		e.fail(t, r, proto.FailureDeadline, "the deadline has passed", e.queueing(t.now, r, r.stage))
+		e.fail(t, r, proto.FailureDeadline, "the deadline has passed", e.queueDelay(t.now, r, r.stage))
 		return
 	}
-	a := r.live[number]
+	a := r.attempts[number]
 	if a == nil || a.id.Stage != r.stage {
 		return
 	}
-	if e.pauses.overlapped(a.began, t.now) {
+	if e.pauses.overlapped(a.startedAt, t.now) {
 		return
 	}
-	a.pool.slow(a.target, t.now.Sub(a.began).Seconds()/a.expected)
+	a.pool.recordSlow(a.target, t.now.Sub(a.startedAt).Seconds()/a.expected)
 	if r.hedged || r.ticket != nil || !a.pool.takeHedge() {
 		return
 	}
 	r.hedged = true
 	r.exclude = a.target.spec.Name
-	e.stats.hedge(r.service.Name, r.spec().Name)
+	e.stats.hedge(r.service.Name, r.stageSpec().Name)
 	e.enqueue(t, r)
 }
 
 // expired ends a request whose ticket waited until the deadline could no longer be met.
-func (e *Engine) expired(t *turn, r *request, ticket *Ticket) {
+func (e *Engine) expired(t *eventResult, r *request, ticket *Ticket) {
 	if r.ticket != ticket {
 		return
 	}
 	r.ticket = nil
-	if len(r.live) > 0 {
+	if len(r.attempts) > 0 {
 		return
 	}
 	e.fail(t, r, proto.FailureOverloaded, "waited until the deadline could no longer be met", t.now.Sub(ticket.Since))
 }
 
-func (e *Engine) callerLeft(t *turn, r *request, slow bool) {
+func (e *Engine) callerLeft(t *eventResult, r *request, slow bool) {
 	kind := proto.FailureCallerLeft
 	if slow {
 		kind = proto.FailureSlowCaller
@@ -278,8 +278,8 @@
 	e.fail(t, r, kind, "the caller left before the answer", 0)
 }
 
-func (e *Engine) claimAnswered(t *turn, r *request, ev *ClaimAnswered) {
-	if r.claim != claimAsked {
+func (e *Engine) claimAnswered(t *eventResult, r *request, ev *ClaimAnswered) {
+	if r.claim != claimPending {
 		return
 	}
 	switch ev.Result {
@@ -308,7 +308,7 @@
 }
 
 // replay gives a caller that sent its key again the answer that was kept.
-func (e *Engine) replay(t *turn, r *request, answer []byte) {
+func (e *Engine) replay(t *eventResult, r *request, answer []byte) {
 	if answer == nil {
 		e.conflict(t, r, proto.FailureKeyTaken, proto.OutcomeRan, "the key's request ran, and its answer is no longer kept")
 		return
@@ -316,60 +316,60 @@
 	e.finish(t, r, answer, nil)
 }
 
-func (e *Engine) conflict(t *turn, r *request, kind proto.FailureKind, outcome proto.Outcome, detail string) {
+func (e *Engine) conflict(t *eventResult, r *request, kind proto.FailureKind, outcome proto.Outcome, detail string) {
 	e.finish(t, r, nil, &proto.Failure{Kind: kind, Outcome: outcome, Detail: detail, RetryAfter: time.Second})
 }
 
 // fail ends a request with what is certain about it.
-func (e *Engine) fail(t *turn, r *request, kind proto.FailureKind, detail string, queueing time.Duration) {
+func (e *Engine) fail(t *eventResult, r *request, kind proto.FailureKind, detail string, queueDelay time.Duration) {
 	outcome := r.outcome()
 	if r.reason != "" {
 		detail += ": " + r.reason
 	}
 	failure := &proto.Failure{Kind: kind, Outcome: outcome, Detail: detail}
 	if outcome == proto.OutcomeNotRun {
-		failure.RetryAfter = retryAfter(queueing)
+		failure.RetryAfter = retryAfter(queueDelay)
 	}
 	e.finish(t, r, nil, failure)
 }
 
 // finish is the only way that a request ends; its shard forgets it once the event is handled.
-func (e *Engine) finish(t *turn, r *request, output []byte, failure *proto.Failure) {
+func (e *Engine) finish(t *eventResult, r *request, output []byte, failure *proto.Failure) {
 	if r.done {
 		return
 	}
 	r.done = true
 	e.dropWork(t, r)
 	for stage := range r.pools {
-		r.settle(t.now, stage)
+		r.releaseCommitment(t.now, stage)
 	}
 	if r.claim == claimHeld {
 		r.claim = claimSettled
-		t.act(Settle{Request: r.id, Key: r.key, Released: r.unsafe == 0, Answer: output})
+		t.emit(Settle{Request: r.id, Key: r.key, Released: r.unsafeStarts == 0, Answer: output})
 	}
 	e.stats.ended(r, t.now, failure)
-	t.act(Finish{Request: r.id, Output: output, Failure: failure, Generation: r.generation})
+	t.emit(Finish{Request: r.id, Output: output, Failure: failure, Generation: r.generation})
 }
 
 // dropWork withdraws the request's ticket and cancels its attempts.
-func (e *Engine) dropWork(t *turn, r *request) {
+func (e *Engine) dropWork(t *eventResult, r *request) {
 	if r.ticket != nil {
 		r.ticket.withdrawn = true
 		r.ticket = nil
 	}
-	for number, a := range r.live {
-		delete(r.live, number)
+	for number, a := range r.attempts {
+		delete(r.attempts, number)
 		e.abandon(t, r, a)
 	}
 }
 
 // abandon cancels an attempt whose result is no longer wanted; what it delivers later is dropped.
-func (e *Engine) abandon(t *turn, r *request, a *attempt) {
-	spent := t.now.Sub(a.began)
-	if e.pauses.overlapped(a.began, t.now) {
+func (e *Engine) abandon(t *eventResult, r *request, a *attempt) {
+	spent := t.now.Sub(a.startedAt)
+	if e.pauses.overlapped(a.startedAt, t.now) {
 		spent = seconds(a.expected)
 	}
-	t.act(Cancel{Attempt: a.id})
+	t.emit(Cancel{Attempt: a.id})
 	e.stats.wasted(r.service.Name, r.service.Stages[a.id.Stage].Name, spent)
-	t.grants = append(t.grants, a.pool.dropped(t.now, a, r.workspace, spent)...)
+	t.grants = append(t.grants, a.pool.abandoned(t.now, a, r.workspace, spent)...)
 }
--- a/core/pause.go
+++ b/core/pause.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// pauseAfter is how late a tick may be before the daemon takes itself to have been paused.
-	pauseAfter = 250 * time.Millisecond
+	// pauseThreshold is how late a tick may be before the daemon takes itself to have been paused.
+	pauseThreshold = 250 * time.Millisecond
 	// pauseGrace is how long after a pause requests may still be ones that waited through it.
 	pauseGrace = 250 * time.Millisecond
 )
@@ -15,22 +15,22 @@
 // pauses remembers the daemon's last pause. A request that was read after one may have waited for all of it in
 // a socket, so its deadline counts from the beginning of the pause: a push must not go out late.
 type pauses struct {
-	mu    sync.Mutex
-	last  time.Time // of the last tick
-	from  time.Time
-	until time.Time
+	mu       sync.Mutex
+	lastTick time.Time // of the last tick
+	from     time.Time
+	until    time.Time
 }
 
 func (p *pauses) tick(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.note(now)
-	p.last = now
+	p.detect(now)
+	p.lastTick = now
 }
 
-func (p *pauses) note(now time.Time) {
-	if !p.last.IsZero() && now.Sub(p.last) > pauseAfter && now.After(p.until) {
-		p.from, p.until = p.last, now.Add(pauseGrace)
+func (p *pauses) detect(now time.Time) {
+	if !p.lastTick.IsZero() && now.Sub(p.lastTick) > pauseThreshold && now.After(p.until) {
+		p.from, p.until = p.lastTick, now.Add(pauseGrace)
 	}
 }
 
@@ -38,7 +38,7 @@
 func (p *pauses) arrived(now time.Time) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.note(now)
+	p.detect(now)
 	if now.Before(p.until) {
 		return p.from
 	}
@@ -49,6 +49,6 @@
 func (p *pauses) overlapped(began, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.note(now)
+	p.detect(now)
 	return began.Before(p.until)
 }
--- a/core/placement.go
+++ b/core/placement.go
@@ -14,8 +14,8 @@
 type PlacementTuning struct {
 	// HalfLife is that of the demand which placement follows.
 	HalfLife time.Duration
-	// Lead is by how many targets' worth a model must be short before a target is changed.
-	Lead float64
+	// MinShortage is by how many targets' worth a model must be short before a target is changed.
+	MinShortage float64
 	// Hold is how long a model must have been short without a break.
 	Hold time.Duration
 	// Dwell is how long a target keeps its model at least.
@@ -28,17 +28,17 @@
 
 // DefaultPlacementTuning returns constants under which a change of load is followed within a minute and a spike is not.
 func DefaultPlacementTuning() PlacementTuning {
-	return PlacementTuning{HalfLife: 20 * time.Second, Lead: 0.6, Hold: 10 * time.Second, Dwell: time.Minute, Rate: 0.2, Burst: 2}
+	return PlacementTuning{HalfLife: 20 * time.Second, MinShortage: 0.6, Hold: 10 * time.Second, Dwell: time.Minute, Rate: 0.2, Burst: 2}
 }
 
 // Placement moves targets between models as their demand shifts, with hysteresis.
 type Placement struct {
-	tuning  PlacementTuning
-	demand  map[string]map[string]*state.DecayingSum
-	changed map[string]time.Time
-	short   map[string]shortage // by pool
-	tokens  float64
-	filled  time.Time
+	tuning     PlacementTuning
+	demand     map[string]map[string]*state.DecayingSum
+	changedAt  map[string]time.Time
+	shortages  map[string]shortage // by pool
+	tokens     float64
+	refilledAt time.Time
 }
 
 // shortage is which model a pool lacks most, and since when.
@@ -49,10 +49,10 @@
 
 // NewPlacement returns a placement that has seen no demand.
 func NewPlacement(tuning PlacementTuning) *Placement {
-	return &Placement{tuning: tuning, demand: map[string]map[string]*state.DecayingSum{}, changed: map[string]time.Time{}, short: map[string]shortage{}, tokens: tuning.Burst}
+	return &Placement{tuning: tuning, demand: map[string]map[string]*state.DecayingSum{}, changedAt: map[string]time.Time{}, shortages: map[string]shortage{}, tokens: tuning.Burst}
 }
 
-func (p *Placement) take(now time.Time, pool string, demand map[string]time.Duration) map[string]float64 {
+func (p *Placement) updateDemand(now time.Time, pool string, demand map[string]time.Duration) map[string]float64 {
 	known := p.demand[pool]
 	if known == nil {
 		known = map[string]*state.DecayingSum{}
@@ -73,10 +73,10 @@
 
 // Place returns the targets to give another model. Every model of the pool keeps at least one target.
 func (p *Placement) Place(now time.Time, pool *proto.Pool, demand map[string]time.Duration, current map[string][]string) map[string][]string {
-	levels := p.take(now, pool.Name, demand)
-	p.fill(now)
+	levels := p.updateDemand(now, pool.Name, demand)
+	p.refill(now)
 	changes := map[string][]string{}
-	have := p.assigned(pool, current, changes)
+	byModel := p.assign(pool, current, changes)
 	total := 0.0
 	for _, model := range pool.Models {
 		total += levels[model]
@@ -88,65 +88,65 @@
 		return max(1, levels[model]/total*float64(len(current)))
 	}
 	for p.tokens >= 1 {
-		short, surplus := p.extremes(pool.Models, have, share)
-		lacks := short != "" && surplus != "" && share(short)-float64(len(have[short])) >= p.tuning.Lead
-		if !p.lasts(now, pool.Name, short, lacks) {
+		short, surplus := p.extremes(pool.Models, byModel, share)
+		isShort := short != "" && surplus != "" && share(short)-float64(len(byModel[short])) >= p.tuning.MinShortage
+		if !p.persists(now, pool.Name, short, isShort) {
 			return changes
 		}
-		target := p.movable(now, have[surplus])
+		target := p.movable(now, byModel[surplus])
 		if target == "" {
 			return changes
 		}
-		p.move(now, target, short, surplus, have, changes)
+		p.move(now, target, short, surplus, byModel, changes)
 	}
 	return changes
 }
 
-// lasts tells whether the pool has lacked the same model for long enough.
-func (p *Placement) lasts(now time.Time, pool, model string, lacks bool) bool {
-	if !lacks {
-		delete(p.short, pool)
+// persists tells whether the pool has lacked the same model for long enough.
+func (p *Placement) persists(now time.Time, pool, model string, isShort bool) bool {
+	if !isShort {
+		delete(p.shortages, pool)
 		return false
 	}
-	if p.short[pool].model != model {
-		p.short[pool] = shortage{model: model, since: now}
+	if p.shortages[pool].model != model {
+		p.shortages[pool] = shortage{model: model, since: now}
 	}
-	return now.Sub(p.short[pool].since) >= p.tuning.Hold
+	return now.Sub(p.shortages[pool].since) >= p.tuning.Hold
 }
 
-func (p *Placement) fill(now time.Time) {
-	if !p.filled.IsZero() {
-		p.tokens = min(p.tuning.Burst, p.tokens+p.tuning.Rate*now.Sub(p.filled).Seconds())
+func (p *Placement) refill(now time.Time) {
+	if !p.refilledAt.IsZero() {
+		p.tokens = min(p.tuning.Burst, p.tokens+p.tuning.Rate*now.Sub(p.refilledAt).Seconds())
 	}
-	p.filled = now
+	p.refilledAt = now
 }
 
-// assigned sorts the targets by their model; one that holds several or none is given one at once, in turn.
-func (p *Placement) assigned(pool *proto.Pool, current map[string][]string, changes map[string][]string) map[string][]string {
-	have := map[string][]string{}
+// assign sorts the targets by their model; one that holds several or none is given one at once, in turn.
+func (p *Placement) assign(pool *proto.Pool, current map[string][]string, changes map[string][]string) map[string][]string {
+	byModel := map[string][]string{}
 	for _, name := range slices.Sorted(maps.Keys(current)) {
 		models := current[name]
 		if len(models) == 1 && slices.Contains(pool.Models, models[0]) {
-			have[models[0]] = append(have[models[0]], name)
+			byModel[models[0]] = append(byModel[models[0]], name)
 			continue
 		}
-		least := slices.MinFunc(pool.Models, func(a, b string) int { return cmp.Compare(len(have[a]), len(have[b])) })
-		have[least] = append(have[least], name)
+		least := slices.MinFunc(pool.Models, func(a, b string) int { return cmp.Compare(len(byModel[a]), len(byModel[b])) })
+		byModel[least] = append(byModel[least], name)
 		changes[name] = []string{least}
 	}
-	return have
+	return byModel
 }
 
 // extremes returns the model that is short of most targets and the one that has most to spare.
-func (p *Placement) extremes(models []string, have map[string][]string, share func(string) float64) (short, surplus string) {
-	lack, spare := 0.0, 0.0
+func (p *Placement) extremes(models []string, byModel map[string][]string, share func(string) float64) (short, surplus string) {
+	maxShortage, maxSurplus := 0.0, 0.0
 	for _, model := range models {
-		gap := share(model) - float64(len(have[model]))
-		if gap > lack {
-			short, lack = model, gap
+		gap := share(model) - float64(len(byModel[model]))
+		if gap > maxShortage {
+			short, maxShortage = model, gap
 		}
-		if -gap > spare && len(have[model]) > 1 {
-			surplus, spare = model, -gap
+		if -gap > maxSurplus && len(byModel[model]) > 1 {
+			surplus, maxSurplus = model, -gap
 		}
 	}
 	return short, surplus
@@ -154,17 +154,17 @@
 
 func (p *Placement) movable(now time.Time, targets []string) string {
 	for _, target := range targets {
-		if at, ok := p.changed[target]; !ok || now.Sub(at) >= p.tuning.Dwell {
+		if at, ok := p.changedAt[target]; !ok || now.Sub(at) >= p.tuning.Dwell {
 			return target
 		}
 	}
 	return ""
 }
 
-func (p *Placement) move(now time.Time, target, to, from string, have map[string][]string, changes map[string][]string) {
+func (p *Placement) move(now time.Time, target, to, from string, byModel map[string][]string, changes map[string][]string) {
 	p.tokens--
-	p.changed[target] = now
-	have[from] = slices.DeleteFunc(have[from], func(name string) bool { return name == target })
-	have[to] = append(have[to], target)
+	p.changedAt[target] = now
+	byModel[from] = slices.DeleteFunc(byModel[from], func(name string) bool { return name == target })
+	byModel[to] = append(byModel[to], target)
 	changes[target] = []string{to}
 }
--- a/core/placement_test.go
+++ b/core/placement_test.go
@@ -75,7 +75,7 @@
 }
 
 // Targets that hold several models or none are given one each, evenly.
-func TestPlacementOfNewTargets(t *testing.T) {
+func TestPlacementAssignsUnassignedTargets(t *testing.T) {
 	pool := &proto.Pool{Name: "generate", Models: []string{"a", "b"}}
 	have := map[string][]string{"t-1": {"a", "b"}, "t-2": {"a", "b"}, "t-3": nil, "t-4": {"other"}}
 	place(NewPlacement(DefaultPlacementTuning()), pool, have, time.Unix(1_700_000_000, 0), 1, func(int) map[string]time.Duration { return nil })
--- a/core/policy.go
+++ b/core/policy.go
@@ -9,12 +9,12 @@
 
 // Need is what a stage of a request asks of a target.
 type Need struct {
-	Now     time.Time
-	Prefix  string
-	Zone    proto.Zone
-	Model   string
-	Service float64 // expected seconds at an idle target
-	Exclude string
+	Now         time.Time
+	Prefix      string
+	Zone        proto.Zone
+	Model       string
+	ServiceTime float64 // expected seconds at an idle target
+	Exclude     string
 	// Deadline is that of the request: it is not sent to a target that stops before it.
 	Deadline time.Time
 
@@ -24,12 +24,12 @@
 
 // Candidate is what a Chooser ranks.
 type Candidate interface {
-	// Open tells whether the candidate may take one more request.
-	Open(need *Need) bool
+	// Available tells whether the candidate may take one more request.
+	Available(need *Need) bool
 	// Outstanding returns the own requests in progress.
 	Outstanding() int
-	// Finish returns the expected seconds until a request sent now is done.
-	Finish(need *Need) float64
+	// ExpectedFinish returns the expected seconds until a request sent now is done.
+	ExpectedFinish(need *Need) float64
 	// Preferred tells whether the candidate is one of those that a prefix maps to.
 	Preferred(need *Need) bool
 }
@@ -44,7 +44,7 @@
 
 // Choose picks one open candidate at random.
 func (r *Random[C]) Choose(candidates []C, need *Need) int {
-	return firstOpen(candidates, need, r.Rand.IntN(max(1, len(candidates))))
+	return firstAvailable(candidates, need, r.Rand.IntN(max(1, len(candidates))))
 }
 
 // RoundRobin picks the open candidates in turn.
@@ -52,15 +52,15 @@
 
 // Choose picks the next open candidate.
 func (r *RoundRobin[C]) Choose(candidates []C, need *Need) int {
-	i := firstOpen(candidates, need, r.next%max(1, len(candidates)))
+	i := firstAvailable(candidates, need, r.next%max(1, len(candidates)))
 	r.next = i + 1
 	return i
 }
 
-func firstOpen[C Candidate](candidates []C, need *Need, from int) int {
+func firstAvailable[C Candidate](candidates []C, need *Need, from int) int {
 	for k := range candidates {
 		i := (from + k) % len(candidates)
-		if candidates[i].Open(need) {
+		if candidates[i].Available(need) {
 			return i
 		}
 	}
@@ -72,15 +72,15 @@
 
 // Choose picks the open candidate with the fewest own requests; ties fall to a random one.
 func (l *LeastOutstanding[C]) Choose(candidates []C, need *Need) int {
-	best, least := -1, 0
+	best, fewest := -1, 0
 	from := l.Rand.IntN(max(1, len(candidates)))
 	for k := range candidates {
 		i := (from + k) % len(candidates)
-		if !candidates[i].Open(need) {
+		if !candidates[i].Available(need) {
 			continue
 		}
-		if n := candidates[i].Outstanding(); best < 0 || n < least {
-			best, least = i, n
+		if n := candidates[i].Outstanding(); best < 0 || n < fewest {
+			best, fewest = i, n
 		}
 	}
 	return best
@@ -95,7 +95,7 @@
 
 // Choose compares Sample open candidates and every preferred one it meets on the way.
 func (e *ExpectedFinish[C]) Choose(candidates []C, need *Need) int {
-	best, least, seen := -1, 0.0, 0
+	best, earliest, seen := -1, 0.0, 0
 	from := e.Rand.IntN(max(1, len(candidates)))
 	for k := range candidates {
 		i := (from + k) % len(candidates)
@@ -108,12 +108,12 @@
 				continue
 			}
 		}
-		if !candidate.Open(need) {
+		if !candidate.Available(need) {
 			continue
 		}
 		seen++
-		if finish := candidate.Finish(need); best < 0 || finish < least {
-			best, least = i, finish
+		if finish := candidate.ExpectedFinish(need); best < 0 || finish < earliest {
+			best, earliest = i, finish
 		}
 	}
 	return best
@@ -133,18 +133,18 @@
 	RetryRatio float64
 	// HedgeRatio is the part of a hedge that each first attempt earns.
 	HedgeRatio float64
-	// HedgeAfter is how many deviations past the mean an attempt may take before it is hedged.
-	HedgeAfter float64
-	// Alike is the weight of the assumption that other daemons dispatched as this one did since a load report.
-	Alike float64
+	// HedgeDeviations is how many deviations past the mean an attempt may take before it is hedged.
+	HedgeDeviations float64
+	// PeerCorrelation is the weight of the assumption that other daemons dispatched as this one did since a load report.
+	PeerCorrelation float64
 	// Overcommit is the factor on a target's slots up to which it is sent requests.
 	Overcommit float64
 	// EjectAfter is the number of failures in a row that ejects a target.
 	EjectAfter int
-	// EjectFor is the first ejection's length; it doubles each time.
-	EjectFor time.Duration
-	// Readmit is the time over which a target's limit grows back.
-	Readmit time.Duration
+	// EjectionTime is the first ejection's length; it doubles each time.
+	EjectionTime time.Duration
+	// RampUpTime is the time over which a target's limit grows back.
+	RampUpTime time.Duration
 	// UsageHalfLife is the half-life of the spent time that fairness looks at.
 	UsageHalfLife time.Duration
 	// ShareSlack is the factor over its fair share from which a workspace ranks last.
@@ -154,20 +154,20 @@
 // DefaultTuning returns the tuning that daemons run with.
 func DefaultTuning() Tuning {
 	return Tuning{
-		Admission:     true,
-		FairQueueing:  true,
-		Limits:        true,
-		MaxAttempts:   3,
-		RetryRatio:    0.2,
-		HedgeRatio:    0.05,
-		HedgeAfter:    6,
-		Alike:         0.5,
-		Overcommit:    1.25,
-		EjectAfter:    3,
-		EjectFor:      time.Second,
-		Readmit:       10 * time.Second,
-		UsageHalfLife: 5 * time.Second,
-		ShareSlack:    1.3,
+		Admission:       true,
+		FairQueueing:    true,
+		Limits:          true,
+		MaxAttempts:     3,
+		RetryRatio:      0.2,
+		HedgeRatio:      0.05,
+		HedgeDeviations: 6,
+		PeerCorrelation: 0.5,
+		Overcommit:      1.25,
+		EjectAfter:      3,
+		EjectionTime:    time.Second,
+		RampUpTime:      10 * time.Second,
+		UsageHalfLife:   5 * time.Second,
+		ShareSlack:      1.3,
 	}
 }
 
@@ -176,8 +176,8 @@
 	if o.Attainment == 0 && o.Cost == 0 {
 		return t
 	}
-	lean := o.Attainment / (o.Attainment + o.Cost)
-	t.RetryRatio *= 2 * lean
-	t.HedgeRatio *= max(0, 4*lean-2)
+	attainmentShare := o.Attainment / (o.Attainment + o.Cost)
+	t.RetryRatio *= 2 * attainmentShare
+	t.HedgeRatio *= max(0, 4*attainmentShare-2)
 	return t
 }
--- a/core/pool.go
+++ b/core/pool.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	drainHalfLife  = 2 * time.Second
-	openTarget     = -1
-	panicFraction  = 2 // at most one in this many targets stays ejected
-	retryBurst     = 10
-	usageSweepTime = 30 * time.Second
+	completionHalfLife = 2 * time.Second
+	noTarget           = -1
+	panicFraction      = 2 // at most one in this many targets stays ejected
+	retryBurst         = 10
+	usageSweepInterval = 30 * time.Second
 )
 
 // grant gives a waiting ticket a target.
@@ -26,23 +26,23 @@
 
 // pool is one pool's targets, queue and budgets under one lock.
 type pool struct {
-	mu       sync.Mutex
-	name     string
-	kind     proto.PoolKind
-	tuning   Tuning
-	targets  []*target
-	byName   map[string]*target
-	queue    Queue
-	chooser  Chooser[*target]
-	usage    *usage
-	prefixes *prefixes
-	backlog  backlog
-	drained  state.DecayingSum
-	retries  state.Bucket
-	hedges   state.Bucket
-	sequence uint64
-	numbered int
-	swept    time.Time
+	mu           sync.Mutex
+	name         string
+	kind         proto.PoolKind
+	tuning       Tuning
+	targets      []*target
+	byName       map[string]*target
+	queue        Queue
+	chooser      Chooser[*target]
+	usage        *usage
+	prefixes     *prefixes
+	backlog      backlog
+	completions  state.DecayingSum
+	retries      state.Bucket
+	hedges       state.Bucket
+	sequence     uint64
+	indexedCount int
+	lastSweep    time.Time
 }
 
 func newPool(name string, tuning Tuning, chooser Chooser[*target]) *pool {
@@ -80,8 +80,8 @@
 	wanted := make(map[string]bool, len(spec.Targets))
 	for _, t := range spec.Targets {
 		wanted[t.Name] = true
-		own := p.upsert(t)
-		own.leaving, own.stopAt = leaving(t.VM)
+		current := p.upsert(t)
+		current.leaving, current.stopAt = leaving(t.VM)
 	}
 	kept := p.targets[:0]
 	for _, t := range p.targets {
@@ -94,18 +94,18 @@
 	}
 	clear(p.targets[len(kept):])
 	p.targets = kept
-	p.number()
+	p.reindex()
 }
 
-// number gives the targets their indexes; what is known by index is forgotten if one changed.
-func (p *pool) number() {
+// reindex gives the targets their indexes; what is known by index is forgotten if one changed.
+func (p *pool) reindex() {
 	changed := false
 	for i, t := range p.targets {
 		changed = changed || t.index != i
 		t.index = i
 	}
-	if changed || len(p.targets) != p.numbered {
-		p.numbered = len(p.targets)
+	if changed || len(p.targets) != p.indexedCount {
+		p.indexedCount = len(p.targets)
 		p.prefixes.reset()
 	}
 }
@@ -116,23 +116,23 @@
 		if t != nil {
 			t.removed = true
 		}
-		fresh := newTarget(spec, &p.tuning)
-		p.replace(t, fresh)
-		return fresh
+		added := newTarget(spec, &p.tuning)
+		p.replace(t, added)
+		return added
 	}
 	t.spec = spec
 	return t
 }
 
-func (p *pool) replace(old, fresh *target) {
-	p.byName[fresh.spec.Name] = fresh
+func (p *pool) replace(old, added *target) {
+	p.byName[added.spec.Name] = added
 	for i, t := range p.targets {
 		if t == old && old != nil {
-			p.targets[i] = fresh
+			p.targets[i] = added
 			return
 		}
 	}
-	p.targets = append(p.targets, fresh)
+	p.targets = append(p.targets, added)
 }
 
 // leavingFunc tells whether a VM gets no new work, and when it is planned to stop.
@@ -165,11 +165,11 @@
 	ticket.sequence = p.sequence
 	ticket.Since = now
 	p.queue.Push(ticket)
-	return p.drain(now)
+	return p.dispatch(now)
 }
 
-// wait estimates how long a new ticket of a workspace with the given latest start would queue.
-func (p *pool) wait(now time.Time, workspace string, latest time.Time) time.Duration {
+// estimateWait estimates how long a new ticket of a workspace with the given latest start would queue.
+func (p *pool) estimateWait(now time.Time, workspace string, latest time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.drainTime(now, p.queue.Ahead(workspace, latest))
@@ -180,7 +180,7 @@
 	if waiting == 0 {
 		return 0
 	}
-	rate := p.drained.Value(now, drainHalfLife) * math.Ln2 / drainHalfLife.Seconds()
+	rate := p.completions.Value(now, completionHalfLife) * math.Ln2 / completionHalfLife.Seconds()
 	if rate <= 0 {
 		return 0
 	}
@@ -191,87 +191,87 @@
 func (p *pool) slots(now time.Time) float64 {
 	sum := 0
 	for _, t := range p.targets {
-		if !t.leaving && !t.removed && !now.Before(t.ejectedTo) {
+		if !t.leaving && !t.removed && !now.Before(t.ejectedUntil) {
 			sum += t.capacity()
 		}
 	}
 	return float64(sum)
 }
 
-// takes tells whether a request of so much work is taken while others wait for the pool.
-func (p *pool) takes(now, latest time.Time, workspace string, work float64) bool {
+// admits tells whether a request of so much work is taken while others wait for the pool.
+func (p *pool) admits(now, latest time.Time, workspace string, work float64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	relative := 1.0
 	if p.tuning.FairQueueing {
 		relative = p.usage.relative(workspace, now)
 	}
-	return p.backlog.takes(now, latest, p.slots(now), work, relative)
+	return p.backlog.admits(now, latest, p.slots(now), work, relative)
 }
 
-func (p *pool) promise(now, latest time.Time, work float64) promised {
+func (p *pool) commit(now, latest time.Time, work float64) commitment {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.backlog.promise(now, latest, work)
+	return p.backlog.commit(now, latest, work)
 }
 
-func (p *pool) settle(now time.Time, done promised) {
+func (p *pool) release(now time.Time, c commitment) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.backlog.settle(now, done)
+	p.backlog.release(now, c)
 }
 
 // ended takes in the end of an attempt and returns the grants that follow.
-func (p *pool) ended(now time.Time, a *attempt, workspace string, fate AttemptStatus, took time.Duration, spent time.Duration, hit bool) []grant {
+func (p *pool) ended(now time.Time, a *attempt, workspace string, status AttemptStatus, took time.Duration, spent time.Duration, hit bool) []grant {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	ratio := took.Seconds() / a.expected
-	p.backlog.end(a.expected)
-	a.target.ended(now, fate, ratio)
-	if fate == StatusDone {
+	p.backlog.removeRunning(a.expected)
+	a.target.attemptEnded(now, status, ratio)
+	if status == StatusDone {
 		if a.prefix != "" {
-			p.prefixes.learn(hit, ratio)
+			p.prefixes.record(hit, ratio)
 		}
-		p.drained.Add(now, drainHalfLife, 1)
+		p.completions.Add(now, completionHalfLife, 1)
 		p.retries.Deposit(p.tuning.RetryRatio)
 		p.hedges.Deposit(p.tuning.HedgeRatio)
 	}
 	if spent > 0 {
 		p.usage.add(workspace, now, spent, true)
 	}
-	return p.drain(now)
+	return p.dispatch(now)
 }
 
 // hangRatio is the multiple of the expected time from which an abandoned attempt counts against its target.
 const hangRatio = 4
 
-// dropped takes in that an attempt was abandoned.
-func (p *pool) dropped(now time.Time, a *attempt, workspace string, spent time.Duration) []grant {
+// abandoned takes in that an attempt was abandoned.
+func (p *pool) abandoned(now time.Time, a *attempt, workspace string, spent time.Duration) []grant {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a.target.inflight = max(0, a.target.inflight-1)
 	a.target.record(now)
-	p.backlog.end(a.expected)
+	p.backlog.removeRunning(a.expected)
 	if ratio := spent.Seconds() / a.expected; ratio > hangRatio {
 		a.target.slowness.Add(ratio)
-		a.target.failed(now)
+		a.target.recordFailure(now)
 	}
 	p.usage.add(workspace, now, spent, true)
-	return p.drain(now)
+	return p.dispatch(now)
 }
 
-// giveBack frees the slot of a grant that nobody wanted any more.
-func (p *pool) giveBack(now time.Time, unused *target, work float64) []grant {
+// returnGrant frees the slot of a grant that nobody wanted any more.
+func (p *pool) returnGrant(now time.Time, unused *target, work float64) []grant {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.backlog.end(work)
+	p.backlog.removeRunning(work)
 	unused.inflight = max(0, unused.inflight-1)
 	unused.record(now)
-	return p.drain(now)
+	return p.dispatch(now)
 }
 
-// slow takes in that an attempt has already taken a multiple of its expected time.
-func (p *pool) slow(t *target, ratio float64) {
+// recordSlow takes in that an attempt has already taken a multiple of its expected time.
+func (p *pool) recordSlow(t *target, ratio float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t.slowness.Add(ratio)
@@ -281,18 +281,18 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if t := p.byName[load.Target]; t != nil {
-		t.report(load)
+		t.recordLoad(load)
 	}
-	return p.drain(now)
+	return p.dispatch(now)
 }
 
 // poll expires what cannot be in time and grants what became open without an event, such as an ejection that ended.
 func (p *pool) poll(now time.Time) (expired []*Ticket, grants []grant) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now.Sub(p.swept) > usageSweepTime {
-		p.swept = now
-		p.usage.forget(now)
+	if now.Sub(p.lastSweep) > usageSweepInterval {
+		p.lastSweep = now
+		p.usage.prune(now)
 	}
 	p.updateShare(now)
 	if p.queue.Len() == 0 {
@@ -301,7 +301,7 @@
 	expired = p.queue.Expire(func(t *Ticket) bool {
 		return t.withdrawn || p.tuning.Admission && t.hopeless(now)
 	})
-	return expired, p.drain(now)
+	return expired, p.dispatch(now)
 }
 
 func (p *pool) updateShare(now time.Time) {
@@ -330,6 +330,6 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if t := p.byName[event.Target]; t != nil {
-		p.prefixes.event(event, p.targets, t.index)
+		p.prefixes.apply(event, p.targets, t.index)
 	}
 }
--- a/core/prefix.go
+++ b/core/prefix.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	maxPrefixes = 4096
-	homeCount   = 2
+	maxPrefixes    = 4096
+	preferredCount = 2
 	// defaultSaving is the part of the service time that a prefix hit saves, until that is learnt.
 	defaultSaving = 0.3
-	mostSaving    = 0.9
-	// homeBonus is the part of the saving that a home without the prefix is credited, so that one prefix gathers there.
-	homeBonus  = 0.15
-	fewSamples = 8
+	maxSaving     = 0.9
+	// preferredBonus is the part of the saving that a home without the prefix is credited, so that one prefix gathers there.
+	preferredBonus = 0.15
+	minSamples     = 8
 )
 
 // bitset marks targets of a pool by index.
@@ -39,16 +39,16 @@
 // prefixEntry is what is known of one prompt prefix: the targets that are thought to hold it, and its homes,
 // which every daemon works out alike without a message.
 type prefixEntry struct {
-	holders bitset
-	homes   bitset
+	holders   bitset
+	preferred bitset
 }
 
 // prefixes is what a pool knows of its targets' prefix caches. Events are late and have gaps, so it is a guess.
 type prefixes struct {
-	entries map[string]*prefixEntry
-	order   []string
-	hit     state.Mean
-	miss    state.Mean
+	entries        map[string]*prefixEntry
+	insertionOrder []string
+	hitRatio       state.Mean
+	missRatio      state.Mean
 }
 
 func newPrefixes() *prefixes { return &prefixes{entries: map[string]*prefixEntry{}} }
@@ -56,7 +56,7 @@
 // reset forgets all, because the targets' indexes have changed.
 func (p *prefixes) reset() {
 	clear(p.entries)
-	p.order = nil
+	p.insertionOrder = nil
 }
 
 func (p *prefixes) entry(prefix string, targets []*target) *prefixEntry {
@@ -64,22 +64,22 @@
 	if e != nil {
 		return e
 	}
-	if len(p.order) >= maxPrefixes {
-		delete(p.entries, p.order[0])
-		p.order = p.order[1:]
+	if len(p.insertionOrder) >= maxPrefixes {
+		delete(p.entries, p.insertionOrder[0])
+		p.insertionOrder = p.insertionOrder[1:]
 	}
 	words := (len(targets) + 63) / 64
-	e = &prefixEntry{holders: make(bitset, words), homes: make(bitset, words)}
-	for _, i := range homesOf(prefix, targets) {
-		e.homes.set(i, true)
+	e = &prefixEntry{holders: make(bitset, words), preferred: make(bitset, words)}
+	for _, i := range preferredTargets(prefix, targets) {
+		e.preferred.set(i, true)
 	}
 	p.entries[prefix] = e
-	p.order = append(p.order, prefix)
+	p.insertionOrder = append(p.insertionOrder, prefix)
 	return e
 }
 
-// homesOf returns the targets that rank first for a prefix by rendezvous hashing.
-func homesOf(prefix string, targets []*target) []int {
+// preferredTargets returns the targets that rank first for a prefix by rendezvous hashing.
+func preferredTargets(prefix string, targets []*target) []int {
 	type ranked struct {
 		hash  uint64
 		index int
@@ -88,7 +88,7 @@
 	var best []ranked
 	for _, t := range targets {
 		r := ranked{state.RendezvousScore(seed, t.hash), t.index}
-		if len(best) < homeCount {
+		if len(best) < preferredCount {
 			best = append(best, r)
 			continue
 		}
@@ -102,31 +102,31 @@
 			best[worst] = r
 		}
 	}
-	homes := make([]int, len(best))
+	indexes := make([]int, len(best))
 	for i, r := range best {
-		homes[i] = r.index
+		indexes[i] = r.index
 	}
-	return homes
+	return indexes
 }
 
-// learn takes in how long an attempt with a prefix took against what was expected, by whether it hit.
-func (p *prefixes) learn(hit bool, ratio float64) {
+// record takes in how long an attempt with a prefix took against what was expected, by whether it hit.
+func (p *prefixes) record(hit bool, ratio float64) {
 	if hit {
-		p.hit.Add(ratio)
+		p.hitRatio.Add(ratio)
 		return
 	}
-	p.miss.Add(ratio)
+	p.missRatio.Add(ratio)
 }
 
 // saving is the part of the service time that a hit saves.
 func (p *prefixes) saving() float64 {
-	if p.hit.Count() < fewSamples || p.miss.Count() < fewSamples || p.miss.Mean() <= 0 {
+	if p.hitRatio.Count() < minSamples || p.missRatio.Count() < minSamples || p.missRatio.Mean() <= 0 {
 		return defaultSaving
 	}
-	return min(mostSaving, max(0, 1-p.hit.Mean()/p.miss.Mean()))
+	return min(maxSaving, max(0, 1-p.hitRatio.Mean()/p.missRatio.Mean()))
 }
 
-func (p *prefixes) event(ev proto.CacheEvent, targets []*target, index int) {
+func (p *prefixes) apply(ev proto.CacheEvent, targets []*target, index int) {
 	if !ev.Present && p.entries[ev.Prefix] == nil {
 		return
 	}
--- a/core/queue.go
+++ b/core/queue.go
@@ -22,15 +22,15 @@
 	withdrawn bool
 }
 
-// latest is when the ticket has to get a target to be in time.
-func (t *Ticket) latest() time.Time { return t.Deadline.Add(-t.Remaining) }
+// latestStart is when the ticket has to get a target to be in time.
+func (t *Ticket) latestStart() time.Time { return t.Deadline.Add(-t.Remaining) }
 
-// hopelessPart is the part of the expected work that must still fit before the deadline; some requests beat the mean.
-const hopelessPart = 0.6
+// minWorkFraction is the part of the expected work that must still fit before the deadline; some requests beat the mean.
+const minWorkFraction = 0.6
 
 // hopeless tells whether the ticket can no longer be in time.
 func (t *Ticket) hopeless(now time.Time) bool {
-	return t.Deadline.Sub(now) < time.Duration(hopelessPart*float64(t.Remaining))
+	return t.Deadline.Sub(now) < time.Duration(minWorkFraction*float64(t.Remaining))
 }
 
 // Queue orders the tickets that wait for a pool.
@@ -38,8 +38,8 @@
 	Push(ticket *Ticket)
 	// Next returns the ticket that ranks first, and leaves it in the queue.
 	Next(now time.Time) *Ticket
-	// Beside returns a ticket that may go before the given one and that pick picks, or nil.
-	Beside(ticket *Ticket, pick func(*Ticket) bool) *Ticket
+	// Alternative returns a ticket that may go before the given one and that pick picks, or nil.
+	Alternative(ticket *Ticket, pick func(*Ticket) bool) *Ticket
 	// Remove takes out a ticket that Next or Beside returned.
 	Remove(ticket *Ticket)
 	Len() int
@@ -63,17 +63,17 @@
 	return t
 }
 
-func (q *arrivalQueue) Beside(_ *Ticket, pick func(*Ticket) bool) *Ticket {
-	return beside(q.heap, pick)
+func (q *arrivalQueue) Alternative(_ *Ticket, match func(*Ticket) bool) *Ticket {
+	return alternative(q.heap, match)
 }
 
 func (q *arrivalQueue) Remove(t *Ticket) { remove(q.heap, t) }
 
-// besideMost is how many tickets are looked through for one that fits an open target better.
-const besideMost = 16
+// maxLookahead is how many tickets are looked through for one that fits an open target better.
+const maxLookahead = 16
 
-func beside(heap *state.Heap[*Ticket], pick func(*Ticket) bool) *Ticket {
-	i := heap.Find(besideMost, pick)
+func alternative(heap *state.Heap[*Ticket], match func(*Ticket) bool) *Ticket {
+	i := heap.Find(maxLookahead, match)
 	if i < 0 {
 		return nil
 	}
@@ -121,7 +121,7 @@
 func (q *fairQueue) Push(t *Ticket) {
 	lane := q.lanes[t.Workspace]
 	if lane == nil {
-		lane = state.NewHeap(earlierSlack)
+		lane = state.NewHeap(lessSlack)
 		q.lanes[t.Workspace] = lane
 		at, _ := slices.BinarySearch(q.order, t.Workspace)
 		q.order = slices.Insert(q.order, at, t.Workspace)
@@ -130,8 +130,8 @@
 	q.count++
 }
 
-func earlierSlack(a, b *Ticket) bool {
-	x, y := a.latest(), b.latest()
+func lessSlack(a, b *Ticket) bool {
+	x, y := a.latestStart(), b.latestStart()
 	if x.Equal(y) {
 		return a.sequence < b.sequence
 	}
@@ -141,20 +141,20 @@
 func (q *fairQueue) Next(now time.Time) *Ticket {
 	mean := q.meanUse(now)
 	var best *Ticket
-	bestOver := 0.0
+	bestExcess := 0.0
 	for _, workspace := range q.order {
 		ticket, _ := q.lanes[workspace].Peek()
-		over := q.over(workspace, ticket.Weight, mean, now)
-		if best == nil || over < bestOver || over == bestOver && earlierSlack(ticket, best) {
-			best, bestOver = ticket, over
+		excess := q.excess(workspace, ticket.Weight, mean, now)
+		if best == nil || excess < bestExcess || excess == bestExcess && lessSlack(ticket, best) {
+			best, bestExcess = ticket, excess
 		}
 	}
 	return best
 }
 
-// over is 0 within the fair share, and the use relative to the mean above it.
-func (q *fairQueue) over(workspace string, weight, mean float64, now time.Time) float64 {
-	use := q.usage.of(workspace, now) / weight
+// excess is 0 within the fair share, and the use relative to the mean above it.
+func (q *fairQueue) excess(workspace string, weight, mean float64, now time.Time) float64 {
+	use := q.usage.recent(workspace, now) / weight
 	if mean == 0 || use <= mean*q.slack {
 		return 0
 	}
@@ -166,7 +166,7 @@
 	spent, weights := 0.0, 0.0
 	for _, workspace := range q.order {
 		ticket, _ := q.lanes[workspace].Peek()
-		spent += q.usage.of(workspace, now)
+		spent += q.usage.recent(workspace, now)
 		weights += ticket.Weight
 	}
 	if weights == 0 {
@@ -175,27 +175,27 @@
 	return spent / weights
 }
 
-// Beside looks in the lane of the same workspace first, and then in those that were spent less for.
-func (q *fairQueue) Beside(t *Ticket, pick func(*Ticket) bool) *Ticket {
-	if other := beside(q.lanes[t.Workspace], pick); other != nil {
+// Alternative looks in the lane of the same workspace first, and then in those that were spent less for.
+func (q *fairQueue) Alternative(t *Ticket, match func(*Ticket) bool) *Ticket {
+	if other := alternative(q.lanes[t.Workspace], match); other != nil {
 		return other
 	}
 	now := t.Need.Now
-	own := q.usage.of(t.Workspace, now) / t.Weight
+	own := q.usage.recent(t.Workspace, now) / t.Weight
 	for _, workspace := range q.order {
 		lane := q.lanes[workspace]
 		first, _ := lane.Peek()
-		if workspace == t.Workspace || q.usage.of(workspace, now)/first.Weight > max(own, q.meanUse(now))*q.slack {
+		if workspace == t.Workspace || q.usage.recent(workspace, now)/first.Weight > max(own, q.meanUse(now))*q.slack {
 			continue
 		}
-		if other := beside(lane, pick); other != nil {
+		if other := alternative(lane, match); other != nil {
 			return other
 		}
 	}
 	return nil
 }
 
-func (q *fairQueue) drop(workspace string) {
+func (q *fairQueue) removeLane(workspace string) {
 	delete(q.lanes, workspace)
 	if at, ok := slices.BinarySearch(q.order, workspace); ok {
 		q.order = slices.Delete(q.order, at, at+1)
@@ -207,7 +207,7 @@
 	remove(lane, t)
 	q.count--
 	if lane.Len() == 0 {
-		q.drop(t.Workspace)
+		q.removeLane(t.Workspace)
 	}
 }
 
@@ -219,7 +219,7 @@
 	own := 0
 	if lane := q.lanes[workspace]; lane != nil {
 		lane.Each(func(t *Ticket) {
-			if t.latest().Before(latest) {
+			if t.latestStart().Before(latest) {
 				own++
 			}
 		})
@@ -239,7 +239,7 @@
 		lane := q.lanes[workspace]
 		dropped = append(dropped, expire(lane, drop)...)
 		if lane.Len() == 0 {
-			q.drop(workspace)
+			q.removeLane(workspace)
 		}
 	}
 	q.count -= len(dropped)
--- a/core/request.go
+++ b/core/request.go
@@ -10,20 +10,20 @@
 
 const (
 	claimNone claimState = iota
-	claimAsked
+	claimPending
 	claimHeld
 	claimSettled
 )
 
 // attempt is one attempt in progress at a target.
 type attempt struct {
-	id       proto.AttemptID
-	pool     *pool
-	target   *target
-	began    time.Time
-	expected float64 // seconds, on average
-	prefix   string
-	moving   bool
+	id        proto.AttemptID
+	pool      *pool
+	target    *target
+	startedAt time.Time
+	expected  float64 // seconds, on average
+	prefix    string
+	moving    bool
 }
 
 // request is the state of one request; the lock of its shard guards it.
@@ -35,7 +35,7 @@
 	objective  proto.Objective
 	generation proto.Generation
 	key        proto.Key
-	keyed      bool
+	hasKey     bool
 	repeatable bool
 	arrived    time.Time
 	deadline   time.Time
@@ -43,37 +43,37 @@
 	input      []byte
 	wantStream bool
 
-	stage   int
-	tries   int
-	numbers int
-	live    map[int]*attempt
-	ticket  *Ticket
-	pools   []*pool
-	claim   claimState
-	// possible counts the attempts that may have started at a target.
-	possible int
-	// unsafe counts those of them at a stage that may run only once.
-	unsafe int
-	done   bool
-	// promised is the work that each stage's pool still counts for this request.
-	promised []promised
+	stage        int
+	tries        int
+	attemptCount int
+	attempts     map[int]*attempt
+	ticket       *Ticket
+	pools        []*pool
+	claim        claimState
+	// possibleStarts counts the attempts that may have started at a target.
+	possibleStarts int
+	// unsafeStarts counts those of them at a stage that may run only once.
+	unsafeStarts int
+	done         bool
+	// commitment is the work that each stage's pool still counts for this request.
+	commitments []commitment
 	// ran says that some stage is known to have run.
-	ran      bool
-	hedged   bool
-	exclude  string
-	offset   int
-	text     []byte
-	handle   string // of the KV cache that the next attempt imports
-	lastFate AttemptStatus
-	reason   string
+	ran         bool
+	hedged      bool
+	exclude     string
+	offset      int
+	text        []byte
+	cacheHandle string // of the KV cache that the next attempt imports
+	lastStatus  AttemptStatus
+	reason      string
 }
 
-func (r *request) spec() *proto.Stage { return &r.service.Stages[r.stage] }
+func (r *request) stageSpec() *proto.Stage { return &r.service.Stages[r.stage] }
 
 func (r *request) pool() *pool { return r.pools[r.stage] }
 
 func (r *request) mayRepeat() bool {
-	return r.spec().MayRepeat(r.pool().kind, r.repeatable)
+	return r.stageSpec().MayRepeat(r.pool().kind, r.repeatable)
 }
 
 // runsOnce tells whether some stage of the request may run only once.
@@ -86,20 +86,20 @@
 	return false
 }
 
-func (r *request) last() bool { return r.stage == len(r.service.Stages)-1 }
+func (r *request) isLastStage() bool { return r.stage == len(r.service.Stages)-1 }
 
 // outcome is what is certain about a request that ends without an answer.
 func (r *request) outcome() proto.Outcome {
 	switch {
-	case r.possible == 0:
+	case r.possibleStarts == 0:
 		return proto.OutcomeNotRun
-	case r.ran && r.stage == len(r.service.Stages)-1 && r.lastFate == StatusFailed:
+	case r.ran && r.stage == len(r.service.Stages)-1 && r.lastStatus == StatusFailed:
 		return proto.OutcomeRan
 	}
 	return proto.OutcomeMayHaveRun
 }
 
-func forgetDone(items map[proto.RequestID]*request, r *request) {
+func removeIfDone(items map[proto.RequestID]*request, r *request) {
 	if r.done {
 		delete(items, r.id)
 	}
@@ -117,8 +117,8 @@
 	return seconds(sum)
 }
 
-// works returns the slot time in seconds that each stage takes on average, 0 where that is not learnt yet.
-func (e *Engine) works(r *request) []float64 {
+// expectedWork returns the slot time in seconds that each stage takes on average, 0 where that is not learnt yet.
+func (e *Engine) expectedWork(r *request) []float64 {
 	works := make([]float64, len(r.pools))
 	for i := range r.pools {
 		if mean, _, known := e.estimates.of(r.service.Name, r.service.Stages[i].Name); known {
@@ -128,29 +128,29 @@
 	return works
 }
 
-// promise notes the request's work with the pools; settle takes off what a stage was promised.
-func (e *Engine) promise(now time.Time, r *request, works []float64) {
-	r.promised = make([]promised, len(works))
+// commitWork notes the request's work with the pools; settle takes off what a stage was promised.
+func (e *Engine) commitWork(now time.Time, r *request, works []float64) {
+	r.commitments = make([]commitment, len(works))
 	for i, work := range works {
 		if work > 0 {
-			r.promised[i] = r.pools[i].promise(now, r.deadline.Add(-e.remaining(r, i)), work)
+			r.commitments[i] = r.pools[i].commit(now, r.deadline.Add(-e.remaining(r, i)), work)
 		}
 	}
 }
 
-func (r *request) settle(now time.Time, stage int) {
-	if r.promised != nil && r.promised[stage].work > 0 {
-		r.pools[stage].settle(now, r.promised[stage])
-		r.promised[stage].work = 0
+func (r *request) releaseCommitment(now time.Time, stage int) {
+	if r.commitments != nil && r.commitments[stage].work > 0 {
+		r.pools[stage].release(now, r.commitments[stage])
+		r.commitments[stage].work = 0
 	}
 }
 
-// queueing is the expected wait in the queues of the stages from one on.
-func (e *Engine) queueing(now time.Time, r *request, from int) time.Duration {
+// queueDelay is the expected wait in the queues of the stages from one on.
+func (e *Engine) queueDelay(now time.Time, r *request, from int) time.Duration {
 	longest := time.Duration(0)
 	for i := from; i < len(r.pools); i++ {
 		latest := r.deadline.Add(-e.remaining(r, i))
-		longest = max(longest, r.pools[i].wait(now, r.workspace, latest))
+		longest = max(longest, r.pools[i].estimateWait(now, r.workspace, latest))
 	}
 	return longest
 }
--- a/core/result.go
+++ b/core/result.go
@@ -7,56 +7,56 @@
 )
 
 // attemptEnded matches an answer by request, stage and attempt; what matches nothing is dropped and counted.
-func (e *Engine) attemptEnded(t *turn, r *request, ev *AttemptEnded) {
-	a := r.live[ev.Attempt.Number]
+func (e *Engine) attemptEnded(t *eventResult, r *request, ev *AttemptEnded) {
+	a := r.attempts[ev.Attempt.Number]
 	if a == nil || a.id != ev.Attempt {
 		e.stats.late(ev.Busy)
 		return
 	}
-	delete(r.live, ev.Attempt.Number)
-	fate := e.checkedFate(r, ev)
-	r.lastFate = fate
+	delete(r.attempts, ev.Attempt.Number)
+	status := e.checkedStatus(r, ev)
+	r.lastStatus = status
 	r.reason = ev.Reason
-	took := t.now.Sub(a.began)
-	paused := e.pauses.overlapped(a.began, t.now)
+	took := t.now.Sub(a.startedAt)
+	paused := e.pauses.overlapped(a.startedAt, t.now)
 	if paused {
 		took = seconds(a.expected)
 	}
 	spent := ev.Busy
-	if fate == StatusUnknown {
+	if status == StatusUnknown {
 		spent = took
 	}
-	t.grants = append(t.grants, a.pool.ended(t.now, a, r.workspace, fate, took, spent, ev.CacheHit)...)
-	if model := r.spec().Model; model != "" && spent > 0 {
+	t.grants = append(t.grants, a.pool.ended(t.now, a, r.workspace, status, took, spent, ev.CacheHit)...)
+	if model := r.stageSpec().Model; model != "" && spent > 0 {
 		a.pool.usage.addModel(model, spent)
 	}
-	e.stats.spent(r.service.Name, r.spec().Name, spent, ev.Tokens, fate)
-	switch fate {
+	e.stats.spent(r.service.Name, r.stageSpec().Name, spent, ev.Tokens, status)
+	switch status {
 	case StatusDone:
 		if !paused {
-			e.estimates.add(r.service.Name, r.spec().Name, took)
+			e.estimates.add(r.service.Name, r.stageSpec().Name, took)
 		}
 		e.stageDone(t, r, ev)
 	case StatusNotStarted:
-		e.notStarted(t, r, a)
+		e.retryNotStarted(t, r, a)
 	default:
-		r.ran = r.ran || fate == StatusFailed
-		e.broken(t, r, a, fate)
+		r.ran = r.ran || status == StatusFailed
+		e.retryOrFail(t, r, a, status)
 	}
 }
 
-// checkedFate turns a stream that ends before its last token into a broken one.
-func (e *Engine) checkedFate(r *request, ev *AttemptEnded) AttemptStatus {
-	if ev.Status == StatusDone && r.spec().Stream && ev.Tokens != r.offset {
+// checkedStatus turns a stream that ends before its last token into a broken one.
+func (e *Engine) checkedStatus(r *request, ev *AttemptEnded) AttemptStatus {
+	if ev.Status == StatusDone && r.stageSpec().Stream && ev.Tokens != r.offset {
 		e.stats.gap()
 		return StatusUnknown
 	}
 	return ev.Status
 }
 
-func (e *Engine) stageDone(t *turn, r *request, ev *AttemptEnded) {
-	for number, other := range r.live {
-		delete(r.live, number)
+func (e *Engine) stageDone(t *eventResult, r *request, ev *AttemptEnded) {
+	for number, other := range r.attempts {
+		delete(r.attempts, number)
 		e.abandon(t, r, other)
 	}
 	if r.ticket != nil {
@@ -65,10 +65,10 @@
 	}
 	r.ran = true
 	output := ev.Output
-	if r.spec().Stream {
-		output = joinText(r.text)
+	if r.stageSpec().Stream {
+		output = encodeText(r.text)
 	}
-	if r.last() {
+	if r.isLastStage() {
 		e.finish(t, r, output, nil)
 		return
 	}
@@ -81,29 +81,29 @@
 	e.enqueue(t, r)
 }
 
-func (e *Engine) notStarted(t *turn, r *request, a *attempt) {
-	r.possible--
+func (e *Engine) retryNotStarted(t *eventResult, r *request, a *attempt) {
+	r.possibleStarts--
 	if !r.mayRepeat() {
-		r.unsafe--
+		r.unsafeStarts--
 	}
-	if e.anotherRuns(r) {
+	if e.hasOtherAttempt(r) {
 		return
 	}
 	r.tries++
 	if r.tries >= 2*e.tuning.MaxAttempts {
-		e.fail(t, r, proto.FailureOverloaded, "no target would start it", retryFloor)
+		e.fail(t, r, proto.FailureOverloaded, "no target would start it", minRetryAfter)
 		return
 	}
 	r.exclude = a.target.spec.Name
 	e.enqueue(t, r)
 }
 
-func (e *Engine) broken(t *turn, r *request, a *attempt, fate AttemptStatus) {
-	if e.anotherRuns(r) {
+func (e *Engine) retryOrFail(t *eventResult, r *request, a *attempt, status AttemptStatus) {
+	if e.hasOtherAttempt(r) {
 		return
 	}
 	kind := proto.FailureUnknown
-	if fate == StatusFailed {
+	if status == StatusFailed {
 		kind = proto.FailureTarget
 	}
 	r.tries++
@@ -115,17 +115,17 @@
 	case !a.pool.takeRetry():
 		e.fail(t, r, kind, "the pool's retry budget is spent", 0)
 	default:
-		e.stats.retry(r.service.Name, r.spec().Name)
+		e.stats.retry(r.service.Name, r.stageSpec().Name)
 		r.exclude = a.target.spec.Name
 		e.enqueue(t, r)
 	}
 }
 
-func (e *Engine) anotherRuns(r *request) bool { return len(r.live) > 0 || r.ticket != nil }
+func (e *Engine) hasOtherAttempt(r *request) bool { return len(r.attempts) > 0 || r.ticket != nil }
 
 // chunk passes a stream on by offset: what was delivered is dropped, and a gap breaks the attempt.
-func (e *Engine) chunk(t *turn, r *request, ev *AttemptChunk) {
-	a := r.live[ev.Attempt.Number]
+func (e *Engine) chunk(t *eventResult, r *request, ev *AttemptChunk) {
+	a := r.attempts[ev.Attempt.Number]
 	if a == nil || a.id != ev.Attempt {
 		e.stats.late(0)
 		return
@@ -136,9 +136,9 @@
 		return
 	case ev.Offset != r.offset:
 		e.stats.gap()
-		delete(r.live, ev.Attempt.Number)
+		delete(r.attempts, ev.Attempt.Number)
 		e.abandon(t, r, a)
-		e.broken(t, r, a, StatusUnknown)
+		e.retryOrFail(t, r, a, StatusUnknown)
 		return
 	}
 	if r.offset == 0 {
@@ -146,12 +146,12 @@
 	}
 	r.offset += ev.Tokens
 	r.text = append(r.text, ev.Text...)
-	if r.wantStream && r.last() {
-		t.act(Chunk{Request: r.id, Offset: ev.Offset, Text: ev.Text, Tokens: ev.Tokens, Generation: r.generation})
+	if r.wantStream && r.isLastStage() {
+		t.emit(Chunk{Request: r.id, Offset: ev.Offset, Text: ev.Text, Tokens: ev.Tokens, Generation: r.generation})
 	}
 }
 
-func joinText(text []byte) []byte {
+func encodeText(text []byte) []byte {
 	out, err := json.Marshal(proto.StreamOutput{Text: string(text)})
 	if err != nil {
 		return []byte("null")
--- a/core/scenario_test.go
+++ b/core/scenario_test.go
@@ -11,8 +11,8 @@
 	"emberlead/proto"
 )
 
-// script runs decisions step by step; each file in testdata is a scenario and says at its head what it shows.
-type script struct {
+// scenarioRunner runs decisions step by step; each file in testdata is a scenario and says at its head what it shows.
+type scenarioRunner struct {
 	engine *Engine
 	now    time.Time
 	ids    map[string]proto.RequestID
@@ -23,7 +23,7 @@
 
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		s := &script{now: time.Unix(1_700_000_000, 0), ids: map[string]proto.RequestID{}, names: map[proto.RequestID]string{}, starts: map[string]proto.AttemptID{}}
+		s := &scenarioRunner{now: time.Unix(1_700_000_000, 0), ids: map[string]proto.RequestID{}, names: map[proto.RequestID]string{}, starts: map[string]proto.AttemptID{}}
 		s.engine = New(WithSeed(1), WithZone("r/0"))
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string { return s.run(t, d) })
 	})
@@ -47,7 +47,7 @@
 	return n
 }
 
-func (s *script) run(t *testing.T, d *datadriven.TestData) string {
+func (s *scenarioRunner) run(t *testing.T, d *datadriven.TestData) string {
 	s.out.Reset()
 	switch d.Cmd {
 	case "config":
@@ -60,28 +60,28 @@
 		snapshot := s.engine.Snapshot()
 		plan := proto.StopPlan{VM: proto.VM(arg(t, d, "vm", "")), At: s.now.Add(in)}
 		s.engine.Configure(snapshot.WithStop(snapshot.Generation+1, plan), s.now, 0)
-		s.feed(StopCheck{Lead: time.Second})
+		s.handle(StopCheck{Lead: time.Second})
 	case "listed":
 		leaving := map[proto.VM]bool{}
 		if d.HasArg("vm") {
 			leaving[proto.VM(arg(t, d, "vm", ""))] = true
 		}
 		s.engine.SetLeavingVMs(leaving)
-		s.feed(StopCheck{Lead: time.Second})
+		s.handle(StopCheck{Lead: time.Second})
 	case "arrive":
 		s.arrive(t, d)
 	case "claim":
 		verdicts := map[string]ClaimResult{"granted": ClaimGranted, "taken": ClaimTaken, "tooOld": ClaimTooOld, "unreachable": ClaimNoQuorum}
-		s.feed(ClaimAnswered{Request: s.ids[arg(t, d, "of", "")], Result: verdicts[arg(t, d, "verdict", "granted")]})
+		s.handle(ClaimAnswered{Request: s.ids[arg(t, d, "of", "")], Result: verdicts[arg(t, d, "verdict", "granted")]})
 	case "chunk":
-		s.feed(AttemptChunk{Attempt: s.starts[arg(t, d, "of", "")], Offset: number(t, d, "offset"), Text: arg(t, d, "text", ""), Tokens: number(t, d, "tokens")})
+		s.handle(AttemptChunk{Attempt: s.starts[arg(t, d, "of", "")], Offset: number(t, d, "offset"), Text: arg(t, d, "text", ""), Tokens: number(t, d, "tokens")})
 	case "end":
 		fates := map[string]AttemptStatus{"done": StatusDone, "notStarted": StatusNotStarted, "failed": StatusFailed, "unknown": StatusUnknown}
-		s.feed(AttemptEnded{Attempt: s.starts[arg(t, d, "of", "")], Status: fates[arg(t, d, "fate", "done")], Output: []byte(arg(t, d, "output", "{}")), Tokens: number(t, d, "tokens"), Busy: time.Millisecond})
+		s.handle(AttemptEnded{Attempt: s.starts[arg(t, d, "of", "")], Status: fates[arg(t, d, "fate", "done")], Output: []byte(arg(t, d, "output", "{}")), Tokens: number(t, d, "tokens"), Busy: time.Millisecond})
 	case "exported":
-		s.feed(Exported{Attempt: s.starts[arg(t, d, "of", "")], Handle: arg(t, d, "handle", "")})
+		s.handle(Exported{Attempt: s.starts[arg(t, d, "of", "")], Handle: arg(t, d, "handle", "")})
 	case "leave":
-		s.feed(CallerLeft{Request: s.ids[arg(t, d, "of", "")]})
+		s.handle(CallerLeft{Request: s.ids[arg(t, d, "of", "")]})
 	case "sleep":
 		length, err := time.ParseDuration(arg(t, d, "for", "0s"))
 		if err != nil {
@@ -94,8 +94,8 @@
 			t.Fatal(err)
 		}
 		s.now = s.now.Add(length)
-		s.feed(StopCheck{Lead: time.Second})
-		s.feed(Tick{})
+		s.handle(StopCheck{Lead: time.Second})
+		s.handle(Tick{})
 	default:
 		t.Fatalf("no command %q", d.Cmd)
 	}
@@ -105,7 +105,7 @@
 	return s.out.String()
 }
 
-func (s *script) arrive(t *testing.T, d *datadriven.TestData) {
+func (s *scenarioRunner) arrive(t *testing.T, d *datadriven.TestData) {
 	name := arg(t, d, "name", "")
 	var bits [10]byte
 	bits[9] = byte(len(s.ids) + 1)
@@ -115,10 +115,10 @@
 	if d.HasArg("key") {
 		a.Key = id
 	}
-	s.feed(a)
+	s.handle(a)
 }
 
-func (s *script) feed(ev Event) {
+func (s *scenarioRunner) handle(ev Event) {
 	for _, action := range s.engine.Handle(s.now, ev) {
 		switch a := action.(type) {
 		case Start:
@@ -146,7 +146,7 @@
 }
 
 // The objective of a file decides what may be spent on attainment: the institute's hedges nothing.
-func TestObjectiveBoundsRetriesAndHedges(t *testing.T) {
+func TestObjectiveLimitsRetriesAndHedges(t *testing.T) {
 	scenarios := []struct {
 		name      string
 		objective proto.Objective
--- a/core/stats.go
+++ b/core/stats.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	histogramLeast  = int64(time.Microsecond)
-	histogramMost   = int64(10 * time.Minute)
+	histogramMin    = int64(time.Microsecond)
+	histogramMax    = int64(10 * time.Minute)
 	histogramDigits = 2
 )
 
 // WorkspaceStats counts how the requests of a workspace ended.
 type WorkspaceStats struct {
-	Asked         int64 `json:"asked"`
+	Requests      int64 `json:"asked"`
 	Delivered     int64 `json:"delivered"`
 	OnTime        int64 `json:"onTime"`
 	RefusedNotRun int64 `json:"refusedNotRun"`
@@ -28,10 +28,10 @@
 
 // Attainment is the part of all requests asked that was delivered within the deadline.
 func (w *WorkspaceStats) Attainment() float64 {
-	if w.Asked == 0 {
+	if w.Requests == 0 {
 		return 1
 	}
-	return float64(w.OnTime) / float64(w.Asked)
+	return float64(w.OnTime) / float64(w.Requests)
 }
 
 // StageStats is the cost of one stage of one service.
@@ -55,20 +55,20 @@
 
 // Stats are the measures of one engine.
 type Stats struct {
-	mu         sync.Mutex
-	workspaces map[string]*WorkspaceStats
-	stages     map[string]*StageStats
-	drops      DropStats
-	latency    *hdrhistogram.Histogram
-	first      *hdrhistogram.Histogram
+	mu                sync.Mutex
+	workspaces        map[string]*WorkspaceStats
+	stages            map[string]*StageStats
+	drops             DropStats
+	latency           *hdrhistogram.Histogram
+	firstTokenLatency *hdrhistogram.Histogram
 }
 
 func newStats() *Stats {
 	return &Stats{
-		workspaces: map[string]*WorkspaceStats{},
-		stages:     map[string]*StageStats{},
-		latency:    hdrhistogram.New(histogramLeast, histogramMost, histogramDigits),
-		first:      hdrhistogram.New(histogramLeast, histogramMost, histogramDigits),
+		workspaces:        map[string]*WorkspaceStats{},
+		stages:            map[string]*StageStats{},
+		latency:           hdrhistogram.New(histogramMin, histogramMax, histogramDigits),
+		firstTokenLatency: hdrhistogram.New(histogramMin, histogramMax, histogramDigits),
 	}
 }
 
@@ -91,59 +91,59 @@
 	return st
 }
 
-func (s *Stats) change(fn func()) {
+func (s *Stats) update(fn func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fn()
 }
 
-func (s *Stats) asked(workspace string) { s.change(func() { s.workspace(workspace).Asked++ }) }
+func (s *Stats) requested(workspace string) { s.update(func() { s.workspace(workspace).Requests++ }) }
 
 func (s *Stats) attempt(service, stage string) {
-	s.change(func() { s.stage(service, stage).Attempts++ })
+	s.update(func() { s.stage(service, stage).Attempts++ })
 }
 
 func (s *Stats) retry(service, stage string) {
-	s.change(func() { s.stage(service, stage).Retries++ })
+	s.update(func() { s.stage(service, stage).Retries++ })
 }
 
 func (s *Stats) hedge(service, stage string) {
-	s.change(func() { s.stage(service, stage).Hedges++ })
+	s.update(func() { s.stage(service, stage).Hedges++ })
 }
 
-func (s *Stats) late(time.Duration) { s.change(func() { s.drops.Late++ }) }
+func (s *Stats) late(time.Duration) { s.update(func() { s.drops.Late++ }) }
 
-func (s *Stats) duplicate() { s.change(func() { s.drops.Duplicates++ }) }
+func (s *Stats) duplicate() { s.update(func() { s.drops.Duplicates++ }) }
 
-func (s *Stats) gap() { s.change(func() { s.drops.Gaps++ }) }
+func (s *Stats) gap() { s.update(func() { s.drops.Gaps++ }) }
 
-func (s *Stats) moved() { s.change(func() { s.drops.Moved++ }) }
+func (s *Stats) moved() { s.update(func() { s.drops.Moved++ }) }
 
 func (s *Stats) firstToken(_ string, took time.Duration) {
-	s.change(func() { _ = s.first.RecordValue(int64(took)) })
+	s.update(func() { _ = s.firstTokenLatency.RecordValue(int64(took)) })
 }
 
 func (s *Stats) wasted(service, stage string, spent time.Duration) {
-	s.change(func() {
+	s.update(func() {
 		st := s.stage(service, stage)
 		st.Wasted++
 		st.Busy += proto.Duration(spent)
 	})
 }
 
-func (s *Stats) spent(service, stage string, spent time.Duration, tokens int, fate AttemptStatus) {
-	s.change(func() {
+func (s *Stats) spent(service, stage string, spent time.Duration, tokens int, status AttemptStatus) {
+	s.update(func() {
 		st := s.stage(service, stage)
 		st.Busy += proto.Duration(spent)
 		st.Tokens += int64(tokens)
-		if fate != StatusDone {
+		if status != StatusDone {
 			st.Wasted++
 		}
 	})
 }
 
 func (s *Stats) ended(r *request, now time.Time, failure *proto.Failure) {
-	s.change(func() {
+	s.update(func() {
 		w := s.workspace(r.workspace)
 		switch {
 		case failure == nil:
@@ -198,7 +198,7 @@
 		Stages:     map[string]StageStats{},
 		Drops:      s.drops,
 		Latency:    Summarize(s.latency),
-		FirstToken: Summarize(s.first),
+		FirstToken: Summarize(s.firstTokenLatency),
 	}
 	for name, w := range s.workspaces {
 		r.Workspaces[name] = *w
--- a/core/status.go
+++ b/core/status.go
@@ -45,7 +45,7 @@
 	for _, t := range p.targets {
 		s.Targets = append(s.Targets, TargetStatus{
 			Target: t.spec.Name, VM: string(t.spec.VM), Zone: string(t.spec.Zone), Inflight: t.inflight,
-			Expected: t.expected(now), Limit: t.limit(now), Ejected: now.Before(t.ejectedTo),
+			Expected: t.expected(now), Limit: t.limit(now), Ejected: now.Before(t.ejectedUntil),
 			Leaving: t.leaving || t.removed, Slowness: t.slowness.Mean(),
 		})
 	}
--- a/core/stops.go
+++ b/core/stops.go
@@ -6,8 +6,8 @@
 	"emberlead/proto"
 )
 
-// stopsDue takes targets on leaving VMs out of service, and moves what would not end before a planned stop.
-func (e *Engine) stopsDue(t *turn, lead time.Duration) {
+// checkStops takes targets on leaving VMs out of service, and moves what would not end before a planned stop.
+func (e *Engine) checkStops(t *eventResult, lead time.Duration) {
 	leaving := e.leavingFunc(e.snapshot.Load(), t.now, lead)
 	planned := false
 	for _, p := range e.allPools() {
@@ -19,14 +19,14 @@
 	e.requests.EachShard(func(items map[proto.RequestID]*request) {
 		for _, r := range items {
 			e.moveDue(t, r, lead)
-			forgetDone(items, r)
+			removeIfDone(items, r)
 		}
 	})
 }
 
 // moveDue starts to move the attempts that may last beyond the planned stop of their target.
-func (e *Engine) moveDue(t *turn, r *request, lead time.Duration) {
-	for _, a := range r.live {
+func (e *Engine) moveDue(t *eventResult, r *request, lead time.Duration) {
+	for _, a := range r.attempts {
 		stopAt := a.pool.stopOf(a.target)
 		if stopAt.IsZero() || a.moving || !r.deadline.After(stopAt) || t.now.Before(stopAt.Add(-lead)) {
 			continue
@@ -36,8 +36,8 @@
 			continue
 		}
 		a.moving = true
-		if a.target.spec.ExportsCache && r.spec().Stream {
-			t.act(Export{Attempt: a.id, Target: a.target.spec})
+		if a.target.spec.ExportsCache && r.stageSpec().Stream {
+			t.emit(Export{Attempt: a.id, Target: a.target.spec})
 			continue
 		}
 		e.move(t, r, a, "")
@@ -45,8 +45,8 @@
 	}
 }
 
-func (e *Engine) exported(t *turn, r *request, ev *Exported) {
-	a := r.live[ev.Attempt.Number]
+func (e *Engine) exported(t *eventResult, r *request, ev *Exported) {
+	a := r.attempts[ev.Attempt.Number]
 	if a == nil || a.id != ev.Attempt {
 		return
 	}
@@ -54,14 +54,14 @@
 }
 
 // move leaves an attempt for another target, which goes on after what the caller already has.
-func (e *Engine) move(t *turn, r *request, a *attempt, handle string) {
-	delete(r.live, a.id.Number)
+func (e *Engine) move(t *eventResult, r *request, a *attempt, handle string) {
+	delete(r.attempts, a.id.Number)
 	e.abandon(t, r, a)
 	e.stats.moved()
-	if e.anotherRuns(r) {
+	if e.hasOtherAttempt(r) {
 		return
 	}
-	r.handle = handle
+	r.cacheHandle = handle
 	r.exclude = a.target.spec.Name
 	e.enqueue(t, r)
 }
--- a/core/target.go
+++ b/core/target.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	historySlots  = 32
-	historyStep   = 100 * time.Millisecond
-	defaultSlots  = 4
-	minLimit      = 1.0
-	staleReport   = 2 * time.Second
-	staleHalfLife = 2 * time.Second
-	zoneCost      = 0.002 // seconds, both ways to another zone
-	regionCost    = 0.060 // seconds, both ways to another region
-	maxEjections  = 6
-	limitGrowth   = 0.05
-	limitCut      = 0.85
-	modelMiss     = 1.0 // seconds that loading a model costs a request
+	historySize          = 32
+	historyInterval      = 100 * time.Millisecond
+	defaultSlots         = 4
+	minLimit             = 1.0
+	reportMaxAge         = 2 * time.Second
+	staleHalfLife        = 2 * time.Second
+	zoneCost             = 0.002 // seconds, both ways to another zone
+	regionCost           = 0.060 // seconds, both ways to another region
+	maxEjectionDoublings = 6
+	limitGrowth          = 0.05
+	limitBackoff         = 0.85
+	modelLoadCost        = 1.0 // seconds that loading a model costs a request
 )
 
 // target is one candidate of a pool, as this daemon sees it; the pool's lock guards it.
@@ -36,31 +36,31 @@
 	removed  bool
 	inflight int
 
-	others   float64 // other daemons' requests as of the last report
-	reported time.Time
-	ownThen  int
-	slots    int
-	models   []string
-	cut      float64 // factor below 1 learnt from refusals
+	others      float64 // other daemons' requests as of the last report
+	reportedAt  time.Time
+	ownAtReport int
+	slots       int
+	models      []string
+	limitFactor float64 // factor below 1 learnt from refusals
 
-	failures   int
-	ejections  int
-	ejectedTo  time.Time
-	readmitted time.Time
-	slowness   state.Mean // observed over expected service time
+	failures     int
+	ejections    int
+	ejectedUntil time.Time
+	readmittedAt time.Time
+	slowness     state.Mean // observed over expected service time
 
-	history   [historySlots]uint16
+	history   [historySize]uint16
 	historyAt int64
 	tuning    *Tuning
 }
 
 func newTarget(spec proto.Target, tuning *Tuning) *target {
 	return &target{
-		spec:   spec,
-		hash:   xxhash.Sum64String(spec.Name),
-		slots:  spec.Slots,
-		cut:    1,
-		tuning: tuning,
+		spec:        spec,
+		hash:        xxhash.Sum64String(spec.Name),
+		slots:       spec.Slots,
+		limitFactor: 1,
+		tuning:      tuning,
 	}
 }
 
@@ -73,11 +73,11 @@
 
 // limit is how many requests of all daemons the target should have at once.
 func (t *target) limit(now time.Time) float64 {
-	limit := float64(t.capacity()) * t.tuning.Overcommit * t.cut
-	if !t.readmitted.IsZero() {
-		since := now.Sub(t.readmitted)
-		if since < t.tuning.Readmit {
-			limit *= 0.1 + 0.9*float64(since)/float64(t.tuning.Readmit)
+	limit := float64(t.capacity()) * t.tuning.Overcommit * t.limitFactor
+	if !t.readmittedAt.IsZero() {
+		since := now.Sub(t.readmittedAt)
+		if since < t.tuning.RampUpTime {
+			limit *= 0.1 + 0.9*float64(since)/float64(t.tuning.RampUpTime)
 		}
 	}
 	return max(minLimit, limit)
@@ -86,18 +86,18 @@
 // expected is the estimate of all daemons' requests at the target now.
 func (t *target) expected(now time.Time) float64 {
 	others := t.others
-	if age := now.Sub(t.reported); age > staleReport {
-		others *= math.Exp2(-float64(age-staleReport) / float64(staleHalfLife))
-	} else if t.ownThen > 0 {
-		grown := float64(t.inflight-t.ownThen) / float64(t.ownThen)
-		others *= max(0, 1+t.tuning.Alike*min(1, grown))
+	if age := now.Sub(t.reportedAt); age > reportMaxAge {
+		others *= math.Exp2(-float64(age-reportMaxAge) / float64(staleHalfLife))
+	} else if t.ownAtReport > 0 {
+		growth := float64(t.inflight-t.ownAtReport) / float64(t.ownAtReport)
+		others *= max(0, 1+t.tuning.PeerCorrelation*min(1, growth))
 	}
 	return others + float64(t.inflight)
 }
 
-// Open tells whether the target may take one more request.
-func (t *target) Open(need *Need) bool {
-	if t.leaving || t.removed || !t.stopAt.IsZero() && need.Deadline.After(t.stopAt) || need.Now.Before(t.ejectedTo) || t.spec.Name == need.Exclude {
+// Available tells whether the target may take one more request.
+func (t *target) Available(need *Need) bool {
+	if t.leaving || t.removed || !t.stopAt.IsZero() && need.Deadline.After(t.stopAt) || need.Now.Before(t.ejectedUntil) || t.spec.Name == need.Exclude {
 		return false
 	}
 	if !t.tuning.Limits {
@@ -109,9 +109,9 @@
 // Outstanding returns the own requests in progress.
 func (t *target) Outstanding() int { return t.inflight }
 
-// Finish returns the expected seconds until a request sent now is done.
-func (t *target) Finish(need *Need) float64 {
-	service := need.Service
+// ExpectedFinish returns the expected seconds until a request sent now is done.
+func (t *target) ExpectedFinish(need *Need) float64 {
+	service := need.ServiceTime
 	if t.slowness.Count() > 0 {
 		service *= max(0.25, t.slowness.Mean())
 	}
@@ -138,13 +138,13 @@
 	if need.Model == "" || len(t.models) == 0 || slices.Contains(t.models, need.Model) {
 		return 0
 	}
-	return modelMiss
+	return modelLoadCost
 }
 
 // Preferred tells whether the target is thought to hold the prefix, or is one of its homes.
 func (t *target) Preferred(need *Need) bool {
 	e := need.entry
-	return e != nil && (e.holders.has(t.index) || e.homes.has(t.index))
+	return e != nil && (e.holders.has(t.index) || e.preferred.has(t.index))
 }
 
 func (t *target) prefixFactor(need *Need) float64 {
@@ -153,56 +153,56 @@
 		return 1
 	case e.holders.has(t.index):
 		return 1 - need.saving
-	case e.homes.has(t.index):
-		return 1 - homeBonus*need.saving
+	case e.preferred.has(t.index):
+		return 1 - preferredBonus*need.saving
 	}
 	return 1
 }
 
-func (t *target) started(now time.Time) {
+func (t *target) recordStart(now time.Time) {
 	t.inflight++
 	t.record(now)
 }
 
-// ended takes in the fate of an attempt; ratio is observed over expected service time, or 0 if there was no answer.
-func (t *target) ended(now time.Time, fate AttemptStatus, ratio float64) {
+// attemptEnded takes in the fate of an attempt; ratio is observed over expected service time, or 0 if there was no answer.
+func (t *target) attemptEnded(now time.Time, status AttemptStatus, ratio float64) {
 	t.inflight = max(0, t.inflight-1)
 	t.record(now)
-	switch fate {
+	switch status {
 	case StatusDone:
 		t.failures = 0
-		t.cut = min(1, t.cut+limitGrowth/float64(t.capacity()))
+		t.limitFactor = min(1, t.limitFactor+limitGrowth/float64(t.capacity()))
 		t.slowness.Add(ratio)
-		if now.Sub(t.readmitted) > t.tuning.Readmit {
+		if now.Sub(t.readmittedAt) > t.tuning.RampUpTime {
 			t.ejections = 0
 		}
 	case StatusNotStarted:
-		t.cut = max(1/float64(t.capacity()), t.cut*limitCut)
-		t.failed(now)
+		t.limitFactor = max(1/float64(t.capacity()), t.limitFactor*limitBackoff)
+		t.recordFailure(now)
 	default:
-		t.failed(now)
+		t.recordFailure(now)
 	}
 }
 
-func (t *target) failed(now time.Time) {
+func (t *target) recordFailure(now time.Time) {
 	t.failures++
 	if t.failures < t.tuning.EjectAfter || t.tuning.EjectAfter == 0 {
 		return
 	}
-	length := t.tuning.EjectFor << min(t.ejections, maxEjections)
+	length := t.tuning.EjectionTime << min(t.ejections, maxEjectionDoublings)
 	t.ejections++
-	t.ejectedTo = now.Add(length)
-	t.readmitted = t.ejectedTo
+	t.ejectedUntil = now.Add(length)
+	t.readmittedAt = t.ejectedUntil
 	t.failures = 0
 }
 
-func (t *target) report(load proto.Load) {
-	if !load.At.After(t.reported) {
+func (t *target) recordLoad(load proto.Load) {
+	if !load.At.After(t.reportedAt) {
 		return
 	}
-	t.reported = load.At
-	t.ownThen = t.ownAt(load.At)
-	t.others = float64(max(0, load.Running+load.Waiting-t.ownThen))
+	t.reportedAt = load.At
+	t.ownAtReport = t.ownAt(load.At)
+	t.others = float64(max(0, load.Running+load.Waiting-t.ownAtReport))
 	if load.Slots > 0 {
 		t.slots = load.Slots
 	}
@@ -211,25 +211,25 @@
 
 // record keeps the own requests in progress for each tenth of a second, so that a late report can be set against its own time.
 func (t *target) record(now time.Time) {
-	at := now.UnixNano() / int64(historyStep)
-	if t.historyAt == 0 || at-t.historyAt > historySlots {
-		t.historyAt = at - historySlots
+	at := now.UnixNano() / int64(historyInterval)
+	if t.historyAt == 0 || at-t.historyAt > historySize {
+		t.historyAt = at - historySize
 	}
-	last := t.history[t.historyAt%historySlots]
+	last := t.history[t.historyAt%historySize]
 	for t.historyAt < at {
 		t.historyAt++
-		t.history[t.historyAt%historySlots] = last
+		t.history[t.historyAt%historySize] = last
 	}
-	t.history[at%historySlots] = uint16(min(t.inflight, math.MaxUint16))
+	t.history[at%historySize] = uint16(min(t.inflight, math.MaxUint16))
 }
 
 func (t *target) ownAt(at time.Time) int {
-	step := at.UnixNano() / int64(historyStep)
+	step := at.UnixNano() / int64(historyInterval)
 	switch {
 	case step >= t.historyAt:
 		return t.inflight
-	case step <= t.historyAt-historySlots:
-		step = t.historyAt - historySlots + 1
+	case step <= t.historyAt-historySize:
+		step = t.historyAt - historySize + 1
 	}
-	return int(t.history[step%historySlots])
+	return int(t.history[step%historySize])
 }
--- a/core/usage.go
+++ b/core/usage.go
@@ -10,25 +10,25 @@
 
 // usage is the time that each workspace spent at a pool lately, over all daemons that report.
 type usage struct {
-	mu       sync.Mutex
-	halfLife time.Duration
-	spent    map[string]*state.DecayingSum
-	total    state.DecayingSum
-	weights  map[string]*proto.Workspace
-	unsent   map[string]time.Duration
-	models   map[string]time.Duration // by model, since it was last taken
+	mu         sync.Mutex
+	halfLife   time.Duration
+	spent      map[string]*state.DecayingSum
+	total      state.DecayingSum
+	weights    map[string]*proto.Workspace
+	unreported map[string]time.Duration
+	models     map[string]time.Duration // by model, since it was last taken
 }
 
 func newUsage(halfLife time.Duration) *usage {
 	return &usage{
-		halfLife: halfLife,
-		spent:    map[string]*state.DecayingSum{},
-		unsent:   map[string]time.Duration{},
-		models:   map[string]time.Duration{},
+		halfLife:   halfLife,
+		spent:      map[string]*state.DecayingSum{},
+		unreported: map[string]time.Duration{},
+		models:     map[string]time.Duration{},
 	}
 }
 
-func (u *usage) of(workspace string, now time.Time) float64 {
+func (u *usage) recent(workspace string, now time.Time) float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	d := u.spent[workspace]
@@ -49,7 +49,7 @@
 	d.Add(now, u.halfLife, spent.Seconds())
 	u.total.Add(now, u.halfLife, spent.Seconds())
 	if own {
-		u.unsent[workspace] += spent
+		u.unreported[workspace] += spent
 	}
 }
 
@@ -83,15 +83,15 @@
 	return d.Value(now, u.halfLife) / u.weight(workspace) / (total / weights)
 }
 
-// take returns what this daemon spent since the last call, by workspace.
-func (u *usage) take() map[string]time.Duration {
+// takeUnreported returns what this daemon spent since the last call, by workspace.
+func (u *usage) takeUnreported() map[string]time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if len(u.unsent) == 0 {
+	if len(u.unreported) == 0 {
 		return nil
 	}
-	taken := u.unsent
-	u.unsent = make(map[string]time.Duration, len(taken))
+	taken := u.unreported
+	u.unreported = make(map[string]time.Duration, len(taken))
 	return taken
 }
 
@@ -109,14 +109,14 @@
 	return taken
 }
 
-const forgottenUse = 1e-4
+const negligibleUse = 1e-4
 
-// forget drops the workspaces that spent next to nothing lately, so that memory follows the active ones.
-func (u *usage) forget(now time.Time) {
+// prune drops the workspaces that spent next to nothing lately, so that memory follows the active ones.
+func (u *usage) prune(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for workspace, d := range u.spent {
-		if d.Value(now, u.halfLife) < forgottenUse {
+		if d.Value(now, u.halfLife) < negligibleUse {
 			delete(u.spent, workspace)
 		}
 	}
--- a/proto/check.go
+++ b/proto/check.go
@@ -182,16 +182,16 @@
 func (c *checker) stages(path string, stages []Stage) {
 	seen := map[string]bool{}
 	for i, s := range stages {
-		at := fmt.Sprintf("%s.stages[%d]", path, i)
-		c.name(at, s.Name, seen)
+		stagePath := fmt.Sprintf("%s.stages[%d]", path, i)
+		c.name(stagePath, s.Name, seen)
 		if s.Pool == "" {
-			c.add(at+".pool", "is missing")
+			c.add(stagePath+".pool", "is missing")
 		}
 		if s.Stream && i != len(stages)-1 {
-			c.add(at+".stream", "only the last stage can stream")
+			c.add(stagePath+".stream", "only the last stage can stream")
 		}
 		if s.MaxTokens < 0 {
-			c.add(at+".maxTokens", "%d is negative", s.MaxTokens)
+			c.add(stagePath+".maxTokens", "%d is negative", s.MaxTokens)
 		}
 	}
 }
--- a/proto/codec.go
+++ b/proto/codec.go
@@ -14,18 +14,18 @@
 )
 
 var (
-	encoding = must(cbor.EncOptions{Time: cbor.TimeRFC3339NanoUTC}.EncMode())
-	decoding = mustDecode(cbor.DecOptions{MaxArrayElements: maxElements, MaxMapPairs: maxElements}.DecMode())
+	encMode = mustEncMode(cbor.EncOptions{Time: cbor.TimeRFC3339NanoUTC}.EncMode())
+	decMode = mustDecMode(cbor.DecOptions{MaxArrayElements: maxElements, MaxMapPairs: maxElements}.DecMode())
 )
 
-func must(mode cbor.EncMode, err error) cbor.EncMode {
+func mustEncMode(mode cbor.EncMode, err error) cbor.EncMode {
 	if err != nil {
 		panic(err)
 	}
 	return mode
 }
 
-func mustDecode(mode cbor.DecMode, err error) cbor.DecMode {
+func mustDecMode(mode cbor.DecMode, err error) cbor.DecMode {
 	if err != nil {
 		panic(err)
 	}
@@ -34,18 +34,18 @@
 
 // Encode frames a message as CBOR; it fails with KindInvalid.
 func Encode(m Message, call uint64, answer bool, trace string) ([]byte, error) {
-	body, err := encoding.Marshal(m)
+	body, err := encMode.Marshal(m)
 	if err != nil {
 		return nil, &Error{Op: "encode message", Kind: KindInvalid, Err: err}
 	}
 	env := Envelope{Kind: m.messageKind(), Call: call, Answer: answer, Body: body, Trace: trace}
-	if len(body) >= packFrom {
+	if len(body) >= compressMinSize {
 		env.Body = nil
-		if env.Packed, err = pack(body); err != nil {
+		if env.Compressed, err = compress(body); err != nil {
 			return nil, err
 		}
 	}
-	data, err := encoding.Marshal(env)
+	data, err := encMode.Marshal(env)
 	if err != nil {
 		return nil, &Error{Op: "encode message", Kind: KindInvalid, Err: err}
 	}
@@ -58,7 +58,7 @@
 // messageNames are made once, since counters need one for each message.
 var messageNames = func() map[MessageKind]string {
 	names := map[MessageKind]string{}
-	for kind, read := range readers {
+	for kind, read := range decoders {
 		empty, _ := read(nil) // The value is empty in any case, and only its type is used.
 		names[kind] = strings.TrimPrefix(fmt.Sprintf("%T", empty), "proto.")
 	}
@@ -68,67 +68,67 @@
 // Decode reads what Encode wrote; it fails with KindInvalid.
 func Decode(data []byte) (Envelope, Message, error) {
 	var env Envelope
-	if err := decoding.Unmarshal(data, &env); err != nil {
+	if err := decMode.Unmarshal(data, &env); err != nil {
 		return env, nil, &Error{Op: "decode envelope", Kind: KindInvalid, Err: err}
 	}
-	read, ok := readers[env.Kind]
+	decode, ok := decoders[env.Kind]
 	if !ok {
 		return env, nil, newError("decode message", KindInvalid, "no message is of kind %d", env.Kind)
 	}
 	body := []byte(env.Body)
-	if len(env.Packed) > 0 {
+	if len(env.Compressed) > 0 {
 		var err error
-		if body, err = unpack(env.Packed); err != nil {
+		if body, err = decompress(env.Compressed); err != nil {
 			return env, nil, err
 		}
 	}
-	m, err := read(body)
+	m, err := decode(body)
 	if err != nil {
 		return env, nil, &Error{Op: "decode message", Kind: KindInvalid, Err: err}
 	}
 	return env, m, nil
 }
 
-func reader[M Message](body []byte) (Message, error) {
+func decodeAs[M Message](body []byte) (Message, error) {
 	var m M
-	err := decoding.Unmarshal(body, &m)
+	err := decMode.Unmarshal(body, &m)
 	return m, err
 }
 
-var readers = map[MessageKind]func([]byte) (Message, error){
-	MessageHeartbeat:      reader[Heartbeat],
-	MessageAlive:          reader[Alive],
-	MessageAlarm:          reader[Alarm],
-	MessageChangesAsk:     reader[ChangesAsk],
-	MessageChangesAnswer:  reader[ChangesAnswer],
-	MessageRosterAsk:      reader[RosterAsk],
-	MessageRosterAnswer:   reader[RosterAnswer],
-	MessageClaimAsk:       reader[ClaimAsk],
-	MessageClaimAnswer:    reader[ClaimAnswer],
-	MessageSettle:         reader[Settle],
-	MessageTransferAsk:    reader[TransferAsk],
-	MessageTransferAnswer: reader[TransferAnswer],
-	MessageUsage:          reader[Usage],
-	MessageLoads:          reader[Loads],
-	MessageListed:         reader[Listed],
-	MessageDone:           reader[Done],
-	MessageSlotReady:      reader[SlotReady],
-	MessageDemand:         reader[Demand],
-	MessageRoutingAsk:     reader[RoutingAsk],
-	MessageRoutingAnswer:  reader[RoutingAnswer],
-	MessagePiecesAsk:      reader[PiecesAsk],
-	MessagePiecesAnswer:   reader[PiecesAnswer],
-	MessagePiecesDrop:     reader[PiecesDrop],
-	MessagePlaceAsk:       reader[PlaceAsk],
-	MessagePlaceAnswer:    reader[PlaceAnswer],
-	MessagePlaceNote:      reader[PlaceNote],
-	MessageConfirmed:      reader[Confirmed],
-	MessageDeaths:         reader[Deaths],
-	MessageNews:           reader[News],
-	MessageTargetEnds:     reader[TargetEnds],
-	MessageAdmitAsk:       reader[AdmitAsk],
-	MessageAdmitAnswer:    reader[AdmitAnswer],
-	MessageTargetNotices:  reader[TargetNotices],
-	MessagePermitAsk:      reader[PermitAsk],
-	MessagePermitAnswer:   reader[PermitAnswer],
+var decoders = map[MessageKind]func([]byte) (Message, error){
+	MessageHeartbeat:      decodeAs[Heartbeat],
+	MessageAlive:          decodeAs[Alive],
+	MessageAlarm:          decodeAs[Alarm],
+	MessageChangesAsk:     decodeAs[ChangesAsk],
+	MessageChangesAnswer:  decodeAs[ChangesAnswer],
+	MessageRosterAsk:      decodeAs[RosterAsk],
+	MessageRosterAnswer:   decodeAs[RosterAnswer],
+	MessageClaimAsk:       decodeAs[ClaimAsk],
+	MessageClaimAnswer:    decodeAs[ClaimAnswer],
+	MessageSettle:         decodeAs[Settle],
+	MessageTransferAsk:    decodeAs[TransferAsk],
+	MessageTransferAnswer: decodeAs[TransferAnswer],
+	MessageUsage:          decodeAs[Usage],
+	MessageLoads:          decodeAs[Loads],
+	MessageListed:         decodeAs[Listed],
+	MessageDone:           decodeAs[Done],
+	MessageSlotReady:      decodeAs[SlotReady],
+	MessageDemand:         decodeAs[Demand],
+	MessageRoutingAsk:     decodeAs[RoutingAsk],
+	MessageRoutingAnswer:  decodeAs[RoutingAnswer],
+	MessagePiecesAsk:      decodeAs[PiecesAsk],
+	MessagePiecesAnswer:   decodeAs[PiecesAnswer],
+	MessagePiecesDrop:     decodeAs[PiecesDrop],
+	MessagePlaceAsk:       decodeAs[PlaceAsk],
+	MessagePlaceAnswer:    decodeAs[PlaceAnswer],
+	MessagePlaceNote:      decodeAs[PlaceNote],
+	MessageConfirmed:      decodeAs[Confirmed],
+	MessageDeaths:         decodeAs[Deaths],
+	MessageNews:           decodeAs[News],
+	MessageTargetEnds:     decodeAs[TargetEnds],
+	MessageAdmitAsk:       decodeAs[AdmitAsk],
+	MessageAdmitAnswer:    decodeAs[AdmitAnswer],
+	MessageTargetNotices:  decodeAs[TargetNotices],
+	MessagePermitAsk:      decodeAs[PermitAsk],
+	MessagePermitAnswer:   decodeAs[PermitAnswer],
 }
--- a/proto/digest.go
+++ b/proto/digest.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	digestRow  = 8 // bytes: hash of the target, running, waiting, slots, age
-	digestStep = 50 * time.Millisecond
-	digestMost = 255
+	loadRowSize  = 8 // bytes: hash of the target, running, waiting, slots, age
+	loadAgeUnit  = 50 * time.Millisecond
+	maxLoadCount = 255
 )
 
 // LoadRow is a target's load as the daemon that reads it passes it on.
@@ -28,29 +28,29 @@
 // TargetHash returns the hash by which a digest names a target.
 func TargetHash(target string) uint32 { return uint32(xxhash.Sum64String(target)) }
 
-func small(n int) byte { return byte(min(digestMost, max(0, n))) }
+func loadCount(n int) byte { return byte(min(maxLoadCount, max(0, n))) }
 
 // PackLoads writes eight bytes for each row; counts above 255 and ages above 12.75 s are cut to that.
 func PackLoads(rows []LoadRow) []byte {
-	digest := make([]byte, 0, digestRow*len(rows))
+	digest := make([]byte, 0, loadRowSize*len(rows))
 	for i := range rows {
 		row := &rows[i]
 		digest = binary.BigEndian.AppendUint32(digest, TargetHash(row.Target))
-		digest = append(digest, small(row.Running), small(row.Waiting), small(row.Slots), small(int(row.Age/digestStep)))
+		digest = append(digest, loadCount(row.Running), loadCount(row.Waiting), loadCount(row.Slots), loadCount(int(row.Age/loadAgeUnit)))
 	}
 	return digest
 }
 
 // UnpackLoads reads what PackLoads wrote; rows of targets that are not in names are left out.
 func UnpackLoads(digest []byte, names map[uint32]LoadRow) []LoadRow {
-	rows := make([]LoadRow, 0, len(digest)/digestRow)
-	for ; len(digest) >= digestRow; digest = digest[digestRow:] {
+	rows := make([]LoadRow, 0, len(digest)/loadRowSize)
+	for ; len(digest) >= loadRowSize; digest = digest[loadRowSize:] {
 		row, ok := names[binary.BigEndian.Uint32(digest)]
 		if !ok {
 			continue
 		}
 		row.Running, row.Waiting, row.Slots = int(digest[4]), int(digest[5]), int(digest[6])
-		row.Age = time.Duration(digest[7]) * digestStep
+		row.Age = time.Duration(digest[7]) * loadAgeUnit
 		rows = append(rows, row)
 	}
 	return rows
--- a/proto/errors.go
+++ b/proto/errors.go
@@ -25,14 +25,14 @@
 	KindDenied Kind = "denied"
 )
 
-// Classed is what every package's error type implements, so that callers can branch on kinds across packages.
-type Classed interface{ ErrorKind() Kind }
+// KindedError is what every package's error type implements, so that callers can branch on kinds across packages.
+type KindedError interface{ ErrorKind() Kind }
 
 // KindOf returns the kind of the first error in the chain that has one, or "".
 func KindOf(err error) Kind {
-	var classed Classed
-	if errors.As(err, &classed) {
-		return classed.ErrorKind()
+	var kinded KindedError
+	if errors.As(err, &kinded) {
+		return kinded.ErrorKind()
 	}
 	return ""
 }
--- a/proto/errors_test.go
+++ b/proto/errors_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-type otherSource struct{}
+type otherPackage struct{}
 
-func (otherSource) Package() string { return "other" }
+func (otherPackage) Package() string { return "other" }
 
-// TestErrorsOfPackagesAreToldApart holds that a generic error type is one type for each package.
-func TestErrorsOfPackagesAreToldApart(t *testing.T) {
+// TestErrorTypesOfPackagesAreDistinct holds that a generic error type is one type for each package.
+func TestErrorTypesOfPackagesAreDistinct(t *testing.T) {
 	cause := errors.New("it broke")
-	var err error = &OpError[otherSource]{Op: "read", Kind: KindUnavailable, Err: cause}
+	var err error = &OpError[otherPackage]{Op: "read", Kind: KindUnavailable, Err: cause}
 	if got, want := err.Error(), "other: read: unavailable: it broke"; got != want {
 		t.Errorf("%q, want %q", got, want)
 	}
--- a/proto/pack_test.go
+++ b/proto/pack_test.go
@@ -19,7 +19,7 @@
 	return a
 }
 
-func TestLongMessagesArePacked(t *testing.T) {
+func TestLongMessagesAreCompressed(t *testing.T) {
 	news := News{}
 	for i := range 100 {
 		news.Alive = append(news.Alive, Alive{VM: VM(fmt.Sprint("vm-", i)), Zone: "r/z", Peer: netip.MustParseAddrPort("10.0.0.1:80"), Incarnation: 9, Sequence: uint64(i)})
@@ -29,7 +29,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		plain, err := encoding.Marshal(m)
+		plain, err := encMode.Marshal(m)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -37,17 +37,17 @@
 		if err != nil || !reflect.DeepEqual(got, m) || env.Call != 5 || !env.Answer {
 			t.Fatalf("%T: %v, %+v", m, err, env)
 		}
-		if len(plain) >= packFrom && len(data) > len(plain)/2 {
+		if len(plain) >= compressMinSize && len(data) > len(plain)/2 {
 			t.Errorf("%T: %d bytes of %d", m, len(data), len(plain))
 		}
-		if len(plain) < packFrom && env.Packed != nil {
+		if len(plain) < compressMinSize && env.Compressed != nil {
 			t.Errorf("%T of %d bytes is packed", m, len(plain))
 		}
 	}
 }
 
-// TestAPackedMessageThatGrowsTooLargeIsRefused has a sender pack much more than a message may hold.
-func TestAPackedMessageThatGrowsTooLargeIsRefused(t *testing.T) {
+// TestOversizedDecompressedMessageIsRejected has a sender pack much more than a message may hold.
+func TestOversizedDecompressedMessageIsRejected(t *testing.T) {
 	var packed bytes.Buffer
 	w, err := flate.NewWriter(&packed, flate.BestCompression)
 	if err != nil {
@@ -62,7 +62,7 @@
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
-	data, err := encoding.Marshal(Envelope{Kind: MessageNews, Packed: packed.Bytes()})
+	data, err := encMode.Marshal(Envelope{Kind: MessageNews, Compressed: packed.Bytes()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +74,7 @@
 func BenchmarkPack(b *testing.B) {
 	for _, targets := range []int{150, 3000} {
 		list := targetList(targets)
-		plain, err := encoding.Marshal(list)
+		plain, err := encMode.Marshal(list)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/proto/peer.go
+++ b/proto/peer.go
@@ -370,6 +370,6 @@
 	Answer bool            `cbor:"3,keyasint,omitempty"`
 	Body   cbor.RawMessage `cbor:"4,keyasint,omitempty"`
 	Trace  string          `cbor:"5,keyasint,omitempty"`
-	// Packed is the body in compressed form, in place of Body.
-	Packed []byte `cbor:"6,keyasint,omitempty"`
+	// Compressed is the body in compressed form, in place of Body.
+	Compressed []byte `cbor:"6,keyasint,omitempty"`
 }
--- a/proto/proto_test.go
+++ b/proto/proto_test.go
@@ -12,7 +12,7 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-func TestRoundTrips(t *testing.T) {
+func TestEncodingRoundTrips(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(3)
 	properties := gopter.NewProperties(parameters)
 	properties.Property("a key carries its time", prop.ForAll(func(ms int64, b byte) bool {
@@ -53,7 +53,7 @@
 }
 
 // Files refer to each other, so a change of one is checked against all.
-func TestFilesBesideEachOther(t *testing.T) {
+func TestCheckFileAgainstOtherFiles(t *testing.T) {
 	body := func(name, workspace, pool, uses string) *File {
 		data := fmt.Appendf(nil, `{"kind":"deployment","name":%q,"workspaces":[{"name":%q,"weight":1,"keyHashes":["%064x"]}],
 "pools":[{"name":%q,"kind":"encoder","targets":[{"name":"t-%s","address":"127.0.0.1:1","zone":"r/a","vm":"v-%s"}]}],
--- a/proto/revision_test.go
+++ b/proto/revision_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestARevisionCrossesALink(t *testing.T) {
+func TestRevisionInMessageRoundTrips(t *testing.T) {
 	sent := Heartbeat{Incarnation: 3, Targets: Revision{Era: 2, Version: 70_000}}
 	data, err := Encode(sent, 0, false, "")
 	if err != nil {
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestARevisionReadsWell(t *testing.T) {
+func TestRevisionString(t *testing.T) {
 	for want, r := range map[string]Revision{"0": {}, "12": {Version: 12}, "3:12": {Era: 3, Version: 12}} {
 		if got := r.String(); got != want {
 			t.Errorf("%q, want %q", got, want)
--- a/proto/snapshot.go
+++ b/proto/snapshot.go
@@ -98,12 +98,12 @@
 		}
 	}
 	rest := buildSnapshot(s.Generation, others, s.Stops)
-	c.against(rest, file)
+	c.checkDuplicates(rest, file)
 	c.references(rest.WithFile(s.Generation, file))
 	return c.faults
 }
 
-func (c *checker) against(rest *Snapshot, file *File) {
+func (c *checker) checkDuplicates(rest *Snapshot, file *File) {
 	for i, w := range file.Workspaces {
 		if rest.Workspaces[w.Name] != nil {
 			c.add(fmt.Sprintf("$.workspaces[%d].name", i), "%q is declared by another file", w.Name)
@@ -142,17 +142,17 @@
 		}
 	}
 	for i, stage := range service.Stages {
-		at := fmt.Sprintf("%s.stages[%d]", path, i)
+		stagePath := fmt.Sprintf("%s.stages[%d]", path, i)
 		pool := all.Pools[stage.Pool]
 		if pool == nil {
-			c.add(at+".pool", "no pool is named %q", stage.Pool)
+			c.add(stagePath+".pool", "no pool is named %q", stage.Pool)
 			continue
 		}
 		if stage.Model != "" && !contains(pool.Models, stage.Model) {
-			c.add(at+".model", "pool %q has no model %q", stage.Pool, stage.Model)
+			c.add(stagePath+".model", "pool %q has no model %q", stage.Pool, stage.Model)
 		}
 		if stage.Stream && pool.Kind != PoolEngine {
-			c.add(at+".stream", "pool %q is of kind %s, only engines stream", stage.Pool, pool.Kind)
+			c.add(stagePath+".stream", "pool %q is of kind %s, only engines stream", stage.Pool, pool.Kind)
 		}
 	}
 }
@@ -170,7 +170,7 @@
 func (s *Snapshot) CheckStop(plan StopPlan) []string {
 	var empty []string
 	for name, pool := range s.Pools {
-		if s.poolEmptied(pool, plan.VM) {
+		if s.emptiesPool(pool, plan.VM) {
 			empty = append(empty, name)
 		}
 	}
@@ -178,19 +178,19 @@
 	return empty
 }
 
-func (s *Snapshot) poolEmptied(pool *Pool, vm VM) bool {
-	hit := false
+func (s *Snapshot) emptiesPool(pool *Pool, vm VM) bool {
+	found := false
 	for i := range pool.Targets {
 		target := &pool.Targets[i]
 		if target.VM == vm {
-			hit = true
+			found = true
 			continue
 		}
 		if _, planned := s.Stops[target.VM]; !planned {
 			return false
 		}
 	}
-	return hit
+	return found
 }
 
 // Leaving tells whether the VM has a planned stop that starts within the lead time.
@@ -210,7 +210,7 @@
 	longest := time.Duration(0)
 	for _, service := range s.Services {
 		for _, stage := range service.Stages {
-			if pool := s.Pools[stage.Pool]; pool != nil && pool.on(vm) {
+			if pool := s.Pools[stage.Pool]; pool != nil && pool.hasTargetOn(vm) {
 				longest = max(longest, service.Deadline.Std())
 			}
 		}
@@ -218,7 +218,7 @@
 	return longest
 }
 
-func (p *Pool) on(vm VM) bool {
+func (p *Pool) hasTargetOn(vm VM) bool {
 	for i := range p.Targets {
 		if p.Targets[i].VM == vm {
 			return true
