--- a/relay/accept.go
+++ b/relay/accept.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// accept reads and checks a request; nothing has run when it fails.
+// accept parses and checks a request. If it fails, nothing has run yet.
 func (s *Server) accept(w http.ResponseWriter, r *http.Request, startedAt time.Time) (*flow, *failure) {
 	req, err := s.dialect.ParseRequest(r)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return &failure{status: http.StatusUnauthorized, reason: "no workspace holds the key"}
 }
 
-// refuseStopping refuses a request that might still be at work when this daemon has to end.
+// refuseStopping refuses a request that might still be running when this daemon stops.
 func (f *flow) refuseStopping() *failure {
 	plan := f.server.stopping.Load()
 	if plan == nil {
@@ -66,7 +66,7 @@
 
 func (f *flow) readBody(r *http.Request, most int64) *failure {
 	control := http.NewResponseController(f.w)
-	// Deadlines of connections are moments of the system's clock, which the daemon's own may differ from.
+	// Connection deadlines use the system clock, which may differ from the daemon's own clock.
 	if err := control.SetReadDeadline(time.Now().Add(bodyReadTimeout)); err != nil {
 		f.server.log.Debug("no deadline can be set on a body", "request", f.req.ID, "error", err)
 	}
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// choosePool picks a pool by the route's weights; the request's id decides, so that a choice can be repeated.
+// choosePool picks a pool by the weights of the route. It hashes the request id, so that the choice is reproducible.
 func (f *flow) choosePool(table *Table) {
 	split := f.route.Split
 	sum := 0.0
--- a/relay/admit.go
+++ b/relay/admit.go
@@ -8,60 +8,67 @@
 	"emberlead/state"
 )
 
-// Figures of the admission of requests to pools of engines.
+// Parameters of the admission of requests to pools of engines.
 const (
-	// admitGap stands in for the shortest pause between events that streams of a pool allow, where no route names one.
+	// defaultMaxPause is the shortest allowed pause between stream events that is assumed for a pool none of whose
+	// routes sets one.
 	defaultMaxPause = 500 * time.Millisecond
-	// queueShare is the part of that pause which prompts should wait at the engines of a busy pool: with less, engines have nothing to
-	// read at times, and with the whole pause their streams are late, since prompts are read between the tokens of streams.
+	// queueFraction is the fraction of that pause for which prompts should wait at the engines of a busy pool. With
+	// less, engines run out of prompts at times; with the whole pause their streams are late, because engines read
+	// prompts between the tokens of streams.
 	queueFraction = 0.7
-	// queueMost is how many times that wait is too long for any request.
+	// maxQueueFactor is the multiple of the intended wait above which every request is refused.
 	maxQueueFactor = 3
-	// rateStep is by what part more or less is begun than engines read, if nothing waits there or twice of what should. With stages
-	// that take a second, a larger step swings.
+	// rateStep is the fraction by which more requests are admitted than engines read if nothing waits, and less if the
+	// wait is twice as long as intended. With stages that take a second, a larger step makes the load oscillate.
 	rateStep = 0.15
-	// rateLeast bounds how much less is begun than engines read.
+	// minRateFactor limits how far the admitted rate may drop below the rate at which engines read.
 	minRateFactor = 0.7
-	// idleShare is the part of the wait below which engines count as idle, and idleStep and idleRate how much is begun for them then at
-	// the least: so much more than they read, and the part of what they read without streams that they read beside these.
+	// Engines count as idle if prompts wait for less than idleFraction of the intended wait. Idle engines are given at
+	// least idleStep times the rate at which they currently read, and at least idleRate of the rate at which they could
+	// read without streams.
 	idleFraction, idleStep, idleRate = 0.25, 1.4, 0.5
-	// floorShare is the part of what can be begun that is left to all ranks, whatever the urgent ones ask for: urgent requests go
-	// first, and the least urgent ones are not refused as long as any more urgent ones come.
+	// floorFraction is the fraction of the admitted rate that is reserved for all ranks, regardless of the demand of
+	// higher ranks. Urgent requests go first, but the least urgent ones are not refused for as long as more urgent ones
+	// arrive.
 	floorFraction = 0.5
-	// floorStep is the floor of a rank as a part of that of the rank before. With one floor for all, what chance gives the few
-	// requests of a rank decides which of two ranks at their floors is served more often.
+	// floorStep is the floor of a rank relative to that of the next higher rank. If all floors were equal, chance would
+	// decide which of two ranks at their floors is served more, since these have few requests.
 	floorStep = 0.8
-	// busyFrom is the part of the wait from which on requests are to be admitted, and busyFor how long each word of that holds. While
-	// engines have less to read, nobody is asked and nothing is counted.
+	// Admission control starts when prompts wait for busyFraction of the intended wait, and lasts for busyDuration
+	// after each such observation. While the load is lower, no daemon is asked and nothing is counted.
 	busyFraction, busyDuration = 0.6, 2 * time.Second
-	// lostShare is the part of the engines that were usable lately below which a pool has lost so many that requests are to be
-	// admitted at once, before the prompts that are on their way make the engines late; lostFor is how long that holds.
+	// lostFraction is the fraction of the recently usable engines below which a pool counts as having lost many of
+	// them. Admission control then starts at once, before the prompts already on their way delay the remaining engines,
+	// and lasts for lostDuration.
 	lostFraction, lostDuration = 0.75, 5 * time.Second
-	// usualHalf is how soon the usual number of engines follows a smaller one.
+	// usualHalfLife is the half-life with which the usual number of engines follows a decrease.
 	usualHalfLife = 5 * time.Second
-	// rateHalf is the half-life of the rates of what is asked for and of what is read, and perHalf what such a sum is a second.
+	// rateHalfLife is the half-life of the sums of requested and of read tokens, and perHalfLife converts such a sum to
+	// a rate per second.
 	rateHalfLife = time.Second
 	perHalfLife  = math.Ln2
-	// returnsKept is how long it is remembered that a request was refused: callers come back within a third of their time.
+	// refusalTTL is how long a refused request is remembered. Callers come back within a third of their time.
 	refusalTTL = 10 * time.Second
-	// returnsMost bounds how many refused requests are remembered.
+	// maxRefusals limits the number of remembered refused requests.
 	maxRefusals = 50_000
-	// returnPart is the part of the time for which a request can wait and be in time, within which its caller is to come back.
+	// retryFraction is the fraction of a request's remaining slack within which its caller is told to come back.
 	retryFraction = 0.7
 )
 
-// engineLoad is what a pool of engines has to do, as far as the daemon that places for it knows.
+// engineLoad is the load of a pool of engines, as far as the daemon that places its requests knows it.
 type engineLoad struct {
-	// usable is the number of engines that take requests.
+	// usable is the number of engines that accept requests.
 	usable int
-	// waiting are the tokens of prompts that wait at engines while these read another one; most is how many all read in a second without streams beside, and read
-	// how many they have lately read.
+	// waitingTokens is the number of prompt tokens that wait while the engines read other prompts. maxRate is the number of
+	// tokens that all engines can read in a second without streams, and readRate is the number that they have recently
+	// read in a second.
 	waitingTokens, maxRate, readRate float64
-	// gap is the shortest pause that streams of the pool allow.
+	// maxPause is the shortest pause between events that the streams of the pool allow.
 	maxPause time.Duration
 }
 
-// queue is how long prompts wait at the engines before they are read.
+// queueTime returns how long prompts wait at the engines before they are read.
 func (l *engineLoad) queueTime() time.Duration {
 	rate := max(l.readRate, idleRate*l.maxRate)
 	if rate == 0 {
@@ -70,12 +77,12 @@
 	return min(time.Minute, time.Duration(l.waitingTokens/rate*float64(time.Second)))
 }
 
-// wanted is how long prompts should wait.
+// targetQueueTime returns how long prompts should wait.
 func (l *engineLoad) targetQueueTime() time.Duration {
 	return time.Duration(queueFraction * float64(l.maxPause))
 }
 
-// engineLoad returns what a pool has to do. Engines that failed last count for nothing until one answers.
+// engineLoad returns the load of a pool. Engines whose last request failed are ignored until one succeeds.
 func (f *Fleet) engineLoad(now time.Time, pool string) engineLoad {
 	load := engineLoad{maxPause: defaultMaxPause}
 	p := f.pool(pool)
@@ -98,7 +105,7 @@
 	return load
 }
 
-// waiting is how many tokens wait while the engine reads the prompt that it was given first.
+// waitingTokens returns how many tokens wait while the engine reads the oldest of its prompts.
 func (t *Target) waitingTokens() int {
 	if len(t.unreadPrompts) == 0 {
 		return 0
@@ -106,7 +113,8 @@
 	return t.unreadTokens - t.unreadPrompts[0].tokens
 }
 
-// shortestGap is the shortest pause that streams of the routes allow which have lately sent prompts.
+// shortestPause returns the shortest pause between events that is allowed by the routes that have sent prompts
+// recently.
 func (p *targetPool) shortestPause(now time.Time) time.Duration {
 	shortest := time.Duration(0)
 	for _, r := range p.prompts {
@@ -120,7 +128,8 @@
 	return shortest
 }
 
-// missingOf is how many tokens of shared parts engines read for a request of a route, on average.
+// missingTokens returns the average number of tokens of shared parts that engines have to read for a request of a
+// route.
 func (f *Fleet) missingTokens(now time.Time, pool, route string) float64 {
 	p := f.pool(pool)
 	if p == nil {
@@ -139,14 +148,15 @@
 	return r.missing.Value(now, promptHalfLife) / n
 }
 
-// admission decides which requests for a pool of engines are begun while the engines are busy: as many tokens a second as engines
-// read, somewhat more or less by what waits there, the urgent ranks first. It has a lock of its user.
+// admissionController decides which requests for a pool of engines are admitted while the engines are busy. It admits
+// about as many tokens per second as the engines read, adjusted by the length of their queues, and urgent ranks first.
+// Its user must hold a lock.
 type admissionController struct {
-	// asked is how many tokens requests of each rank bring.
+	// demand is the number of requested tokens by rank.
 	demand []state.DecayingSum
-	// refused holds when requests were refused first, by digest.
+	// refused holds the time of the first refusal of each refused request.
 	refused map[proto.RequestDigest]time.Time
-	// usual is the number of usable engines lately, as of usualAt, and lostUntil until when a loss of many of them counts.
+	// usual is the recent number of usable engines, as of usualAt. A loss of many engines counts until lostUntil.
 	usual     float64
 	usualAt   time.Time
 	lostUntil time.Time
@@ -157,7 +167,7 @@
 	return &admissionController{refused: map[proto.RequestDigest]time.Time{}}
 }
 
-// look takes in the load, and tells whether requests are to be admitted before they are begun.
+// observe records the load and reports whether admission control is on.
 func (a *admissionController) observe(now time.Time, load engineLoad) bool {
 	usable := float64(load.usable)
 	if usable < lostFraction*a.usual {
@@ -175,7 +185,7 @@
 	return now.Before(a.busyUntil)
 }
 
-// rate is how many tokens a second of requests are begun.
+// rate returns how many prompt tokens per second are admitted.
 func (a *admissionController) rate(load engineLoad) float64 {
 	over := float64(load.queueTime())/float64(load.targetQueueTime()) - 1
 	if over < idleFraction-1 {
@@ -184,7 +194,8 @@
 	return load.readRate * max(minRateFactor, 1-rateStep*over)
 }
 
-// share is the part of the requests of a rank that is begun: each rank has a floor, and what is left goes to the urgent ones first.
+// share returns the fraction of a rank's requests that is admitted. Each rank gets its floor, and the rest of the rate
+// goes to the most urgent ranks first.
 func (a *admissionController) share(now time.Time, rate float64, rank int) float64 {
 	asked, all := a.currentDemand(now)
 	if all <= rate || asked[rank] == 0 {
@@ -201,7 +212,7 @@
 	return min(1, floors[rank]+max(0, left)/asked[rank])
 }
 
-// askedNow is how many tokens a second the requests of each rank ask for, and of all.
+// currentDemand returns the requested tokens per second by rank, and their sum.
 func (a *admissionController) currentDemand(now time.Time) (demand []float64, all float64) {
 	demand = make([]float64, len(a.demand))
 	for r := range a.demand {
@@ -211,8 +222,8 @@
 	return demand, all
 }
 
-// floorsOf divides the part of the rate that is left to all ranks: so much of the requests of each is begun at least, less of each rank than
-// of the one before.
+// rankFloors distributes the reserved part of the rate: it returns the fraction of each rank's requests that is
+// admitted at least, which is smaller for each rank than for the one before.
 func rankFloors(asked []float64, rate float64) []float64 {
 	floors, step, sum := make([]float64, len(asked)), 1.0, 0.0
 	for r := range asked {
@@ -226,7 +237,7 @@
 	return floors
 }
 
-// decide answers for a request that brings so many tokens to read.
+// decide decides on a request that requires the given number of prompt tokens to be read.
 func (a *admissionController) decide(now time.Time, load engineLoad, ask *proto.AdmitAsk, tokens float64) proto.AdmitAnswer {
 	for len(a.demand) <= ask.Rank {
 		a.demand = append(a.demand, state.DecayingSum{})
@@ -234,7 +245,7 @@
 	a.demand[ask.Rank].Add(now, rateHalfLife, tokens)
 	slack := ask.Slack
 	if first, came := a.refused[ask.Digest]; came {
-		// Each refusal counts for one return: other callers may send the same.
+		// A refusal is credited to one retry only, because other callers may send the same request.
 		slack -= now.Sub(first)
 		delete(a.refused, ask.Digest)
 	}
@@ -248,11 +259,11 @@
 	return answer
 }
 
-// share01 maps a hash to a number from 0 to 1.
+// unitInterval maps a hash to a number from 0 to 1.
 func unitInterval(hash uint64) float64 { return float64(hash%10_000) / 10_000 }
 
-// comeBackIn is when the caller of a refused request is to come back: callers of the same moment come back at moments that are spread
-// over the time in which they can still be in time.
+// retryAfter returns when the caller of a refused request should come back. Callers that are refused together are
+// spread over the time in which they can still meet their goals.
 func retryAfter(seed uint64, slack time.Duration) time.Duration {
 	room := max(0, time.Duration(retryFraction*float64(slack))-minRetryWait)
 	return minRetryWait + time.Duration(unitInterval(state.Mix(seed))*float64(room))
@@ -265,7 +276,7 @@
 	a.refused[digest] = now
 }
 
-// sweep forgets the requests that were refused too long ago.
+// sweep forgets requests that were refused too long ago.
 func (a *admissionController) sweep(now time.Time) {
 	for digest, at := range a.refused {
 		if now.Sub(at) > refusalTTL {
--- a/relay/admit_test.go
+++ b/relay/admit_test.go
@@ -11,8 +11,9 @@
 	"emberlead/state"
 )
 
-// TestWhatIsBegunIsDividedByRank has requests of some ranks ask for any rates of tokens, beside any rate at which engines read. No more is
-// begun than that, each rank has a part, and none a larger one than a more urgent rank.
+// TestAdmissionSharesByRank lets several ranks request tokens at arbitrary rates, with an arbitrary rate at which
+// engines read. The admitted rate must not exceed the latter, each rank must get a share, and no rank a larger one than
+// a more urgent rank.
 func TestAdmissionSharesByRank(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
 	properties.Property("divided by rank", prop.ForAll(func(tokens []float64, rate float64) bool {
@@ -36,7 +37,8 @@
 	properties.TestingRun(t)
 }
 
-// TestRanksAtTheirFloors has the most urgent requests ask for more than can be begun: what is left to the others falls by rank.
+// TestAdmissionFloorsDecreaseByRank lets the most urgent rank request more than can be admitted. The shares of the
+// others, which are at their floors, must decrease by rank.
 func TestAdmissionFloorsDecreaseByRank(t *testing.T) {
 	a := newAdmissionController()
 	for range 4 {
--- a/relay/admitask.go
+++ b/relay/admitask.go
@@ -8,11 +8,11 @@
 	"emberlead/state"
 )
 
-// admit asks whether to begin a request for a pool of engines while these are busy. What they cannot take in time is refused before
-// anything is done for it.
+// admit asks whether a request for a pool of engines may start while the engines are busy. Requests that the engines
+// cannot handle in time are refused before any work is done for them.
 func (f *flow) admit(ctx context.Context) *failure {
 	if f.spec.Engine == nil || f.req.After > 0 {
-		// Who has a part of the answer loses it by a refusal.
+		// The caller has a part of the stream already, and would lose it if the rest were refused.
 		return nil
 	}
 	until := f.timeToEngine()
@@ -30,7 +30,7 @@
 	return f.notRunFailure(min(answer.RetryAfter, max(minRetryWait, f.timeLeft()/retryAfterDivisor)), "the pool's engines have too much to read for the request to be in time")
 }
 
-// untilEngine is how long the stages of the request take on average, with their queues.
+// timeToEngine returns the average time that the stages of the request take, including their queues.
 func (f *flow) timeToEngine() time.Duration {
 	longest := time.Duration(0)
 	for i := range f.route.Stages {
@@ -41,7 +41,7 @@
 	return longest
 }
 
-// meanFrom is how long a stage and those after it take on average, with their queues.
+// averageTimeFrom returns the average time that a stage and the stages that depend on it take, including their queues.
 func (f *flow) averageTimeFrom(stage int) time.Duration {
 	rest := time.Duration(0)
 	for i := range f.route.Stages {
@@ -53,8 +53,8 @@
 	return f.server.pieces.QueueTime(pool, f.rank) + f.server.callTimes.mean(pool, f.stageCallTime(stage)) + rest
 }
 
-// Admit returns whether to begin a request, by the daemon that places for its pool, which is returned as well. While the pool is not
-// busy nobody is asked; without an answer it is begun.
+// Admit returns whether to start a request, and the daemon that decided it, which is the owner of the pool's placement.
+// The owner is not asked while the pool is not busy. If the owner does not answer, the request is admitted.
 func (p *Placer) Admit(ctx context.Context, ask proto.AdmitAsk) (proto.AdmitAnswer, proto.VM) {
 	owner := p.peers.Owner(placementTaskPrefix+ask.Pool, nil)
 	if owner == "" || owner == p.self {
@@ -78,7 +78,7 @@
 	return answer, owner
 }
 
-// DecideAdmission answers whether to begin a request.
+// DecideAdmission decides whether to start a request. It runs on the owner of the pool's placement.
 func (p *Placer) DecideAdmission(ask proto.AdmitAsk) proto.AdmitAnswer {
 	now := p.clock.Now()
 	load := p.fleet.engineLoad(now, ask.Pool)
@@ -101,7 +101,7 @@
 	return a
 }
 
-// isBusy tells whether requests for a pool that this daemon places for are to be admitted before they are begun.
+// isBusy reports whether admission control is on for a pool that this daemon owns.
 func (p *Placer) isBusy(now time.Time, pool string) bool {
 	load := p.fleet.engineLoad(now, pool)
 	p.admitMu.Lock()
@@ -109,7 +109,7 @@
 	return p.admissionOf(pool).observe(now, load)
 }
 
-// noteBusy takes in the word of the daemon that places for a pool.
+// recordBusy records that the owner of a pool reported it as busy.
 func (p *Placer) recordBusy(pool string, busy bool) {
 	if !busy {
 		return
--- a/relay/answer.go
+++ b/relay/answer.go
@@ -11,13 +11,13 @@
 const routeStream = proto.RouteStream
 
 const (
-	// eventMost bounds one event of a stream.
+	// maxEventBytes limits the size of one event of a stream.
 	maxEventBytes = 1 << 20
-	// readSize is the size of one read; events are some hundred bytes.
+	// readSize is the size of one read. Events have a few hundred bytes.
 	readSize = 8 << 10
 )
 
-// hopHeaders concern only one connection and are not passed on.
+// hopHeaders apply to a single connection and are not forwarded.
 var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length"}
 
 func (f *flow) copyHeader(h http.Header) {
@@ -32,7 +32,7 @@
 		to.Set("Connection", "close")
 	}
 	if len(h["Content-Type"]) == 0 {
-		// Nil keeps the server from guessing a type that the target did not state.
+		// A nil value keeps net/http from guessing a type that the target did not state.
 		to["Content-Type"] = nil
 	}
 }
@@ -47,7 +47,7 @@
 	}
 }
 
-// cutEvents splits off what follows the last blank line, which is not a whole event yet.
+// splitEvents splits data after the last blank line; the rest is an incomplete event.
 func splitEvents(data []byte) (whole, rest []byte) {
 	end := bytes.LastIndex(data, []byte("\n\n"))
 	if crlf := bytes.LastIndex(data, []byte("\r\n\r\n")); crlf >= 0 && crlf+2 > end {
@@ -59,7 +59,7 @@
 	return data[:end+2], append([]byte(nil), data[end+2:]...)
 }
 
-// passEvents writes whole events, without those that the caller has from an earlier target.
+// forwardEvents writes complete events to the caller, except those that the caller already has from another target.
 func (f *flow) forwardEvents(h http.Header, events []byte) error {
 	if !f.committed {
 		f.copyHeader(h)
@@ -87,7 +87,7 @@
 	return http.NewResponseController(f.w).Flush()
 }
 
-// bringsNew tells whether events hold one that the caller does not have yet.
+// hasNewEvents reports whether events contain one that the caller does not have yet.
 func (f *flow) hasNewEvents(events []byte) bool {
 	for len(events) > 0 {
 		event, rest := firstEvent(events)
@@ -112,7 +112,7 @@
 	return events, nil
 }
 
-// eventID returns the id of an event, if it has one that is a number.
+// eventID returns the id of an event, if it has a numeric one.
 func eventID(event []byte) (int, bool) {
 	for line := range bytes.Lines(event) {
 		value, ok := bytes.CutPrefix(line, []byte("id:"))
--- a/relay/answertimes.go
+++ b/relay/answertimes.go
@@ -7,14 +7,14 @@
 	"emberlead/proto"
 )
 
-// answerTimes remembers when requests were last answered, for as many as there is room: those that were answered longest ago
-// are forgotten first, half of them at a time.
+// answerTimes remembers when requests were last answered, for a limited number of requests. When it is full it drops
+// the older half.
 type answerTimes struct {
 	mu            sync.Mutex
 	recent, older map[proto.RequestDigest]time.Time
 }
 
-// note notes that a request was answered.
+// record records that a request was answered.
 func (a *answerTimes) record(now time.Time, request proto.RequestDigest) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -24,7 +24,7 @@
 	a.recent[request] = now
 }
 
-// last returns when a request was last answered, and false if that is not known.
+// last returns when a request was last answered, or false if it is unknown.
 func (a *answerTimes) last(request proto.RequestDigest) (time.Time, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -13,34 +13,39 @@
 )
 
 const (
-	// leastLeft is the least time for which another attempt is worth making: the way there and back, and some work.
+	// minAttemptTime is the minimum remaining time for another attempt: one round trip and some work.
 	minAttemptTime = 20 * time.Millisecond
-	// startWaits is how many times what is nearly always enough an answer may take to begin before another target is
-	// asked: a second attempt costs as much work as the first, and takes as long.
+	// startDelayFactor is the multiple of the typical upper bound of the time to the first event or the response after
+	// which another target is tried. It is large because a second attempt costs as much work as the first one and takes
+	// as long.
 	startDelayFactor = 4
-	// startLeast is how long an answer may take to begin however quick answers were so far: on a busy machine the daemon, and the
-	// target, wait for their turn while others use up their slices, of some milliseconds each.
+	// minStartTimeout is the minimum of that delay, however fast responses have been so far: on a busy machine the
+	// daemon and the target wait for their turn while other processes use up their time slices of a few milliseconds
+	// each.
 	minStartTimeout = 50 * time.Millisecond
-	// answerPrior is the time of a plain answer before the pool was observed.
+	// initialResponseTime is the upper bound of the time to a response before any was observed for the pool.
 	initialResponseTime = 60 * time.Millisecond
-	// gapWaits is how many times the longest pause in time a stream may be silent before another target is asked to go on with it;
-	// it is late by then, and going on elsewhere has its prompt read again.
+	// silenceFactor is the multiple of the route's longest allowed pause for which a stream may be silent before
+	// another target is asked to resume it. By then the stream is late, and resuming it elsewhere requires the prompt
+	// to be read again.
 	silenceFactor = 2.2
-	// gapStarts is how many times what a first event nearly always takes such a silence lasts at the least.
+	// minSilenceStarts is the minimum of that silence, as a multiple of the upper bound of the time to the first event.
 	minSilenceStarts = 3
-	// attemptsMost bounds the attempts of one request, refused ones included, and besideMost those that are at work at a time.
+	// maxAttempts limits the attempts of one request, including refused ones, and maxConcurrentAttempts those that run
+	// at the same time.
 	maxAttempts           = 6
 	maxConcurrentAttempts = 2
-	// answerMost bounds an answer that is held until it is whole.
+	// maxResponseBytes limits a response that is buffered until it is complete.
 	maxResponseBytes = 16 << 20
-	// restartGrace is how long after a target's next run is known an attempt at the last one goes on, so that what that
-	// one sent before its end is still read: a way of some milliseconds, and a busy daemon's delay.
+	// restartGrace is how long an attempt continues after the target's next run has become known, so that what the
+	// previous run sent before it ended is still read. It covers a network delay of a few milliseconds and the delay of
+	// a busy daemon.
 	restartGrace = 250 * time.Millisecond
-	// waitBusy is when to come back to a pool whose targets refuse work.
+	// busyRetryAfter is the Retry-After for a pool whose targets refuse requests.
 	busyRetryAfter = 300 * time.Millisecond
 )
 
-// Causes of an attempt's end by this daemon.
+// Causes with which this daemon cancels an attempt.
 var (
 	errSuperseded      = errors.New("another target answered first")
 	errDeadlineReached = errors.New("the time for the request is over")
@@ -48,20 +53,20 @@
 	errTargetRestarted = errors.New("the target has started again")
 )
 
-// attemptEnd is what came of an attempt.
+// attemptResult is the outcome of an attempt.
 type attemptResult struct {
-	// done says that the whole answer went out.
+	// done is set if the complete response was forwarded.
 	done bool
-	// notRun says that the target certainly did not run the request; sent says that it reached the target.
+	// notRun is set if the target certainly did not run the request, and sent if the request reached the target.
 	notRun, sent bool
-	// lostInput says that the target did not run it since an input is gone.
+	// lostInput is set if the target did not run the request because an input no longer exists.
 	lostInput bool
-	// answer is a whole failure answer of the target that may be passed on if nothing better comes.
+	// response is a complete failure response of the target, which is forwarded if no better response arrives.
 	response *bufferedResponse
 	reason   string
-	// otherTarget says that another target has the address, and err is why the request was not sent or not answered.
+	// misdirected is set if another target has the address. err is why the request was not sent or not answered.
 	misdirected bool
-	// noTarget says that no target of the pool may get work now.
+	// noTarget is set if no target of the pool may get the request now.
 	noTarget bool
 	err      error
 }
@@ -72,8 +77,8 @@
 	body   []byte
 }
 
-// runSelf makes attempts until one answers, or no other is allowed or sensible. lost says that inputs must be made
-// anew first.
+// runAttempts makes attempts until one succeeds or no further one is allowed or useful. lost is set if the inputs have
+// to be rebuilt first.
 func (f *flow) runAttempts(ctx context.Context) (fail *failure, lost bool) {
 	s := f.server
 	r := newRace(ctx, f)
@@ -123,7 +128,7 @@
 	return f.notRunFailure(f.targetRetryAfter(&last), last.reason), false
 }
 
-// passReady passes on the failure answer of a target that nothing better came after, if there is one.
+// forwardFallback forwards the failure response of a target, if there is one and nothing was sent to the caller yet.
 func (f *flow) forwardFallback() bool {
 	if f.fallback == nil || f.committed {
 		return false
@@ -142,7 +147,7 @@
 	return &failure{status: http.StatusServiceUnavailable, wait: minRetryWait, reason: "the time is over: " + reason}
 }
 
-// cutShort is the answer to a request that has not ended when the daemon does.
+// shutdownFailure is the response to a request that is unfinished when the daemon exits.
 func (f *flow) shutdownFailure() *failure {
 	if f.runs > 0 {
 		return &failure{status: http.StatusGatewayTimeout, reason: "the daemon stops while a target runs the request"}
@@ -167,7 +172,8 @@
 	return true
 }
 
-// spendRetry takes a further attempt out of the pool's budget, if there is one left; last is why it is to be made.
+// spendRetry takes a further attempt from the retry budget of the pool, if there is any left. last is the reason for
+// the attempt.
 func (f *flow) spendRetry(last string) bool {
 	s := f.server
 	share := s.peers.Share()
@@ -179,7 +185,7 @@
 	return ok
 }
 
-// Reasons for which no target is chosen.
+// Reasons why no target was chosen.
 const (
 	reasonNoTarget          = "the pool has no target that may get work"
 	reasonNoTargetInRegions = "the pool has no target in the regions that the request is bound to"
@@ -189,7 +195,7 @@
 	reasonRateLimited       = "what the targets of the pool take by the limits that they name is used up for the moment"
 )
 
-// noteNoTarget logs what the targets of the pool signal, if anything.
+// logNoTarget logs what the targets of the pool signal, if anything.
 func (f *flow) logNoTarget(reason string) {
 	if lines := f.server.placer.signalLogEntries(f.pool); len(lines) > 0 {
 		f.logInfo("no target", "pool", f.pool, "reason", reason, "targetSignals", lines)
@@ -215,8 +221,9 @@
 	return reasonNoTarget
 }
 
-// waitForTarget is when a caller should come back for whom no target took the request: where targets are cold, when the first
-// of them is warm, and where they name limits or want rest, when one may get a request again.
+// targetRetryAfter returns when a caller should come back whose request no target accepted. If targets are cold, that
+// is when the first one is warm; if targets have rate limits or ask for backoff, when one of them may get a request
+// again.
 func (f *flow) targetRetryAfter(last *attemptResult) time.Duration {
 	if !last.noTarget {
 		return busyRetryAfter
@@ -234,7 +241,7 @@
 	return f.limitRetryAfter(wait)
 }
 
-// comeBackIn is when a caller should come back for whom there is room after a time, while it still waits for an answer.
+// limitRetryAfter limits a wait to the fraction of the remaining time for which callers still wait for a response.
 func (f *flow) limitRetryAfter(wait time.Duration) time.Duration {
 	return max(busyRetryAfter, min(wait, f.timeLeft()/retryAfterDivisor))
 }
@@ -251,42 +258,43 @@
 	return w
 }
 
-// attempt is one request to one target. A goroutine of its own sends it and reads the answer; all else is up to the goroutine of its
-// request, to which it tells what came.
+// attempt is one request to one target. Its own goroutine sends the request and reads the response; everything else is
+// done by the goroutine of the request, which receives updates from it.
 type attempt struct {
 	race      *race
 	placement *Placement
-	// ctx ends the attempt; its cause says why, if this daemon ended it.
+	// ctx is the context of the attempt. If this daemon canceled it, the cause says why.
 	ctx       context.Context
 	cancel    context.CancelCauseFunc
 	span      trace.Span
 	startedAt time.Time
-	// starting is how long it may take to begin before another one is made beside it.
+	// startDelay is how long the attempt may take to start answering before another one is made.
 	startDelay hedgeDelay
-	// keepInputs stops the timer that gives the inputs up, and release stops the watch for the end of the target's run.
+	// cancelFreeing stops the timer that frees the inputs, and stopWatching stops watching for the end of the target's
+	// run.
 	cancelFreeing, stopWatching func()
 
 	verdict HealthVerdict
 	load    Load
-	// late says that it has taken longer than it should, which was held against its target already.
+	// late is set if the attempt has taken too long, which was already reported as a failure of its target.
 	late bool
-	// returns says that its target may have run the request already.
+	// repeated is set if the target may have run the request before.
 	repeated bool
-	// counted says that it is among the runs of the request, first that its first event has come, and answered that the whole answer
-	// did, which is no failure.
+	// counted is set if the attempt is counted in the runs of the request, first if its first event has arrived, and
+	// answered if the complete response has arrived and is not a failure.
 	counted, first, answered bool
 }
 
-// lateBound is how long an attempt may take to begin, and what that rests on.
+// hedgeDelay is how long an attempt may be silent before another one is made, and what this is based on.
 type hedgeDelay struct {
 	delay time.Duration
-	// usual is what is nearly always enough.
+	// typical is the upper bound that is nearly always sufficient.
 	typical time.Duration
-	// basis is what the wait rests on.
+	// basis names the rule that determined the delay.
 	basis string
 }
 
-// What a lateBound may rest on.
+// What a hedgeDelay may be based on.
 const (
 	basisTypical = "what is usual"
 	basisGoal    = "the goal of the route"
@@ -295,7 +303,8 @@
 	basisGap     = "the pause that the route allows"
 )
 
-// startBound is how long a target may take to begin before another is asked to run the request too.
+// startHedgeDelay returns how long a target may take to start answering before another one is asked to run the request
+// too.
 func (f *flow) startHedgeDelay() hedgeDelay {
 	timeLeft := f.timeLeft()
 	if f.route.Kind == routeStream {
@@ -306,18 +315,19 @@
 	return hedgeDelayFor(usual, startDelayFactor).atLeast(f.route.LatencyGoal, basisGoal).atMost(timeLeft / 2)
 }
 
-// silenceBound is how long a stream that has begun may be silent before another target is asked to go on with it.
+// silenceHedgeDelay returns how long a stream that has started may be silent before another target is asked to resume
+// it.
 func (f *flow) silenceHedgeDelay() hedgeDelay {
 	return hedgeDelayFor(f.timeToFirstEvent(), minSilenceStarts).atLeast(time.Duration(silenceFactor*float64(f.route.MaxPause)), basisGap)
 }
 
-// lateAfter is a multiple of what is usual, and the least that is waited for.
+// hedgeDelayFor returns a multiple of the typical upper bound, but at least minStartTimeout.
 func hedgeDelayFor(typical time.Duration, times int) hedgeDelay {
 	w := hedgeDelay{delay: time.Duration(times) * typical, typical: typical, basis: basisTypical}
 	return w.atLeast(minStartTimeout, basisLeast)
 }
 
-// orLater is the bound, or a later one that rests on something else.
+// atLeast returns the delay, or a longer one with another basis.
 func (w hedgeDelay) atLeast(delay time.Duration, basis string) hedgeDelay {
 	if delay > w.delay {
 		w.delay, w.basis = delay, basis
@@ -325,7 +335,7 @@
 	return w
 }
 
-// within is the bound, or an earlier one for want of time.
+// atMost returns the delay, or a shorter one if less time is left.
 func (w hedgeDelay) atMost(limit time.Duration) hedgeDelay {
 	if limit < w.delay {
 		w.delay, w.basis = limit, basisLeft
@@ -333,8 +343,8 @@
 	return w
 }
 
-// nextAttempt chooses a target for an attempt: a new one as long as the route allows one, and else one whose attempt was given up for
-// another, which has failed or is late; nil if there is none.
+// nextAttempt chooses a target for an attempt: a new one while the route allows one, and otherwise one whose attempt
+// was canceled in favor of another, which has failed or is late since. It returns nil if there is none.
 func (r *race) nextAttempt() *attempt {
 	if r.possibleRuns() < r.flow.maxRuns() {
 		if a := r.newAttempt(); a != nil {
@@ -344,13 +354,13 @@
 	return r.repeatAttempt()
 }
 
-// newAttempt chooses a target that was not tried yet; nil if there is none.
+// newAttempt chooses a target that has not been tried yet. It returns nil if there is none.
 func (r *race) newAttempt() *attempt {
 	f := r.flow
 	return r.attemptAt(f.server.placer.Choose(r.ctx, f.pool, f.criteria()))
 }
 
-// returningAttempt chooses a target whose attempt was given up, each once; nil if there is none.
+// repeatAttempt chooses a target whose attempt was canceled, each of them once. It returns nil if there is none.
 func (r *race) repeatAttempt() *attempt {
 	f := r.flow
 	for len(f.superseded) > 0 {
@@ -400,7 +410,7 @@
 	go x.run(out)
 }
 
-// freeOnceFetched gives the inputs up when the target has had the time to fetch them, unless it is stopped before.
+// freeInputsAfterFetch frees the inputs once the target has had enough time to fetch them. stop cancels this.
 func (a *attempt) freeInputsAfterFetch() (stop func()) {
 	f := a.race.flow
 	if len(f.inputHandles) == 0 {
@@ -408,13 +418,13 @@
 	}
 	stageResults := f.stageResults
 	timer := f.server.clock.AfterFunc(f.server.fetches.keepTime(f.pool), func() {
-		// AfterFunc may run in the goroutine of the clock, which must not wait for a lock.
+		// AfterFunc may run in the goroutine of the clock, which must not block on a lock.
 		go f.freeResults(stageResults)
 	})
 	return func() { timer.Stop() }
 }
 
-// noteFetched learns whether inputs that were given up before the target answered were fetched by then.
+// recordFetch learns whether inputs that were freed before the target answered had been fetched by then.
 func (f *flow) recordFetch(sent time.Time, fetched bool) {
 	if !f.inputsFreed() {
 		return
@@ -425,7 +435,7 @@
 	}
 }
 
-// ran counts the attempt among those that reached a target and may have run there.
+// markRun counts the attempt among those that reached a target and may have run there.
 func (a *attempt) markRun() {
 	if a.counted {
 		return
@@ -437,14 +447,14 @@
 	}
 }
 
-// bad holds a failure against the target, once for each attempt.
+// markFailed reports a failure of the target, once per attempt.
 func (a *attempt) markFailed() {
 	if !a.late {
 		a.verdict = VerdictFailure
 	}
 }
 
-// failed takes in that no answer, or no whole one, came.
+// handleError handles a missing or truncated response.
 func (a *attempt) handleError(err error, reason string) attemptResult {
 	result := attemptResult{reason: reason, err: err}
 	var sendErr *SendError
@@ -459,7 +469,7 @@
 		a.markFailed()
 		result.reason = cause.Error()
 	case errors.Is(cause, errDeadlineReached), errors.Is(cause, errClosing):
-		// Most of the time may have gone into the stages, so this alone says nothing of the target.
+		// Most of the time may have been spent on the stages, so this alone says nothing about the target.
 		result.reason = cause.Error()
 	case a.ctx.Err() != nil:
 		result.reason = "the caller left"
@@ -469,7 +479,7 @@
 	return result
 }
 
-// refused takes in that the target did not run the request.
+// handleRefusal handles a response of a target that did not run the request.
 func (a *attempt) handleRefusal(status int, reply ResponseInfo) attemptResult {
 	a.race.flow.sent++
 	result := attemptResult{notRun: true, sent: true, lostInput: reply.LostInput, misdirected: reply.Misdirected}
@@ -487,7 +497,8 @@
 	return result
 }
 
-// whole takes in an answer of which nothing was passed on before its end, so that one that is cut never looks whole.
+// handleResponse handles a complete response, none of which was forwarded before its end, so that a truncated response
+// never looks complete.
 func (a *attempt) handleResponse(response *bufferedResponse) attemptResult {
 	f := a.race.flow
 	a.verdict = VerdictSuccess
@@ -501,18 +512,18 @@
 	return attemptResult{done: true, sent: true}
 }
 
-// streamBegins takes in the first events.
+// handleStreamStart handles the first events of a stream.
 func (a *attempt) handleStreamStart() {
 	f := a.race.flow
 	a.first = true
 	a.placement.RecordResponseStart()
 	f.recordFirstEvent(f.server.clock.Now().Sub(a.startedAt))
-	// An engine has fetched all inputs before it reads the prompt.
+	// An engine fetches all inputs before it reads the prompt.
 	f.recordFetch(a.startedAt, true)
 	f.freeAllResults()
 }
 
-// streamEnded takes in the end of a stream, which is whole if the target ended it after a whole event.
+// handleStreamEnd handles the end of a stream. The stream is complete if the target ended it after a complete event.
 func (a *attempt) handleStreamEnd(update *attemptUpdate) attemptResult {
 	f := a.race.flow
 	if errors.Is(update.err, io.EOF) && !update.cut {
--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -17,66 +17,70 @@
 )
 
 const (
-	// crashLimit is how many targets may end while a request is at work there, without an answer between, before it is
-	// refused. An end accuses all that the target ran, of whom one at most caused it, so that with fewer many requests are refused
-	// where targets end by themselves in waves.
+	// crashLimit is the number of targets that may end while they run a request, without an answer in between, before
+	// the request is refused. The end of a target counts against every request that it ran, although at most one of
+	// them caused it. With a lower limit many innocent requests are refused when targets end in waves for other
+	// reasons.
 	crashLimit = 3
-	// answerCounts is for how long an answer by any target speaks for a request, and crashPopular is how many targets may end
-	// after it before it is refused all the same. A request that callers send all the time, such as a page that all read,
-	// is at work at most targets at any moment, and so at all that end together; it is answered each moment, while one
-	// that ends its targets is answered by none. Without this, requests that all callers send alike were refused for
-	// an hour when all three targets of a pool ended within a second.
+	// answerValidity is how long an answer from any target counts in favor of a request, and popularCrashLimit is the
+	// number of targets that may end after that answer before the request is refused nevertheless. A request that
+	// callers send all the time, such as a page that everyone reads, is running at most targets at any moment, and so
+	// at all targets that end together; but it is also answered all the time, whereas a request that crashes its
+	// targets is never answered. Without this rule, requests that all callers send alike were refused for an hour when
+	// all three targets of a pool ended within a second.
 	answerValidity    = time.Minute
 	popularCrashLimit = 4 * crashLimit
-	// answersMost bounds how many answered requests are remembered, at some 50 bytes each: those of the last seconds of a
-	// busy daemon, and whatever comes again and again.
+	// maxAnswers limits the number of answered requests that are remembered, at about 50 bytes each. It covers the last
+	// seconds of a busy daemon, and requests that recur.
 	maxAnswers = 8192
-	// crashKept is how long an end counts. A request that goes on ending targets costs three of them, and what is on
-	// its way, in each such time; targets may have new software by then.
+	// crashTTL is how long the end of a target counts. Per period, a request that keeps crashing targets ends three of
+	// them, and those that are running it when it is blocked. By the next period the targets may run other software.
 	crashTTL = time.Hour
-	// crashesMost bounds how many ends of targets under requests are remembered, at about 200 bytes each; it is some
-	// hundred targets' ends with all that these ran.
+	// maxCrashes limits the number of remembered pairs of request and ended target, at about 200 bytes each. It covers
+	// the ends of a few hundred targets with everything that they ran.
 	maxCrashes = 8192
-	// crashesDropped is one in how many of them makes room for new ones.
+	// crashDropDivisor determines the fraction, one in so many, of pairs that is dropped to make room.
 	crashDropDivisor = 4
 )
 
-// CrashTracker remembers which requests were at work at targets when these ended, whoever saw it. A nil *Crashes knows nothing.
+// CrashTracker remembers which requests were running at targets when these ended, as observed by any daemon. A nil
+// *CrashTracker remembers nothing.
 //
-// An end under a request is a fact that is only ever added, or marked as answered for: daemons that know different ones come
-// to agree by telling each other what they know, in any order and any number of times.
+// A pair of request and ended target is only ever added, or marked as answered. Daemons with different data therefore
+// converge by exchanging it, in any order and any number of times.
 type CrashTracker struct {
 	self     proto.VM
 	clock    clockwork.Clock
 	log      hclog.Logger
 	listener EndListener
 
-	// answers are when requests were last answered here.
+	// answers holds when requests were last answered by this daemon.
 	answers answerTimes
 
 	mu       sync.Mutex
 	requests map[proto.RequestDigest]crashRecord
 	size     int
 	digest   uint64
-	// refused is the number of requests that are refused, and suspected that of requests with ends that count; they
-	// spare requests the lock while there is nothing to look up.
+	// refused is the number of blocked requests, and suspected that of requests with ends that count against them. They
+	// save lookups under the lock while there is nothing to find.
 	refused, suspected atomic.Int64
 }
 
-// EndListener is told, without a lock held, which ends this daemon has learnt, and from which one; from itself if it saw them.
+// EndListener is called, without a lock held, with the ends that a daemon has newly learned and with the daemon that
+// sent them, or this daemon itself if it observed them.
 type EndListener func(m proto.TargetEnds, from proto.VM)
 
-// crashRecord holds the ends of targets under one request.
+// crashRecord holds the ends of targets that were running one request.
 type crashRecord map[proto.RunName]crash
 
-// crash is one end of a target under a request.
+// crash is the end of a target that was running a request.
 type crash struct {
 	at       time.Time
 	reporter proto.VM
 	answered bool
 }
 
-// NewCrashTracker returns a memory of no ends; news is told of each end that it learns.
+// NewCrashTracker returns an empty tracker. listener is called with each end that is added.
 func NewCrashTracker(self proto.VM, clock clockwork.Clock, log hclog.Logger, listener EndListener) *CrashTracker {
 	return &CrashTracker{self: self, clock: clock, log: log, listener: listener, requests: map[proto.RequestDigest]crashRecord{}}
 }
@@ -92,7 +96,8 @@
 	return n
 }
 
-// Blocks tells whether a request ended so many targets that it is run no more, and by what evidence.
+// Blocks reports whether a request is no longer run because too many targets ended while they ran it, and the evidence
+// for that.
 func (c *CrashTracker) Blocks(request proto.RequestDigest) (Evidence, bool) {
 	if c == nil || c.refused.Load() == 0 {
 		return Evidence{}, false
@@ -106,7 +111,7 @@
 	return record.evidence(c.clock.Now()), true
 }
 
-// Suspects tells whether an end of a target counts against a request.
+// Suspects reports whether any end of a target counts against a request.
 func (c *CrashTracker) Suspects(request proto.RequestDigest) bool {
 	if c == nil || c.suspected.Load() == 0 {
 		return false
@@ -116,7 +121,7 @@
 	return c.requests[request].counted() > 0
 }
 
-// Ended notes that a run of a target ended while requests were at work there.
+// Ended records that a target run ended while it was running requests.
 func (c *CrashTracker) Ended(run proto.RunName, at time.Time, requests []proto.RequestDigest) {
 	if c == nil || len(requests) == 0 {
 		return
@@ -125,8 +130,8 @@
 	c.Merge(proto.TargetEnds{Ends: []proto.TargetEnd{end}}, c.self)
 }
 
-// Answered notes that a target gave the whole answer to a request: it does not end each target that runs it, so the ends
-// known so far had other causes.
+// Answered records that a target completely answered a request. So the request does not crash every target that runs
+// it, and the known ends had other causes.
 func (c *CrashTracker) Answered(request proto.RequestDigest) {
 	if c == nil {
 		return
@@ -136,7 +141,7 @@
 	c.clear(now, request)
 }
 
-// clear marks the ends under a request as answered for.
+// clear marks the ends that count against a request as answered.
 func (c *CrashTracker) clear(now time.Time, request proto.RequestDigest) {
 	if !c.Suspects(request) {
 		return
@@ -152,7 +157,7 @@
 	c.Merge(m, c.self)
 }
 
-// Merge takes in ends that this daemon saw, or another one told.
+// Merge adds ends that this daemon observed or that another one sent.
 func (c *CrashTracker) Merge(m proto.TargetEnds, from proto.VM) {
 	if c == nil {
 		return
@@ -181,8 +186,8 @@
 	c.clearRecentlyAnswered(now, refused)
 }
 
-// speakFor clears requests that would be refused and that a target has answered here a short time before, unless too many
-// targets ended since.
+// clearRecentlyAnswered clears requests that are about to be refused but were answered here a short time before, unless
+// too many targets have ended since.
 func (c *CrashTracker) clearRecentlyAnswered(now time.Time, requests []proto.RequestDigest) {
 	for _, request := range requests {
 		answered, known := c.answers.last(request)
@@ -193,7 +198,8 @@
 	}
 }
 
-// endsSince returns how many targets ended under a request after a moment, also those that do not count any more.
+// endsSince returns how many targets that were running a request ended after a moment, including those that no longer
+// count.
 func (c *CrashTracker) endsSince(request proto.RequestDigest, at time.Time) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -206,8 +212,8 @@
 	return n
 }
 
-// learnEnd takes in one end and returns the requests for which it is news, and those that are refused from now on; the lock is
-// held.
+// mergeEnd adds an end. It returns the requests for which it is new and those that are refused from now on. The lock
+// must be held.
 func (c *CrashTracker) mergeEnd(now time.Time, end proto.TargetEnd) (added, refused []proto.RequestDigest) {
 	if end.Age > crashTTL {
 		return nil, nil
@@ -227,7 +233,7 @@
 	return added, refused
 }
 
-// put adds an end, or marks one as answered for, and tells whether that is news; the lock is held.
+// addEnd adds an end or marks it as answered, and reports whether that changed anything. The lock must be held.
 func (c *CrashTracker) addEnd(request proto.RequestDigest, run proto.RunName, e crash) bool {
 	record := c.requests[request]
 	if record == nil {
@@ -249,7 +255,7 @@
 	return true
 }
 
-// drop forgets an end; the lock is held.
+// removeEnd removes an end. The lock must be held.
 func (c *CrashTracker) removeEnd(request proto.RequestDigest, run proto.RunName) {
 	record := c.requests[request]
 	before := record.counted()
@@ -262,13 +268,13 @@
 	}
 }
 
-// recount keeps the totals when the ends that count against a request change.
+// updateTotals updates the totals after a change of the number of ends that count against a request.
 func (c *CrashTracker) updateTotals(before, after int) {
 	c.suspected.Add(int64(min(1, after) - min(1, before)))
 	c.refused.Add(int64(min(1, after/crashLimit) - min(1, before/crashLimit)))
 }
 
-// digest is that of one end, equal at all daemons that know it.
+// digest returns the hash of one end, which is the same on all daemons that know it.
 func (e crash) digest(request proto.RequestDigest, run proto.RunName) uint64 {
 	var key [9]byte
 	binary.BigEndian.PutUint64(key[:], uint64(request))
@@ -278,14 +284,14 @@
 	return state.RendezvousScore(xxhash.Sum64(key[:]), state.Hash(string(run)))
 }
 
-// Digest is equal at daemons that know the same ends; 0 if none is known.
+// Digest returns a hash that is the same on daemons that know the same ends; 0 if none is known.
 func (c *CrashTracker) Digest() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.digest
 }
 
-// Snapshot returns all ends that are known.
+// Snapshot returns all known ends.
 func (c *CrashTracker) Snapshot() proto.TargetEnds {
 	type key struct {
 		run      proto.RunName
@@ -313,7 +319,7 @@
 	return m
 }
 
-// Sweep forgets ends that are too old to count; it comes every second or so.
+// Sweep removes ends that are too old to count. It is called about once per second.
 func (c *CrashTracker) Sweep() {
 	now := c.clock.Now()
 	c.mu.Lock()
@@ -327,8 +333,8 @@
 	}
 }
 
-// makeRoom forgets ends under requests that are least suspected, the oldest first, when there are too many; the lock is
-// held. What is refused stays refused.
+// evict removes the oldest of the ends of the least suspected requests if there are too many. The lock must be held.
+// Requests that are refused stay refused.
 func (c *CrashTracker) evict() {
 	if c.size <= maxCrashes {
 		return
--- a/relay/crashes_test.go
+++ b/relay/crashes_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// TestARefusalNamesTheTimeAfterWhichTheRequestIsRunAgain waits for that time, and for a little less.
+// TestBlockedRequestRunsAfterRetryAfter checks the tracker shortly before and after the time that it names for a retry.
 func TestBlockedRequestRunsAfterRetryAfter(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(start)
 	c := newTestCrashTracker(clock)
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestDaemonsThatTellEachOtherAgree gives random facts to several daemons in random orders, some more than once, and has them
-// tell each other all they know: they refuse the same requests, and show it by equal digests.
+// TestCrashTrackersConverge gives random ends to several trackers in random order, some of them repeatedly, and lets
+// the trackers exchange their data. They must then block the same requests and have the same digest.
 func TestCrashTrackersConverge(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(1)
 	parameters.MinSuccessfulTests = 200
@@ -152,7 +152,8 @@
 	properties.TestingRun(t)
 }
 
-// TestTheMemoryOfEndsIsBounded has more targets end under more requests than are remembered, beside one that ends them.
+// TestCrashTrackerSizeIsLimited lets more targets end under more requests than the tracker holds, along with a request
+// that crashes them.
 func TestCrashTrackerSizeIsLimited(t *testing.T) {
 	const guilty = proto.RequestDigest(1 << 60)
 	clock := clockwork.NewFakeClockAt(start)
@@ -186,7 +187,7 @@
 	}
 }
 
-// waveWork is a request at work in a pool whose targets end in waves.
+// waveWork is a request that is running in a pool whose targets end in waves.
 type waveWork struct {
 	digest proto.RequestDigest
 	target int
@@ -194,12 +195,12 @@
 	ends   int
 }
 
-// wavePool is a pool of a dozen targets with the requests at work there.
+// wavePool is a pool of twelve targets and the requests that are running there.
 type wavePool struct {
 	random  *rand.Rand
 	clock   *clockwork.FakeClock
 	crashes *CrashTracker
-	// runs name the targets' runs, and back is when those that ended are back.
+	// runs holds the run numbers of the targets, and back when those that ended are in service again.
 	runs [12]int
 	back [12]time.Time
 	next int
@@ -218,7 +219,8 @@
 	}
 }
 
-// wave ends some targets, with all that they ran: that goes on at other targets, as callers' and daemons' further tries do.
+// wave ends some targets. The requests that they were running continue at other targets, as after retries by callers
+// and daemons.
 func (p *wavePool) wave(share float64) {
 	for n := range p.runs {
 		if p.random.Float64() >= share || p.inService() < 3 {
@@ -249,7 +251,7 @@
 	return n
 }
 
-// goOn gives what was at work at targets that ended to others, unless it is refused.
+// moveWork moves the requests of ended targets to others, unless they are blocked.
 func (p *wavePool) moveWork() {
 	kept := p.work[:0]
 	for _, w := range p.work {
@@ -268,7 +270,7 @@
 	p.work = kept
 }
 
-// step lets a tenth of a second pass, in which requests come and others are answered.
+// step advances the clock by 100 ms, during which new requests arrive and others are answered.
 func (p *wavePool) step() {
 	const length = 100 * time.Millisecond
 	p.clock.Advance(length)
@@ -288,9 +290,9 @@
 	}
 }
 
-// TestRequestsAreServedThroughWavesOfEnds has targets end by themselves each second or two, a tenth to a half of them at a time,
-// while requests of a second and a half on average go on elsewhere. Nothing but these ends speaks against the requests, and of a
-// hundred at most one may be refused; with a limit of two ends it would be four.
+// TestFewRequestsAreBlockedByWaves ends a tenth to half of the targets every one or two seconds, while requests that
+// take 1.5 seconds on average continue elsewhere. The requests did not cause this, and at most one in a hundred may be
+// blocked; with a limit of two ends it would be four.
 func TestFewRequestsAreBlockedByWaves(t *testing.T) {
 	begun, hitTwice, refused := 0, 0, 0
 	for seed := range uint64(20) {
@@ -310,8 +312,9 @@
 	}
 }
 
-// TestARequestThatAllSendAlikeIsServed has a request be at work at all targets at any moment, as a page that all callers read, when
-// these end together; what is on its way is all lost, so that nothing is answered after the ends and before the next try.
+// TestPopularRequestIsNotBlocked runs the same request at all targets at any moment, like a page that all callers read,
+// when the targets end together. All copies that are running are lost, so that nothing is answered between the ends and
+// the next retry.
 func TestPopularRequestIsNotBlocked(t *testing.T) {
 	const alike = proto.RequestDigest(5)
 	clock := clockwork.NewFakeClockAt(start)
--- a/relay/crashing.go
+++ b/relay/crashing.go
@@ -6,8 +6,9 @@
 	"syscall"
 )
 
-// refuseCrashing refuses a request that ended so many targets that it is run no more, at once and with the time after which
-// it may be tried again. It may have run under this id already, if the last of these targets ended by that.
+// refuseCrashing refuses a request that is blocked because too many targets ended while they ran it. The refusal states
+// when it may be retried. If the last of these targets ended because of this very request, it may have run under this
+// id already.
 func (f *flow) refuseCrashing() *failure {
 	evidence, refused := f.server.crashes.Blocks(f.digest)
 	if !refused {
@@ -18,7 +19,7 @@
 	return f.notRunFailure(evidence.RetryAfter, "targets ended that ran it")
 }
 
-// noteEnd notes what an attempt's end says of the request and of the run of its target.
+// recordOutcome records what the result of an attempt implies for the request and for the target run.
 func (a *attempt) recordOutcome(result *attemptResult) {
 	f := a.race.flow
 	switch {
@@ -30,18 +31,18 @@
 	case result.done || result.response != nil || result.notRun && result.sent:
 		f.server.ends.RecordAlive(a.placement.Spec)
 	case result.notRun:
-		// The target never had the request.
+		// The request never reached the target.
 	case context.Cause(a.ctx) != nil:
-		// It was silent, so it may have ended long before its entry went, or not at all.
+		// The target was silent, so it may have ended long before its entry was removed, or not at all.
 		f.server.ends.RecordFailure(a.placement.Spec, false, f.digest)
 	case f.server.fleet.AcceptsWork(a.placement.Target):
 		f.server.ends.RecordFailure(a.placement.Spec, true, f.digest)
 	default:
-		// What a target that leaves has not done by its end says nothing of the request.
+		// Unfinished work of a target that leaves says nothing about the request.
 	}
 }
 
-// noteTargetGone notes that a target has ended whose entry says that it is in service.
+// recordTargetGone records that a target has ended although its entry says that it is in service.
 func (a *attempt) recordTargetGone(cause string) {
 	s := a.race.flow.server
 	if s.fleet.AcceptsWork(a.placement.Target) {
--- a/relay/crashreport.go
+++ b/relay/crashreport.go
@@ -8,18 +8,18 @@
 	"emberlead/proto"
 )
 
-// crashesLogged bounds the ends that one line of the log names.
+// maxLoggedEnds limits the number of ends in one log line.
 const maxLoggedEnds = 16
 
-// Evidence is why a request is refused.
+// Evidence is the reason why a request is blocked.
 type Evidence struct {
-	// Ends are those that count, oldest first.
+	// Ends are the ends that count against the request, oldest first.
 	Ends []EvidenceEnd
-	// ComeBack is how long the request is refused, if no further end comes to be known.
+	// RetryAfter is how long the request stays blocked if no further end becomes known.
 	RetryAfter time.Duration
 }
 
-// EvidenceEnd is one target's end as the log tells it.
+// EvidenceEnd is the end of one target as it is logged.
 type EvidenceEnd struct {
 	Run      proto.RunName `json:"run"`
 	Reporter proto.VM      `json:"by"`
@@ -40,22 +40,22 @@
 	slices.SortFunc(e.Ends, func(a, b EvidenceEnd) int {
 		return cmp.Or(r[a.Run].at.Compare(r[b.Run].at), cmp.Compare(a.Run, b.Run))
 	})
-	// It is run again once fewer ends than the limit are left.
+	// The request is run again once the number of ends drops below the limit.
 	last := times[len(times)-crashLimit]
 	e.RetryAfter = max(minRetryWait, last.Add(crashTTL).Sub(now))
 	return e
 }
 
-// learntEnd is one end as the log tells it.
+// mergedEnd is a newly learned end as it is logged.
 type mergedEnd struct {
 	EvidenceEnd
-	// Requests is how many were at work there, and Answered says that they have been answered since.
+	// Requests is the number of requests that were running there. Answered is set if they have been answered since.
 	Requests int  `json:"requests"`
 	Answered bool `json:"answered,omitempty"`
 }
 
-// noteLearnt logs what is known now that was not before: one line for all ends that came together, since a wave of ends
-// brings some hundred.
+// logMerged logs newly learned ends. It writes one line for all ends that arrived together, because a wave brings
+// hundreds of them.
 func (c *CrashTracker) logMerged(fresh proto.TargetEnds, refused []proto.RequestDigest, from proto.VM) {
 	var learnt []mergedEnd
 	for _, end := range fresh.Ends[:min(maxLoggedEnds, len(fresh.Ends))] {
@@ -68,16 +68,16 @@
 	}
 }
 
-// CrashCounts tell how much is remembered.
+// CrashCounts reports the size of the tracker.
 type CrashCounts struct {
-	// Ends is the number of ends of targets under requests, Suspected that of requests with ends that count, and
-	// Refused that of requests that are run no more.
+	// Ends is the number of pairs of request and ended target, Suspected the number of requests with ends that count
+	// against them, and Refused the number of blocked requests.
 	Ends      int   `json:"ends"`
 	Suspected int64 `json:"suspected"`
 	Refused   int64 `json:"refused"`
 }
 
-// Counts returns what is remembered now.
+// Counts returns the current size of the tracker.
 func (c *CrashTracker) Counts() CrashCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/relay/digest.go
+++ b/relay/digest.go
@@ -8,14 +8,14 @@
 	"emberlead/proto"
 )
 
-// digestOf names a request by what stays the same when its caller sends it again under another id: caller, method, host,
-// path and body. Headers do not count, since a stream that is continued names another event. The caller is the workspace,
-// which keeps its name when its keys change. The hash is a cryptographic one, so that nobody can make a request that is
-// taken for somebody else's.
+// digestOf identifies a request by what does not change when its caller sends it again under another id: caller,
+// method, host, path, query and body. Headers are excluded, because a resumed stream names another event. The caller is
+// identified by the workspace, whose name stays the same when its keys change. The hash is cryptographic, so that
+// nobody can craft a request that is mistaken for another caller's.
 func digestOf(r *Request, workspace string) proto.RequestDigest {
 	h := sha256.New()
 	for _, part := range []string{workspace, r.Method, r.Host, r.URI} {
-		// A hash takes in any bytes without an error.
+		// Writing to a hash never fails.
 		_ = binary.Write(h, binary.BigEndian, uint64(len(part)))
 		_, _ = io.WriteString(h, part)
 	}
--- a/relay/doc.go
+++ b/relay/doc.go
@@ -1,6 +1,6 @@
-// Package relay makes the decisions for requests that are passed on unchanged to targets: routes and keys, the
-// choice of a target, the budget of retries, batches of pieces, and who batches for which pool.
+// Package relay forwards requests unchanged to targets and makes the decisions for it: routes and API keys, the choice
+// of a target, the retry budget, batches of pieces, and which daemon batches for which pool.
 //
-// The decisions take the time as an argument and do no I/O; Server and Pieces carry them out through the
-// interfaces in ports.go.
+// The decision logic takes the current time as an argument and does no I/O. Server and PieceScheduler perform the I/O
+// through the interfaces in ports.go.
 package relay
--- a/relay/errors.go
+++ b/relay/errors.go
@@ -2,10 +2,10 @@
 
 import "emberlead/proto"
 
-// source names this package in its errors.
+// source provides the package name for the errors of this package.
 type source struct{}
 
-// Package returns the package's name.
+// Package returns the name of this package.
 func (source) Package() string { return "relay" }
 
 // Error is the error type of this package.
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -9,30 +9,30 @@
 	"sync/atomic"
 )
 
-// attemptNews is what the goroutine of an attempt tells the race.
+// attemptUpdate is a message from the goroutine of an attempt to the race.
 type attemptUpdate struct {
 	attempt *attempt
-	// in is the head of the answer, whose body is not to be read; nil if there is none, and then err says why.
+	// response is the response, whose body must not be read; nil if there is none, and err says why.
 	response *TargetResponse
 	info     ResponseInfo
-	// events are whole events of a stream, which goes on.
+	// events are complete events of a stream that continues.
 	events []byte
-	// body is that of a whole answer.
+	// body is the body of a complete response that is not a stream.
 	body []byte
-	// stream says that a stream has ended, and cut that it did within an event.
+	// stream is set if a stream has ended, and cut if it ended within an event.
 	stream, cut bool
-	// mismatch says that the answer is not that of the request, and endless that an event is too long.
+	// mismatch is set if the response belongs to another request, and oversized if an event is too long.
 	mismatch, oversized bool
-	// err is why there is no answer or no more of it; io.EOF at the proper end of a stream.
+	// err is why there is no response or no more of it; io.EOF at the regular end of a stream.
 	err error
 }
 
-// answerHook holds the function that runs when an attempt has an answer.
+// responseHook holds a function that is called when an attempt has a response.
 type responseHook struct {
 	fn atomic.Pointer[context.CancelFunc]
 }
 
-// set sets the function, or none if it is nil.
+// set sets the function. nil removes it.
 func (h *responseHook) set(fn context.CancelFunc) {
 	if fn == nil {
 		h.fn.Store(nil)
@@ -47,8 +47,8 @@
 	}
 }
 
-// exchange sends the request of an attempt and reads the answer, in a goroutine of its own. It knows nothing of the request but what
-// stands here.
+// exchange sends the request of an attempt and reads the response, in its own goroutine. Apart from these fields it
+// does not access the state of the request.
 type exchange struct {
 	attempt   *attempt
 	ctx       context.Context
@@ -58,7 +58,7 @@
 	stream    bool
 }
 
-// tell hands news to the race, unless that is over.
+// send sends an event to the race, unless the race is over.
 func (x *exchange) send(update *attemptUpdate) {
 	update.attempt = x.attempt
 	r := x.attempt.race
@@ -71,7 +71,7 @@
 	}
 }
 
-// answers tells whether the target has begun to answer, or has answered.
+// isResponse reports whether the target has started to respond.
 func (n *attemptUpdate) isResponse() bool {
 	return len(n.events) > 0 || n.response != nil && (n.err == nil || errors.Is(n.err, io.EOF)) && !n.info.NotRun && !n.info.Misdirected
 }
@@ -83,14 +83,14 @@
 		return
 	}
 	update := x.read(response)
-	// The connection is free for another request before this one goes on.
+	// Closing the body first makes the connection available to other requests.
 	if err := response.Body.Close(); err != nil {
 		x.server.log.Debug("the body of an answer is not closed", "request", x.requestID, "error", err)
 	}
 	x.send(update)
 }
 
-// read reads an answer to its end and returns the last message about it.
+// read reads a response to its end and returns the final event for it.
 func (x *exchange) read(response *TargetResponse) *attemptUpdate {
 	update := &attemptUpdate{response: response, info: x.server.dialect.ParseResponse(response.Status, response.Header)}
 	switch {
@@ -107,12 +107,12 @@
 	return update
 }
 
-// mismatched tells whether an answer cannot be that of the request.
+// mismatched reports whether a successful response does not belong to the request.
 func (x *exchange) mismatched(response *TargetResponse, reply ResponseInfo) bool {
 	return response.Status/100 == http.StatusOK/100 && (!reply.Stamped || reply.ContentEncoded || reply.RequestID != x.requestID)
 }
 
-// readStream tells the events of a stream as they come, each when it is whole, and notes in the last message how it ended.
+// readStream sends the complete events of a stream as they arrive, and records in the final event how the stream ended.
 func (x *exchange) readStream(last *attemptUpdate) {
 	var held []byte
 	buffer := make([]byte, readSize)
--- a/relay/homes_test.go
+++ b/relay/homes_test.go
@@ -11,7 +11,8 @@
 	"emberlead/proto"
 )
 
-// threeRegions has two engines in each of three regions, of which the others are as near as the first.
+// threeRegions returns a fleet with two engines in each of three regions. The other regions are as near as the first
+// one.
 func threeRegions() *Fleet {
 	f := NewFleet(func(string) {})
 	for i := range 6 {
@@ -22,7 +23,8 @@
 	return f
 }
 
-// TestNoTargetOutsideAHomeIsChosen asks in each way that work takes, also when all at home fail or were tried before.
+// TestOnlyTargetsInAllowedRegionsAreChosen requests a target in all ways that are in use, also when all targets in the
+// region fail or were tried before.
 func TestOnlyTargetsInAllowedRegionsAreChosen(t *testing.T) {
 	home := proto.AllowRegions([]string{"south"})
 	bound := func(w TargetCriteria) TargetCriteria {
@@ -90,8 +92,9 @@
 	}
 }
 
-// TestPiecesAreMadeAtHome has a job that is bound to a region beside one that is not, in a pool with a target in each region; no
-// call for the first goes elsewhere, and without a target at home it is refused at once.
+// TestPiecesStayInAllowedRegions puts jobs that are restricted to a region beside unrestricted ones, in a pool with a
+// target in each region. No call for the former may go elsewhere, and without a target in the region they are refused
+// at once.
 func TestPiecesStayInAllowedRegions(t *testing.T) {
 	spec := proto.BatchSpec{Slots: 1, MaxPieces: 4, CallCost: 10 * time.Millisecond, PieceCost: time.Millisecond, ResultLifetime: time.Second}
 	targets := func(regions ...string) []proto.RelayTarget {
--- a/relay/ports.go
+++ b/relay/ports.go
@@ -9,135 +9,139 @@
 	"emberlead/proto"
 )
 
-// Request is a caller's request, read from the way the platform spells it.
+// Request is a caller's request, parsed from the platform's headers.
 type Request struct {
 	ID     string
 	Method string
 	Host   string
-	// Path is the path without the query, and URI both as they came.
+	// Path is the path without the query; URI includes it. Both are as received.
 	Path, URI string
-	// Header holds what is passed on unchanged.
+	// Header holds the headers that are forwarded unchanged.
 	Header http.Header
 	Body   []byte
-	// Wait is how long the caller waits for the answer; 0 if it did not say.
+	// CallerTimeout is how long the caller waits for the response; 0 if unstated.
 	CallerTimeout time.Duration
 	APIKey        string
-	// Parts are the parts of the prompt in order; the last belongs to the request alone or to its session.
+	// PromptParts are the parts of the prompt in order. The last part is private to the request or its session.
 	PromptParts []proto.PromptPart
-	// PromptTokens and MostTokens are the sizes of the prompt and of the answer at most.
+	// PromptTokens is the size of the prompt, MaxTokens the maximum size of the response.
 	PromptTokens, MaxTokens int
-	// After is the last event of the stream that the caller has; 0 if it begins anew.
+	// After is the id of the last stream event that the caller has received; 0 for a new stream.
 	After int
-	// PieceKey and Pieces say what the stages work on: a count for each stage of the route, 0 for none.
+	// PieceKey identifies the input of the stages. Pieces is the number of pieces for each stage of the route; a stage
+	// with 0 is skipped.
 	PieceKey string
 	Pieces   []int
 }
 
-// ForwardInfo is what a request to a target says beside what the caller sent.
+// ForwardInfo is what a request to a target states in addition to the caller's request.
 type ForwardInfo struct {
 	Target    proto.RelayTarget
 	TimeLeft  time.Duration
 	Workspace string
 	Inputs    []string
-	// After is the last event that was passed on; 0 for a stream from its start.
+	// After is the id of the last event that was forwarded; 0 for a stream from its start.
 	After    int
 	Priority int
 }
 
-// ResponseInfo is what the head of a target's answer says.
+// ResponseInfo is what the status and headers of a target's response state.
 type ResponseInfo struct {
-	// Request is the id of the request that the answer is for.
+	// RequestID is the id of the request that the response belongs to.
 	RequestID string
-	// Stamped answers come from the run of a request.
+	// Stamped is set if the response comes from an execution of a request.
 	Stamped bool
-	// NotRun says that the target did not run the request.
+	// NotRun is set if the target did not run the request.
 	NotRun bool
-	// OtherTarget says that another target has the address.
+	// Misdirected is set if another target now has the address.
 	Misdirected bool
-	// LostInput says that an input of the request is gone.
+	// LostInput is set if an input of the request no longer exists.
 	LostInput bool
-	// Encoded answers do not hold the body that was asked for.
+	// ContentEncoded is set if the body is encoded, so that it is not the body that was requested.
 	ContentEncoded bool
 	Load           Load
 }
 
-// Notice is what a target says of itself in the head of an answer.
+// Notice is what a target reports about itself in the headers of a response.
 type Notice struct {
-	// Leaving says that the target is about to end.
+	// Leaving is set if the target is about to stop.
 	Leaving bool
-	// Limit is how many requests a second the target takes from all daemons together; Limited says that it names one.
+	// Limit is the rate, in requests per second, that the target accepts from all daemons together; Limited is set if
+	// the target states one.
 	Limit   float64
 	Limited bool
-	// Rest is for how long the target, which turned a request away, wants nothing from this daemon; 0 if it does not say.
+	// Backoff is how long a target that rejected a request wants no requests from this daemon; 0 if unstated.
 	Backoff time.Duration
-	// Unreadable holds the values that could not be read, with their names. Nothing follows from them, nor from what else is missing.
+	// Unreadable holds the headers that could not be parsed, with their names. They are ignored, and so are missing
+	// headers.
 	Unreadable []string
 }
 
-// Dialect spells requests, answers and pieces the way the platform does.
+// Dialect converts between the platform's HTTP headers and bodies and the types of this package.
 type Dialect interface {
-	// ReadRequest reads the head of a caller's request; it fails with KindInvalid.
+	// ParseRequest parses the headers of a caller's request. It fails with KindInvalid.
 	ParseRequest(r *http.Request) (*Request, error)
-	// Header returns the header of a request to a target.
+	// Header returns the headers of a request to a target.
 	Header(r *Request, f *ForwardInfo) http.Header
-	// ReadReply reads the head of a target's answer.
+	// ParseResponse parses the headers of a target's response.
 	ParseResponse(status int, h http.Header) ResponseInfo
-	// ReadNotice reads what a target says of itself in the head of an answer of any kind.
+	// ParseNotice parses what a target reports about itself in the headers of any response.
 	ParseNotice(status int, h http.Header) Notice
-	// Refuse writes the header of an answer that tells when to come back.
+	// SetRetryAfter sets the headers that tell the caller when to retry.
 	SetRetryAfter(h http.Header, wait time.Duration)
-	// PiecesCall returns the request for a batch of pieces.
+	// BuildPiecesRequest returns the request for a batch of pieces.
 	BuildPiecesRequest(c *Call, now time.Time) (TargetRequest, error)
-	// PiecesResult reads the answer to a batch of n pieces; it fails with KindInvalid.
+	// ParsePiecesResponse parses the response to a batch of n pieces. It fails with KindInvalid.
 	ParsePiecesResponse(body []byte, n int) ([]ItemResult, error)
-	// FreeCall returns the request that frees results at their maker.
+	// BuildFreeRequest returns the request that frees results at the target that holds them.
 	BuildFreeRequest(handles []string) (TargetRequest, error)
-	// Maker returns the address of the target that holds a result.
+	// HandleAddress returns the address of the target that holds a result.
 	HandleAddress(handle string) (netip.AddrPort, error)
 }
 
-// TargetRequest is a request to a target.
+// TargetRequest is an HTTP request to a target.
 type TargetRequest struct {
-	// Target is the run that the request is for; zero if only its address is known.
+	// Target is the target run that the request is meant for; zero if only the address is known.
 	Target            proto.RelayTarget
 	Method, URI, Host string
 	Header            http.Header
 	Body              []byte
-	// Once marks requests that may run only once, for which a connection must be beyond doubt.
+	// NonIdempotent marks a request that must run at most once. It is only sent on a connection that is certain to be
+	// usable.
 	NonIdempotent bool
-	// Mine tells whether an answer's head is that of this request.
+	// Matches reports whether the headers of a response belong to this request.
 	Matches func(h http.Header) bool
 }
 
-// TargetResponse is a target's answer; its body must be closed.
+// TargetResponse is a target's response. The caller must close its body.
 type TargetResponse struct {
 	Status int
 	Header http.Header
 	Body   Body
 }
 
-// Body is the body of an answer.
+// Body is the body of a response.
 type Body interface {
-	// Read fails with anything but io.EOF if the answer is cut.
+	// Read returns io.EOF only at the end of a complete response, and another error if the response is truncated.
 	Read(p []byte) (int, error)
-	// Close gives the connection back if the body was read to its end, and closes it otherwise.
+	// Close returns the connection to the pool if the body was read to its end, and closes the connection otherwise.
 	Close() error
 }
 
 // Sender sends requests to targets.
 type Sender interface {
-	// Send returns the head of the answer. Its error is a *SendError.
+	// Send returns when the headers of the response have arrived. Its error is a *SendError.
 	Send(ctx context.Context, to netip.AddrPort, out *TargetRequest) (*TargetResponse, error)
 }
 
-// SendError says how far a request came that got no answer.
+// SendError reports how far a request got that received no response.
 type SendError struct {
-	// Written says that bytes of the request may have reached the target, so that it may run.
+	// Written is set if bytes of the request may have reached the target, which may therefore run it.
 	Written bool
 	Err     error
 }
 
-// Error returns the cause, and whether the request may run.
+// Error returns the cause, and whether the request may have been sent.
 func (e *SendError) Error() string {
 	if e.Written {
 		return "no answer to a request that was sent: " + e.Err.Error()
@@ -148,27 +152,30 @@
 // Unwrap returns the cause.
 func (e *SendError) Unwrap() error { return e.Err }
 
-// Share is a daemon's part of what all daemons together are allowed.
+// Share is this daemon's share of a quota that all daemons have in common.
 type Share struct {
-	// Part is from 0 to 1; the parts of all daemons come to 1 at the most at any time.
+	// Fraction is between 0 and 1. The fractions of all daemons add up to at most 1 at any time.
 	Fraction float64 `json:"part"`
-	// Counted is the number of daemons that it is divided between, and Live that of the daemons that are heard of, this one included.
+	// Counted is the number of daemons that share the quota, and Live the number of daemons that are heard from; both
+	// include this daemon.
 	Counted int `json:"counted"`
 	Live    int `json:"live"`
-	// Reason says why the part is 0, if it is.
+	// Reason is why the fraction is 0, if it is.
 	Reason string `json:"reason,omitempty"`
 }
 
-// Peers reaches the other daemons.
+// Peers communicates with the other daemons.
 type Peers interface {
-	// Owner returns the daemon that does a task for all, leaving out those that were found silent.
+	// Owner returns the daemon that is responsible for a task, ignoring the daemons in skip, which did not respond.
 	Owner(task string, skip map[proto.VM]bool) proto.VM
-	// Silent tells whether a daemon has not been heard for longer than a live one is silent.
+	// Silent reports whether nothing has been received from a daemon for longer than the longest silence of a live
+	// daemon.
 	Silent(vm proto.VM) bool
-	// Share returns this daemon's part of what all daemons together are allowed.
+	// Share returns this daemon's share of a quota that all daemons have in common.
 	Share() Share
-	// Sole tells whether this daemon may do now what only one of all may do at a time, whether they reach each other or not; after
-	// another one did, at least the settling time passes.
+	// IsSoleOwner reports whether this daemon may now perform a task that only one daemon may perform at a time, even
+	// if the daemons cannot reach each other. After another daemon has performed it, at least the settling time passes
+	// first.
 	IsSoleOwner(task string, settle time.Duration) bool
 	Send(to proto.VM, m proto.Message)
 	Call(ctx context.Context, to proto.VM, m proto.Message) (proto.Message, error)
--- a/relay/race.go
+++ b/relay/race.go
@@ -8,47 +8,50 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// race holds the attempts of one request that are at work: one as a rule, and a further one beside it where the first takes longer than
-// usual. The first is not given up for the second before that answers: the pool may have no other target, and if it has one, nobody knows
-// which of the two answers first. Once one has begun to answer, the others go on for a moment and are then given up: what they have sent
-// is on its way, and makes up for one that breaks off at once.
+// race runs the attempts of one request: usually one, and a hedging attempt if the first takes longer than usual. The
+// first attempt is not canceled before the second one answers: the pool may have no other target, and otherwise it is
+// unknown which of the two answers first. Once one has started to answer, the others continue for a moment before they
+// are canceled, because what they have sent may already be on its way and replaces an answer that breaks off at once.
 //
-// All but the reading of answers is done in the goroutine of the request.
+// Everything except the reading of responses is done by the goroutine of the request.
 type race struct {
 	flow *flow
-	// ctx ends all attempts: when the caller leaves, when the time for the request is over, and at the end of the race.
+	// ctx is the context of all attempts. It ends when the caller leaves, when the time for the request is over, and
+	// with the race.
 	ctx           context.Context
 	cancel        context.CancelCauseFunc
 	deadlineTimer clockwork.Timer
-	// released ends the watch for the end of the daemon.
+	// stopCloseWatch stops watching for the exit of the daemon.
 	stopCloseWatch func() bool
-	// news is what attempts tell, and over is closed when nobody takes it any more.
+	// updates carries the updates from attempts. done is closed when nobody receives them any more.
 	updates chan *attemptUpdate
 	done    chan struct{}
-	// onAnswer runs when an attempt has an answer while the race waits for something else.
+	// onResponse is called when an attempt has a response while the race waits for something else.
 	onResponse responseHook
 
 	running []*attempt
-	// begun counts the attempts.
+	// started counts the attempts.
 	started int
-	// leader is the attempt that brought the last events that were passed on; nil before the first. settled fires when the others
-	// are given up for it.
+	// leader is the attempt that delivered the last forwarded events; nil before the first. overlapTimer fires when the
+	// other attempts are canceled in favor of it.
 	leader       *attempt
 	overlapTimer clockwork.Timer
-	// slow fires when the attempt at work takes longer than usual, at due, after waiting for wait; due is zero if nothing is waited for.
+	// hedgeTimer fires at hedgeAt, when the running attempt has taken longer than delay. hedgeAt is zero if the race is
+	// not waiting for that.
 	hedgeTimer clockwork.Timer
 	hedgeAt    time.Time
 	delay      hedgeDelay
-	// alone is why no other attempt was made beside the one at work, as last logged.
+	// noHedgeReason is the last logged reason for not making a hedging attempt.
 	noHedgeReason string
 	lastResult    attemptResult
 }
 
-// overlap is how long other attempts go on once one has begun to answer: longer than an answer that was given waits to be read on a busy
-// machine.
+// overlap is how long other attempts continue once one has started to answer. It is longer than a response that has
+// arrived waits to be read on a busy machine.
 const overlap = minStartTimeout
 
-// newsHeld is how many messages of attempts wait for the race, so that an attempt can go on reading while one is passed on.
+// updateBuffer is the number of updates that are buffered, so that an attempt can keep reading while an update is
+// handled.
 const updateBuffer = 1
 
 func newRace(caller context.Context, f *flow) *race {
@@ -64,7 +67,7 @@
 	return r
 }
 
-// stop gives up all attempts that are at work.
+// stop cancels all running attempts.
 func (r *race) stop() {
 	for len(r.running) > 0 {
 		r.cancelAttempt(r.running[0], "", "the request has ended")
@@ -77,8 +80,8 @@
 	r.cancel(nil)
 }
 
-// run makes an attempt, and others beside it where it takes longer than usual, until one has answered or all have failed; it returns the
-// end of the last one.
+// run makes an attempt, and hedging attempts if it takes longer than usual, until one has answered or all have failed.
+// It returns the result of the last attempt.
 func (r *race) run() attemptResult {
 	first := r.nextAttempt()
 	if first == nil {
@@ -93,7 +96,7 @@
 			}
 		case <-r.hedgeTimer.Chan():
 			if len(r.updates) > 0 {
-				// An answer has arrived just now, as many do together after this process was held up.
+				// A response has just arrived. Many arrive together after this process was delayed.
 				r.setHedgeTimer(r.delay)
 				continue
 			}
@@ -108,7 +111,7 @@
 	return r.lastResult
 }
 
-// begin sends the request to the target of an attempt.
+// startAttempt sends the request to the target of an attempt.
 func (r *race) startAttempt(a *attempt) {
 	r.started++
 	r.running = append(r.running, a)
@@ -116,7 +119,7 @@
 	r.setHedgeTimer(a.startDelay)
 }
 
-// expect has the race look for another target after a time, unless something comes before.
+// setHedgeTimer schedules a hedging attempt, unless an update arrives before.
 func (r *race) setHedgeTimer(delay hedgeDelay) {
 	r.delay = delay
 	if !r.flow.route.Repeatable() || !r.mayRunElsewhere() {
@@ -128,10 +131,10 @@
 	r.hedgeTimer.Reset(delay.delay)
 }
 
-// mostRuns is how many targets may run the request.
+// maxRuns returns how many targets may run the request.
 func (f *flow) maxRuns() int { return max(1, f.route.MaxTargets) }
 
-// runsAtMost is how many targets have run the request, or may be running it now.
+// possibleRuns returns how many targets have run the request or may be running it now.
 func (r *race) possibleRuns() int {
 	runs := r.flow.runs
 	for _, a := range r.running {
@@ -142,16 +145,17 @@
 	return runs
 }
 
-// mayRunElsewhere tells whether the route allows another target to run the request beside those at work, or one to run it again.
+// mayRunElsewhere reports whether the route allows another target to run the request concurrently, or an earlier one to
+// run it again.
 func (r *race) mayRunElsewhere() bool {
 	return r.possibleRuns() < r.flow.maxRuns() || len(r.flow.superseded) > 0
 }
 
-// take takes in what an attempt tells, and tells whether the request has its whole answer.
+// handle processes an update of an attempt, and reports whether the complete response was delivered.
 func (r *race) handle(update *attemptUpdate) (done bool) {
 	a := update.attempt
 	if !slices.Contains(r.running, a) {
-		// It was given up meanwhile.
+		// The attempt has been canceled meanwhile.
 		return false
 	}
 	switch {
@@ -170,7 +174,7 @@
 	return r.lastResult.done
 }
 
-// answered takes in the last message of an attempt that a target ran.
+// handleFinal processes the final update of an attempt whose target ran the request.
 func (r *race) handleFinal(a *attempt, update *attemptUpdate) attemptResult {
 	switch {
 	case update.mismatch:
@@ -187,7 +191,8 @@
 	return a.handleResponse(&bufferedResponse{status: update.response.Status, header: update.response.Header, body: update.body})
 }
 
-// passOn passes events on, unless the caller has them from another target. The attempt that brings new ones leads from then on.
+// handleEvents forwards the events of a stream, unless the caller has them from another target. The attempt that
+// delivers new events becomes the leader.
 func (r *race) handleEvents(a *attempt, update *attemptUpdate) (done bool) {
 	f := r.flow
 	a.load = update.info.Load
@@ -213,7 +218,7 @@
 	return false
 }
 
-// overtake gives up all attempts but one. Their targets have not failed: the request may return to them.
+// supersede cancels all attempts but one. Their targets have not failed, so the request may return to them.
 func (r *race) supersede(by *attempt) {
 	for _, a := range slices.Clone(r.running) {
 		if a != by {
@@ -223,7 +228,8 @@
 	}
 }
 
-// ended takes an attempt out that has ended. One that has the whole answer ends the others.
+// finishAttempt records the result of an attempt and removes it. If it delivered the complete response, the other
+// attempts are canceled.
 func (r *race) finishAttempt(a *attempt, result attemptResult) {
 	if result.done {
 		r.flow.target = a.placement.Spec.ID
@@ -242,7 +248,7 @@
 	}
 }
 
-// giveUp ends an attempt that is still at work, for another one if there is one.
+// cancelAttempt cancels a running attempt. winner is the target in favor of which it is canceled, if any.
 func (r *race) cancelAttempt(a *attempt, winner, reason string) {
 	f := r.flow
 	a.markRun()
@@ -252,7 +258,7 @@
 		"mightTake", formatDuration(a.startDelay.delay), "basis", a.startDelay.basis, "usual", formatDuration(a.startDelay.typical), "reason", reason)
 }
 
-// leave undoes what goes with an attempt at work.
+// removeAttempt releases the resources of a running attempt.
 func (r *race) removeAttempt(a *attempt, result *attemptResult) {
 	r.running = slices.DeleteFunc(r.running, func(other *attempt) bool { return other == a })
 	if r.leader == a {
@@ -266,11 +272,11 @@
 	a.span.End()
 }
 
-// tooSlow takes in that the attempt at work takes longer than usual.
+// onHedgeTimer handles an attempt that takes longer than usual.
 func (r *race) onHedgeTimer() {
 	f := r.flow
 	if r.hedgePending() {
-		// The timer was set anew just as it fired.
+		// The timer was reset just as it fired.
 		r.hedgeTimer.Reset(r.hedgeAt.Sub(f.server.clock.Now()))
 		return
 	}
@@ -295,10 +301,10 @@
 	}
 }
 
-// slowSet tells whether the race looks for another target some time from now.
+// hedgePending reports whether a hedging attempt is scheduled.
 func (r *race) hedgePending() bool { return r.hedgeAt.After(r.flow.server.clock.Now()) }
 
-// beside makes an attempt beside those at work, or returns why there is none.
+// hedge makes a hedging attempt, or returns why it does not.
 func (r *race) hedge() (blocked string) {
 	f := r.flow
 	if blocked := r.hedgeBlocked(); blocked != "" {
@@ -318,7 +324,7 @@
 		a.placement.Finish(VerdictNone, Load{})
 		return reasonBudget
 	}
-	// The inputs are for the new target as well.
+	// The new target needs the inputs as well.
 	for _, other := range r.running {
 		other.cancelFreeing()
 	}
@@ -329,7 +335,7 @@
 	return ""
 }
 
-// reasonBudget and the others are why no attempt is made beside one that is late.
+// Reasons why no hedging attempt is made for a late one.
 const (
 	reasonBudget        = "the retry budget of the pool is spent"
 	reasonMaxRuns       = "as many targets as allowed run the request"
@@ -341,7 +347,7 @@
 	reasonAnswerStarted = "the answer has begun meanwhile"
 )
 
-// mustWait returns why no attempt may be made beside those at work, as far as that is known without asking for a target.
+// hedgeBlocked returns why no hedging attempt is allowed, as far as this is known without choosing a target.
 func (r *race) hedgeBlocked() string {
 	f := r.flow
 	s := f.server
@@ -365,7 +371,8 @@
 	return ""
 }
 
-// makeInputsAnew has the stages done again for another target, while those at work go on; it returns why that was not done.
+// rebuildInputs runs the stages again for another target while the current attempts continue. It returns why this was
+// not done.
 func (r *race) rebuildInputs() (blocked string) {
 	f := r.flow
 	if !f.mayRebuild() {
--- a/relay/race_test.go
+++ b/relay/race_test.go
@@ -13,16 +13,17 @@
 	"emberlead/proto"
 )
 
-// What callers saw: a request with nearly five seconds left was answered 502 "the pool has no target that may get work" after 8 ms,
-// beside a healthy target that was at work on it. The attempt was given up since no answer had begun within 7.7 ms, where half a
-// millisecond is usual, and only then was another target looked for, of which the pool had none. The log showed it: "attempt failed
-// ... reason=no answer began in time took=7.728ms", and 0.4 ms later "request refused ... left=4.976951s". In a play of the fault soak
-// 106 attempts ended so, one after 960 ms whose further attempt the retry budget then refused.
+// These tests guard against a canceled attempt that cannot be replaced. With nearly five seconds left, a request was
+// answered 502 "the pool has no target that may get work" after 8 ms, although a healthy target was running it: the
+// attempt was canceled because no response had started within 7.7 ms, where half a millisecond is usual, and only then
+// was another target looked for, of which the pool had none. The log showed "attempt failed ... reason=no answer began
+// in time took=7.728ms", and 0.4 ms later "request refused ... left=4.976951s". In one run of the fault soak test 106
+// attempts ended like this, one of them after 960 ms, for which the retry budget then refused another attempt.
 //
-// The tests play requests in a bubble of synctest, in which time is that of the test, against targets that answer when a script says.
+// The tests run in a synctest bubble with a fake clock, against targets with scripted responses.
 
-// kindsOfRace are the kinds of requests that may run at more than one target, each with a target that is late, one that is quick,
-// and what callers get of a whole answer.
+// kindsOfRace are the kinds of requests that may run at more than one target, each with a late and a quick target and
+// with the complete response that callers get.
 var kindsOfRace = []struct {
 	testName    string
 	kind        proto.RouteKind
@@ -33,14 +34,14 @@
 	{"a stream", proto.RouteStream, streamed(raceLate, 1, 2, 3), streamed(raceTypicalLatency, 1, 2, 3), "id: 1\ndata: x\n\nid: 2\ndata: x\n\nid: 3\ndata: x\n\n"},
 }
 
-// TestAnAttemptIsNotGivenUpForOneThatCannotBeMade has the only target that a request may go to answer late, for each reason why it is
-// the only one. The answer must be delivered, and the target's work must not be given up.
+// TestLateAttemptContinuesWithoutAlternative lets the only usable target answer late, for each reason why there is no
+// other. The response must be delivered, and the attempt must not be canceled.
 func TestLateAttemptContinuesWithoutAlternative(t *testing.T) {
 	scenarios := []struct {
 		testName string
-		// alone makes the first target the only one that the request may go to.
+		// alone makes the first target the only usable one.
 		alone func(r *racedRequest)
-		// only says that there is no second target at all.
+		// only is set if there is no second target at all.
 		only bool
 	}{
 		{"the pool has one target", func(*racedRequest) {}, true},
@@ -93,14 +94,14 @@
 	}
 }
 
-// TestAnotherAttemptBeginsBesideTheFirst has the first target be late and the second do something else. Whichever answer is whole first
-// counts, and nobody waits for the late one if the other is quick.
+// TestLateAttemptIsHedged lets the first target answer late and the second do something else. The first complete
+// response counts, and the caller does not wait for the late target if the other one is quick.
 func TestLateAttemptIsHedged(t *testing.T) {
 	for _, k := range kindsOfRace {
 		scenarios := []struct {
 			testName string
 			second   racer
-			// quick says that the caller need not wait for the first target.
+			// quick is set if the caller need not wait for the first target.
 			quick bool
 		}{
 			{"answers", k.quick, true},
@@ -133,7 +134,7 @@
 	}
 }
 
-// TestASilentStreamGoesOnWhereItCan has the first target fall silent for a while after two events.
+// TestSilentStreamIsResumedElsewhere lets the first target fall silent for a while after two events.
 func TestSilentStreamIsResumedElsewhere(t *testing.T) {
 	const silence = 3 * time.Second
 	silent := func() racer {
@@ -168,8 +169,8 @@
 	}
 }
 
-// TestAStreamThatBreaksOffAtOnceIsMadeUpFor has one of two targets break off as soon as it has begun, with the whole answer of the other on its
-// way or there.
+// TestBrokenStreamIsReplacedByHedge lets one of two targets break off as soon as it has started, while the complete
+// response of the other one has arrived or is on its way.
 func TestBrokenStreamIsReplacedByHedge(t *testing.T) {
 	breaks := func(wait time.Duration, events ...int) racer {
 		return respondsAfter(wait, http.StatusOK, io.ErrUnexpectedEOF, eventParts(events...)...)
@@ -196,8 +197,8 @@
 	}
 }
 
-// TestAStreamReturnsToATargetThatWasGivenUp guards against a stream that is lost although the attempt given up for the one that broke off
-// would have brought it whole.
+// TestStreamReturnsToCanceledTarget guards against a stream that is lost when the target that answered first breaks
+// off, although the attempt that was canceled in its favor would have delivered all of it.
 func TestStreamReturnsToCanceledTarget(t *testing.T) {
 	breaksLate := func(events ...int) racer {
 		parts := eventParts(events...)
@@ -210,7 +211,8 @@
 	}
 	scenarios := []struct {
 		testName string
-		// second is how the target that answers earlier fails, and again what the first one answers when it is asked once more.
+		// second is the target that answers first and then fails, and again is what the first target does when it gets
+		// the request again.
 		second     racer
 		again      racer
 		maxTargets int
@@ -245,8 +247,8 @@
 	}
 }
 
-// TestARequestIsAnsweredWhenItsDaemonCloses guards against requests that end without an answer, or with a promise that they were not run, since the
-// daemon stops.
+// TestRequestIsAnsweredWhenDaemonStops guards against requests that end without a response when the daemon stops, or
+// with one that wrongly claims that they were not run.
 func TestRequestIsAnsweredWhenDaemonStops(t *testing.T) {
 	scenarios := []struct {
 		testName string
@@ -278,7 +280,7 @@
 	}
 }
 
-// TestACallerWhoLeavesEndsAllAttempts has two attempts at work when the caller leaves.
+// TestCallerLeavingCancelsAllAttempts lets the caller leave while two attempts are running.
 func TestCallerLeavingCancelsAllAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRaced(proto.RouteRepeatable, hangs, hangs)
@@ -299,7 +301,7 @@
 	})
 }
 
-// TestARequestThatRunsOnceHasOneAttempt waits for the only run of a request, however late it answers.
+// TestNonIdempotentRequestHasOneAttempt waits for the only run of a request, however late it answers.
 func TestNonIdempotentRequestHasOneAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRaced(proto.RouteOnce, whole(raceLate, "whole"), whole(raceTypicalLatency, "other"))
@@ -309,7 +311,7 @@
 	})
 }
 
-// withStage gives a request a stage whose results it needs, made by another daemon.
+// withStage adds a stage, run by another daemon, whose results the request needs.
 func (r *racedRequest) withStage() {
 	clock, peers := r.server.clock, r.server.peers
 	r.server.pieces = newTestPieceScheduler(clock, peers, &stubSender{})
@@ -318,7 +320,7 @@
 	r.req.Pieces, r.req.PieceKey = []int{1}, "k"
 }
 
-// stagesDone is how often the stages were done.
+// stagesDone returns how often the stages were run.
 func (r *racedRequest) stagesDone() int {
 	peers := r.server.peers.(*recordingPeers)
 	peers.askedMu.Lock()
@@ -326,11 +328,11 @@
 	return len(peers.asked)
 }
 
-// TestInputsAreMadeAnewBesideALateAttempt has the inputs of a request given up, once its target has fetched them, before it is late. For
-// another target they are made anew, while the first goes on; whichever answers counts.
+// TestInputsAreRebuiltForHedge lets the inputs of a request be freed, after its target has fetched them, before the
+// target is late. They are rebuilt for another target while the first attempt continues, and the first response counts.
 func TestInputsAreRebuiltForHedge(t *testing.T) {
 	const (
-		// lateFrom is when the first attempt is late, and its inputs are given up by then.
+		// lateFrom is when the first attempt counts as late. Its inputs have been freed by then.
 		lateFrom   = 3 * initialKeepTime
 		lateAnswer = 2 * lateFrom
 		soon       = lateFrom / 10
@@ -338,7 +340,7 @@
 	scenarios := []struct {
 		testName      string
 		first, second racer
-		// stages is how long it takes to do the stages anew, and rebuilt how often that was done already.
+		// stages is how long it takes to run the stages again, and rebuilt how often this was done before.
 		stages  time.Duration
 		rebuilt int
 		took    time.Duration
@@ -377,8 +379,8 @@
 	}
 }
 
-// TestAFailureAnswerIsPassedOnWhereNothingBetterComes has a target answer that it failed, and no other target be there to ask, or one that
-// does no better.
+// TestFailureResponseIsForwardedAsFallback lets a target respond with a failure, with no other target to ask or with
+// one that does no better.
 func TestFailureResponseIsForwardedAsFallback(t *testing.T) {
 	fails := respondsAfter(raceTypicalLatency, http.StatusInternalServerError, io.EOF, part{0, "why"})
 	scenarios := []struct {
@@ -401,7 +403,7 @@
 	}
 }
 
-// TestTheLogTellsWhyAnAttemptWasGivenUp reads what is logged of a late attempt.
+// TestCanceledAttemptIsLogged checks what is logged about a late attempt.
 func TestCanceledAttemptIsLogged(t *testing.T) {
 	scenarios := []struct {
 		testName string
--- a/relay/raceprop_test.go
+++ b/relay/raceprop_test.go
@@ -17,7 +17,8 @@
 	"emberlead/proto"
 )
 
-// randomRacer is a target that does something at some time; alone tells whether a request that it gets alone is answered whole in time.
+// randomRacer returns a target with random behavior and timing. alone is set if a request that only this target gets is
+// answered completely in time.
 func randomRacer(random *rand.Rand, kind proto.RouteKind) (r racer, answers bool) {
 	wait := time.Duration(random.IntN(800)) * time.Millisecond
 	switch random.IntN(7) {
@@ -41,9 +42,10 @@
 	return respondsAfter(wait, http.StatusOK, io.EOF, parts...), true
 }
 
-// TestAnyTargetsRace plays requests before up to four targets that do anything. Each event comes once and in order, no more targets than
-// allowed run the request, none is asked again but for each time that it was given up for another that answered first, a refusal as
-// not run is true, and a request whose targets would all answer is answered. None is lost while there is a target to return to.
+// TestAnyTargetsRace runs requests against up to four targets with arbitrary behavior. Each event must be delivered
+// once and in order. No more targets than allowed may run the request, and a target may only be asked again for each
+// time that its attempt was canceled in favor of another. A refusal as not run must be true, a request whose targets
+// would all answer must be answered, and no request may fail while there is a target to return to.
 func TestAnyTargetsRace(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(1)
 	parameters.MinSuccessfulTests = 400
--- a/relay/racerig_test.go
+++ b/relay/racerig_test.go
@@ -19,20 +19,21 @@
 )
 
 const (
-	// raceUsual is how long answers take as a rule, and raceLate how long a late one takes; raceLeft is the time of a request.
+	// raceTypicalLatency is the usual response time, raceLate that of a late response, and raceLeft the timeout of a
+	// request.
 	raceTypicalLatency = 500 * time.Microsecond
 	raceLate           = 400 * time.Millisecond
 	raceLeft           = 5 * time.Second
 	raceRoute          = "route"
 )
 
-// raceBudget refuses no retry.
+// raceBudget allows every retry.
 var raceBudget = RetryBudgetConfig{Ratio: 1, Slack: 100, Window: 10 * time.Second}
 
-// racer is how a target answers.
+// racer is the scripted behavior of a target.
 type racer func(ctx context.Context) (*TargetResponse, error)
 
-// raceSender answers by the scripts of targets and counts what was given up.
+// raceSender answers with the scripts of the targets and counts canceled attempts.
 type raceSender struct {
 	mu       sync.Mutex
 	racers   map[netip.AddrPort]racer
@@ -65,7 +66,7 @@
 	return s.canceled[raceAddress(i)]
 }
 
-// raceDialect has every answer be that of the request, unless its head says that it was not run.
+// raceDialect treats every response as that of the request, unless its header says that the request was not run.
 type raceDialect struct{ stubDialect }
 
 const notRunHeader = "Not-Run"
@@ -74,7 +75,7 @@
 	return ResponseInfo{RequestID: "r", Stamped: true, NotRun: h.Get(notRunHeader) != ""}
 }
 
-// pausedBody gives each part after a pause.
+// pausedBody is a response body that returns each part after a pause.
 type pausedBody struct {
 	ctx   context.Context
 	parts []part
@@ -102,7 +103,7 @@
 
 func (b *pausedBody) Close() error { return nil }
 
-// answersAfter begins its answer after a time and then gives its parts.
+// respondsAfter returns a racer that starts to respond after a delay and then sends the parts.
 func respondsAfter(wait time.Duration, status int, ends error, parts ...part) racer {
 	return func(ctx context.Context) (*TargetResponse, error) {
 		select {
@@ -118,7 +119,7 @@
 	return respondsAfter(wait, http.StatusOK, io.EOF, part{0, body})
 }
 
-// streamed gives events of a stream, each a millisecond after the last.
+// streamed returns a racer that sends the events of a stream at intervals of a millisecond.
 func streamed(wait time.Duration, events ...int) racer {
 	return respondsAfter(wait, http.StatusOK, io.EOF, eventParts(events...)...)
 }
@@ -156,13 +157,13 @@
 	return nil, &SendError{Written: true, Err: ctx.Err()}
 }
 
-// racedRequest is one request before two targets.
+// racedRequest is one request with scripted targets.
 type racedRequest struct {
 	*flow
 	fleet    *Fleet
 	sender   *raceSender
 	recorder *httptest.ResponseRecorder
-	// log is what the daemon logged.
+	// log is the log of the daemon.
 	log *strings.Builder
 }
 
@@ -176,7 +177,8 @@
 	return t
 }
 
-// newRaced makes a request of a kind before one target for each racer; its answers are usually quick, and the first target is the cheaper one.
+// newRaced returns a request with one target per racer. Past responses were quick, and the first target has the lowest
+// cost.
 func newRaced(kind proto.RouteKind, racers ...racer) *racedRequest {
 	clock := clockwork.NewRealClock()
 	sender := &raceSender{racers: map[netip.AddrPort]racer{}, asked: map[netip.AddrPort]int{}, canceled: map[netip.AddrPort]int{}}
@@ -210,7 +212,7 @@
 	return &racedRequest{flow: f, fleet: fleet, sender: sender, recorder: recorder, log: lines}
 }
 
-// end runs the request to its end and returns the body that its caller got.
+// end runs the request to its end and returns the body that its caller received.
 func (r *racedRequest) end(t *testing.T) string {
 	t.Helper()
 	if fail := r.run(t.Context()); fail != nil {
@@ -223,7 +225,7 @@
 	r.fleet.ApplyChanges(time.Now(), []FleetChange{putChange(100, t)})
 }
 
-// eventsOf are the ids of the events that a caller got.
+// eventsOf returns the ids of the events that a caller received.
 func eventsOf(body string) string {
 	ids := ""
 	for line := range strings.Lines(body) {
--- a/relay/server.go
+++ b/relay/server.go
@@ -17,42 +17,46 @@
 )
 
 const (
-	// answerMargin is how long before a request's time is over its final answer goes out, so that it still arrives.
+	// responseMargin is how long before a request's deadline the final response is sent, so that it still arrives in
+	// time.
 	responseMargin = 15 * time.Millisecond
-	// bodyWait bounds the reading of a body; callers that are within the limits send theirs at once.
+	// bodyReadTimeout limits the time to read a body. Callers within the limits send their bodies immediately.
 	bodyReadTimeout = 5 * time.Second
-	// waitUnknown is when to come back for a pool that the configuration in force does not have yet.
+	// unknownPoolRetryAfter is the Retry-After for a pool that the current configuration does not contain yet.
 	unknownPoolRetryAfter = 400 * time.Millisecond
-	// startWait is how long a request waits for a daemon that is starting, which is a part of the shortest goals.
+	// startupWait is how long a request waits for a daemon that is starting up. It is a fraction of the shortest
+	// latency goals.
 	startupWait = 100 * time.Millisecond
-	// waitFull is when to come back to a daemon that has as many open requests as it may.
+	// fullRetryAfter is the Retry-After of a daemon that has reached its limit of open requests.
 	fullRetryAfter = time.Second
-	// streamsTaken is how long after the request to stop streams are taken: the balancer asks each second and sends no
-	// new callers after two misses, and those who kept a connection find another daemon as soon as they are refused.
+	// streamAcceptTime is how long streams are still accepted after the daemon was told to stop. The load balancer
+	// checks every second and stops sending new callers after two failed checks; callers with open connections find
+	// another daemon as soon as they are refused.
 	streamAcceptTime = 2500 * time.Millisecond
-	// streamsLength and othersLength are the least times that streams and other requests are given before the end, also
-	// where those of the route were shorter so far: cutting one off costs its caller the whole answer, and refusing it
-	// one way to another daemon.
+	// minStreamTime and minRequestTime are the minimum durations assumed for streams and for other requests when the
+	// daemon decides whether they can finish before it stops, even if those of the route have been shorter so far. A
+	// request that is cut off costs its caller the whole response, one that is refused only the trip to another daemon.
 	minStreamTime  = 4500 * time.Millisecond
 	minRequestTime = 1500 * time.Millisecond
-	// stopAnswer is how long before the last moment of a stopping daemon requests are refused whose stages are not done:
-	// what is refused then still reaches its caller, who goes to another daemon, and what is not would end without an
-	// answer.
+	// stopMargin is how long before a stopping daemon exits the requests with unfinished stages are refused. A refusal
+	// at this point still reaches the caller, who goes to another daemon; later the request would end without a
+	// response.
 	stopMargin = 300 * time.Millisecond
-	// waitStopping is when to come back to a deployment of which one daemon stops: at once, to another.
+	// stoppingRetryAfter is the Retry-After of a stopping daemon. It is short because the other daemons of the
+	// deployment can take the request at once.
 	stoppingRetryAfter = 50 * time.Millisecond
-	// noTimeout stands in for the bound of requests that have none.
+	// defaultTimeout applies to requests without a timeout.
 	defaultTimeout = time.Minute
 	tracer         = "emberlead"
 )
 
-// Limits bound a daemon's own resources.
+// Limits limits a daemon's own resources.
 type Limits struct {
-	// Open is the most requests in progress.
+	// MaxOpen is the maximum number of requests in progress.
 	MaxOpen int64
 }
 
-// Server passes callers' requests on to targets.
+// Server forwards callers' requests to targets.
 type Server struct {
 	clock   clockwork.Clock
 	log     hclog.Logger
@@ -69,8 +73,9 @@
 	crashes *CrashTracker
 	ends    *CrashDetector
 
-	// firstEvents are the times to the first events of a route's requests at their targets, answers those to the whole
-	// answers of a pool, callTimes those of a pool's calls for pieces, and lengths those of whole requests of a route.
+	// firstEventTimes are the times to the first event of streams, by route and without the stages. responseTimes are
+	// the times to complete responses of targets, by pool. callTimes are the durations of calls for pieces, by pool,
+	// and requestTimes those of whole requests, by route.
 	firstEventTimes, responseTimes, callTimes, requestTimes durationEstimates[string]
 	fetches                                                 fetchTimes
 
@@ -81,17 +86,17 @@
 	started  <-chan struct{}
 	open     atomic.Int64
 	stopping atomic.Pointer[stopPlan]
-	// ending ends, by end, when requests that no target has are refused since the daemon stops, and closing, by close, when those that
-	// targets still run are answered.
+	// stagesCtx is canceled, by cancelStages, when the stopping daemon refuses requests whose stages are not done.
+	// closing is canceled, by close, when it answers the requests that targets are still running.
 	stagesCtx, closing  context.Context
 	cancelStages, close context.CancelFunc
 }
 
-// stopPlan is how a daemon that stops goes on for a while: from began on, until the last moment.
+// stopPlan says when a daemon began to stop and when it exits.
 type stopPlan struct{ startedAt, lastMoment time.Time }
 
-// until is when a request of a kind is no longer taken, since it might be cut off at the end; length is how long those
-// of its route nearly always take, as far as that is known.
+// acceptUntil returns when the daemon stops accepting requests of a kind because they might be cut off when it exits.
+// length is the upper estimate of the duration of the route's requests, 0 if unknown.
 func (p *stopPlan) acceptUntil(kind proto.RouteKind, length time.Duration) time.Time {
 	if kind != proto.RouteStream {
 		return p.lastMoment.Add(-max(minRequestTime, length))
@@ -103,7 +108,7 @@
 	return end
 }
 
-// ServerConfig is what a Server is made from.
+// ServerConfig holds the dependencies and settings of a Server.
 type ServerConfig struct {
 	Clock   clockwork.Clock
 	Log     hclog.Logger
@@ -117,14 +122,15 @@
 	Zone    string
 	Budget  RetryBudgetConfig
 	Limits  Limits
-	// Crashes says which requests are run no more, and Ends is told of attempts that failed; both may be nil.
+	// CrashTracker blocks requests that crash targets, and Ends is told about failed attempts. Both may be nil.
 	CrashTracker *CrashTracker
 	Ends         *CrashDetector
-	// Started is closed once the daemon knows what it needs to serve; nil if it does from the beginning.
+	// Started is closed once the daemon has the data that it needs to serve requests; nil if it has it from the
+	// beginning.
 	Started <-chan struct{}
 }
 
-// NewServer returns a server; it refuses requests until a configuration is known.
+// NewServer returns a server. It refuses requests until a configuration is known.
 func NewServer(c ServerConfig) *Server {
 	s := &Server{
 		clock: c.Clock, log: c.Log, dialect: c.Dialect, fleet: c.Fleet, tables: c.Tables,
@@ -140,16 +146,17 @@
 // Open returns the number of requests in progress.
 func (s *Server) Open() int64 { return s.open.Load() }
 
-// Stop makes each answer from now on close its connection, so that callers go to other daemons. Callers that keep a
-// connection may send for a while; what might not end before the last moment is refused as not run, at once or, if its
-// stages take longer than expected, shortly before that moment; what a target still runs by then is answered as such.
+// Stop makes every response from now on close its connection, so that callers move to other daemons. Callers that keep
+// a connection may send requests for a while. A request that might not finish before the last moment is refused as not
+// run: immediately, or shortly before that moment if its stages take longer than expected. A request that a target is
+// still running at the last moment is answered as possibly run.
 func (s *Server) Stop(startedAt, lastMoment time.Time) {
 	s.stopping.Store(&stopPlan{startedAt: startedAt, lastMoment: lastMoment})
 	s.clock.AfterFunc(lastMoment.Sub(startedAt)-stopMargin, s.cancelStages)
 	s.clock.AfterFunc(lastMoment.Sub(startedAt), s.close)
 }
 
-// Counts returns the totals since the start.
+// Counts returns the counters since the start of the process.
 func (s *Server) Counts() *Counts { return &s.counts }
 
 func (s *Server) budgetOf(pool string) *RetryBudget {
@@ -163,7 +170,7 @@
 	return b
 }
 
-// flow is one request on its way.
+// flow is the state of one request, from its acceptance to its final response.
 type flow struct {
 	server        *Server
 	w             http.ResponseWriter
@@ -173,57 +180,60 @@
 	spec          *proto.RelayPool
 	workspace     string
 	workspaceSpec *proto.RelayWorkspace
-	// digest is the same for each try of the request, under whatever id.
+	// digest identifies the request across retries by the caller, which may use different ids.
 	digest proto.RequestDigest
-	// homes are the regions that the request and its pieces may be worked on in. Its body goes to no other daemon.
+	// allowedRegions are the regions that may process the request and its pieces. The body is not sent to other
+	// daemons.
 	allowedRegions proto.AllowedRegions
-	// rank is the request's urgency among those for its pool; 0 is the highest.
+	// rank is the priority of the request among those for its pool; 0 is the highest.
 	rank           int
 	routingVersion uint64
 	startedAt      time.Time
-	// end is when the final answer must go out, and due when it should be there.
+	// deadline is when the final response must be sent. due is when the response should have arrived to meet the
+	// latency goal.
 	deadline, due time.Time
 
 	stageResults []stageResult
-	// freeing guards what says which results are freed: a timer frees them too.
+	// freeMu guards the flags of freed results, because a timer frees results too.
 	freeMu sync.Mutex
-	// handles are the inputs that the request itself needs, in order; lacking says that they are being made, or could not be.
+	// inputHandles are the results that the request itself needs, in order. inputsMissing is set while they are being
+	// made, and if they could not be made.
 	inputHandles  []string
 	inputsMissing bool
-	// rebuilt is how often the stages were done anew.
+	// rebuilds counts how often the stages were run again.
 	rebuilds int
-	// zone is where most bytes of these lie, and bulk how many.
+	// inputZone is the zone that holds the largest part of the inputs, and inputBytes is the size of that part.
 	inputZone  string
 	inputBytes int
 
 	// sent counts the attempts that reached a target, and runs the targets that may have run the request.
 	sent, runs int
-	// target is the last target that was tried.
+	// target is the target that was tried last, or that delivered the response.
 	target       string
 	triedTargets map[string]bool
-	// overtaken are the targets whose attempts were given up for one that answered earlier.
+	// superseded are the targets whose attempts were canceled because another target answered first.
 	superseded  []string
 	committed   bool
 	lastEventID int
-	// ready is a target's failure answer that is passed on if nothing better comes.
+	// fallback is a target's failure response, which is forwarded if no better response arrives.
 	fallback *bufferedResponse
-	// stages are how those that have ended went, also such as were done anew.
+	// stageLog describes the stages that have ended, including repeated ones.
 	stageLog []stageLogEntry
-	// staged and first are when the stages were done and when the first event went out.
+	// stagesDoneAt is when the stages were done, and firstEventAt when the first event was forwarded.
 	stagesDoneAt, firstEventAt time.Time
-	// passed is when the last event went out, and pause the longest time between two.
+	// lastEventAt is when the last event was forwarded, and longestPause the longest time between two events.
 	lastEventAt  time.Time
 	longestPause time.Duration
 }
 
-// failure is a final answer that the daemon gives itself.
+// failure is a final response that the daemon generates itself.
 type failure struct {
 	status int
 	wait   time.Duration
 	reason string
 }
 
-// ServeHTTP passes one request on and returns when its answer is whole or has failed.
+// ServeHTTP forwards one request. It returns when the response is complete or has failed.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	startedAt := s.clock.Now()
 	if s.stopping.Load() != nil {
@@ -251,8 +261,8 @@
 	f.finish(ctx, f.run(ctx))
 }
 
-// awaitStart holds a request that comes while the daemon is starting: it knows all it needs within some ten
-// milliseconds, and a caller who is sent away comes back after hundreds.
+// waitForStartup delays a request that arrives while the daemon is starting up. The daemon has all its data within
+// about ten milliseconds, whereas a caller that is refused only comes back after hundreds.
 func (s *Server) waitForStartup(ctx context.Context) {
 	if s.started == nil {
 		return
@@ -271,14 +281,14 @@
 
 func (f *flow) timeLeft() time.Duration { return f.deadline.Sub(f.server.clock.Now()) }
 
-// run has the stages done and then the request itself; nil means that the whole answer went out.
+// run runs the stages and then the request itself. It returns nil if the complete response was sent.
 func (f *flow) run(ctx context.Context) *failure {
 	f.server.counts.received.Add(1)
 	if f.spec == nil {
 		return f.notRunFailure(unknownPoolRetryAfter, "the configuration has no pool "+f.pool)
 	}
 	if f.server.fleet.OpenCount(f.pool, f.allowedRegions) == 0 {
-		// Its stages would be made in vain.
+		// The results of the stages could not be used.
 		return f.notRunFailure(unknownPoolRetryAfter, f.noTarget())
 	}
 	if in, reason := f.server.placer.signalWait(f.pool, f.allowedRegions); in > f.timeToEngine() {
@@ -306,12 +316,12 @@
 	}
 }
 
-// mayRebuild tells whether the stages may be done anew.
+// mayRebuild reports whether the stages may be run again.
 func (f *flow) mayRebuild() bool {
 	return f.rebuilds < maxRebuilds && f.timeLeft() >= f.timeToFirstEvent()
 }
 
-// rebuild has the stages done anew.
+// rebuild runs the stages again, because results that the request needs are no longer available.
 func (f *flow) rebuild(ctx context.Context) (fail *failure, lost bool) {
 	f.rebuilds++
 	f.logInfo("inputs are made anew", "rebuilt", f.rebuilds, "left", formatDuration(f.timeLeft()))
@@ -319,7 +329,7 @@
 	return f.runStagesUntilStop(ctx)
 }
 
-// runStagesUntilTheEnd has the stages done, unless the daemon ends before they are.
+// runStagesUntilStop runs the stages, but cancels them if the daemon stops first.
 func (f *flow) runStagesUntilStop(ctx context.Context) (fail *failure, lost bool) {
 	stagesCtx := f.server.stagesCtx
 	ctx, cancel := context.WithCancel(ctx)
@@ -332,7 +342,7 @@
 	return fail, lost
 }
 
-// prompt names the part of the prompt that is the request's own, by which the log shows that a caller came back.
+// promptID returns the id of the private part of the prompt, by which the log shows that a caller came back.
 func (f *flow) promptID() string {
 	if n := len(f.req.PromptParts); n > 0 {
 		return f.req.PromptParts[n-1].ID
@@ -340,7 +350,8 @@
 	return ""
 }
 
-// notRun is the refusal of a request that no target has run or will run.
+// notRunFailure returns the refusal of a request that no target has run or will run. If a target may have run it, the
+// status says so.
 func (f *flow) notRunFailure(wait time.Duration, reason string) *failure {
 	if f.runs > 0 {
 		return &failure{status: http.StatusBadGateway, reason: reason}
@@ -352,7 +363,7 @@
 	f.server.log.Info(message, append([]any{"request", f.req.ID}, pairs...)...)
 }
 
-// finish gives the final answer and logs how the request ended.
+// finish sends the final response if the request failed, and logs the outcome.
 func (f *flow) finish(ctx context.Context, fail *failure) {
 	s := f.server
 	now := s.clock.Now()
@@ -388,10 +399,10 @@
 	}
 }
 
-// brief is how a time is logged: whole microseconds with their unit.
+// formatDuration formats a duration for the log, rounded to microseconds and with its unit.
 func formatDuration(d time.Duration) string { return d.Round(time.Microsecond).String() }
 
-// since is the time between two moments, 0 if the second has not come.
+// elapsed returns the time between two moments, or 0 if the second one has not come yet.
 func elapsed(from, to time.Time) time.Duration {
 	if to.IsZero() {
 		return 0
@@ -399,12 +410,13 @@
 	return to.Sub(from)
 }
 
-// inTime tells whether a delivered answer was there by its goal, and a stream without a pause that its route calls late.
+// onTime reports whether a response was delivered by its latency goal, and a stream without a pause longer than its
+// route allows.
 func (f *flow) onTime(now time.Time) bool {
 	return !f.answeredAt(now).After(f.due) && (f.route.MaxPause == 0 || f.longestPause <= f.route.MaxPause)
 }
 
-// answered is when a delivered answer counts as there: a stream by its first event.
+// answeredAt returns when a delivered response counts as answered: for a stream, at its first event.
 func (f *flow) answeredAt(now time.Time) time.Time {
 	if f.firstEventAt.IsZero() {
 		return now
--- a/relay/server_test.go
+++ b/relay/server_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// TestAStoppingDaemonRefusesWhoseStagesAreNotDone has a request wait in the queue of a stage until the daemon ends.
+// TestStoppingDaemonRefusesUnfinishedStages lets a request wait in the queue of a stage until the daemon stops.
 func TestStoppingDaemonRefusesUnfinishedStages(t *testing.T) {
 	const grace = 7 * time.Second
 	peers := &scriptedPeers{silent: make(chan struct{}), answer: func(ctx context.Context) (proto.Message, error) {
@@ -66,7 +66,7 @@
 		fail, lost := f.runStagesUntilStop(context.Background())
 		ends <- end{fail, lost}
 	}()
-	// The stop and the look whether the owner of the stage still lives wait for the clock.
+	// Two timers wait for the clock: the stop, and the check whether the owner of the stage is still alive.
 	if err := clock.BlockUntilContext(t.Context(), 2); err != nil {
 		t.Fatal(err)
 	}
--- a/relay/stages.go
+++ b/relay/stages.go
@@ -10,27 +10,30 @@
 )
 
 const (
-	// stageRebuilds is how often a request's stages are done anew after a result was lost.
+	// maxRebuilds is how many times the stages of a request are run again after a result was lost.
 	maxRebuilds = 2
-	// firstEventPrior is the time to an engine's first event, waiting included, before the route was observed.
+	// initialFirstEventTime is the upper bound of the time to an engine's first event, including waiting, before any
+	// was observed for the route.
 	initialFirstEventTime = 300 * time.Millisecond
-	// comeBackCalls is after how many calls' time a caller comes back at the least: a queue that is too long now takes
-	// a few calls to drain. comeBackSpread is over how many calls' time those who were refused together come back.
+	// retryAfterCalls is the minimum Retry-After as a multiple of the call time: a queue that is too long takes a few
+	// calls to drain. retrySpreadCalls is the number of call times over which callers that were refused together are
+	// spread.
 	retryAfterCalls  = 4
 	retrySpreadCalls = 3
-	// comeBackPart is the part of their time left for which callers wait at most.
+	// retryAfterDivisor determines the fraction, one in so many, of their remaining time for which callers wait at
+	// most.
 	retryAfterDivisor = 3
-	// stageFill is the part of a full call's pieces that a stage's expected length counts.
+	// expectedFill is the fill level of calls that is assumed for the expected call time of a stage.
 	expectedFill = 0.7
 )
 
-// stageResult is what is known of one stage of a request.
+// stageResult is the state of one stage of a request.
 type stageResult struct {
 	requested, done, freed bool
 	handles                []string
 	zone                   string
 	bytes                  int
-	// shard is that of the stage's pool that made them.
+	// shard is the shard of the stage's pool that produced the results.
 	shard int
 }
 
@@ -40,12 +43,13 @@
 	took   time.Duration
 }
 
-// stageNote is how the log tells where a stage's time went.
+// stageLogEntry describes in the log where the time of a stage was spent.
 type stageLogEntry struct {
 	Stage   int    `json:"stage"`
 	Pool    string `json:"pool"`
 	Outcome string `json:"fate"`
-	// Queued and Made are what the daemon that batches for the pool says; Took is the whole time until its answer.
+	// QueuedFor and CallTime are reported by the daemon that batches for the pool. Took is the total time until its
+	// answer.
 	QueuedFor string `json:"queued"`
 	CallTime  string `json:"made"`
 	Took      string `json:"took"`
@@ -58,8 +62,8 @@
 	return f.req.Pieces[stage]
 }
 
-// runStages has all stages done that the request does not leave out, each as soon as those before it are.
-// lost says that a result was lost, so that they may be done anew.
+// runStages runs all stages that the request does not skip, each as soon as the stages before it are done. lost is set
+// if a result was lost, so that the stages may be run again.
 func (f *flow) runStages(ctx context.Context) (fail *failure, lost bool) {
 	f.inputHandles, f.inputZone, f.inputBytes, f.inputsMissing = nil, "", 0, true
 	homeZone := f.server.fleet.HomeZone(f.server.clock.Now(), f.pool, f.criteria())
@@ -91,7 +95,7 @@
 	return nil, false
 }
 
-// drain takes in what the other stages still give, so that their results are freed with the rest.
+// collectRest collects the results of the remaining stages, so that they are freed with the others.
 func (f *flow) collectRest(ends chan stageOutcome, open int) {
 	for ; open > 0; open-- {
 		e := <-ends
@@ -113,8 +117,9 @@
 	return f.notRunFailure(f.queueRetryAfter(f.stageCallTime(e.stage), e.answer.RetryAfter), "stage "+pool+": "+e.answer.Detail)
 }
 
-// comeBack is when a caller that was refused for a queue should come back: once the queue has drained, and not all
-// at the same moment; call is the length of the pool's calls. Callers wait for a third of their time at most.
+// queueRetryAfter returns when a caller that was refused because of a queue should come back: once the queue has
+// drained, spread so that not all come back at the same moment. call is the call time of the pool. Callers wait for a
+// third of their time at most.
 func (f *flow) queueRetryAfter(call, queue time.Duration) time.Duration {
 	spread := time.Duration(0)
 	if call > 0 {
@@ -124,10 +129,10 @@
 	return max(minRetryWait, min(wait, f.timeLeft()/retryAfterDivisor))
 }
 
-// startStages starts the stages whose needs are met and returns how many.
+// startStages starts the stages whose dependencies are done, and returns how many it started.
 func (f *flow) startStages(ctx context.Context, ends chan stageOutcome, homeZone string) int {
 	started := 0
-	// Once a stream has begun, refusing its stages would break it off.
+	// Once a stream has started, refusing its stages would break it off.
 	first := !f.anyStageDone() && !f.committed
 	for i := range f.route.Stages {
 		if f.stageResults[i].requested || f.pieceCount(i) == 0 || !f.dependenciesDone(i) || f.canDefer(i) {
@@ -139,7 +144,7 @@
 		rest := f.remainingTimeAfter(i)
 		due, deadline := f.due.Add(-rest), f.deadline.Add(-f.timeToFirstEvent()/2)
 		if first {
-			// What does not leave time for the later stages is better refused before anything has run.
+			// A request without enough time for the later stages should be refused before anything has run.
 			deadline = f.deadline.Add(-rest)
 		}
 		go func() { ends <- f.runStage(ctx, ask, due, deadline) }()
@@ -161,8 +166,8 @@
 	})
 }
 
-// canWait tells whether a stage with large results is better done later: nothing but the request itself needs them,
-// and until it runs they take up room that other requests need.
+// canDefer reports whether a stage with large results should run later: only the request itself needs them, and until
+// it runs they occupy space that other requests need.
 func (f *flow) canDefer(stage int) bool {
 	if !f.isFinalStage(stage) || f.route.Stages[stage].ResultBytes*f.pieceCount(stage) < minBulkInputBytes {
 		return false
@@ -193,7 +198,7 @@
 	return true
 }
 
-// askFor describes a stage; home is the zone of the target that the request will likely go to.
+// newPiecesAsk returns the message for a stage. homeZone is the zone of the target that will probably get the request.
 func (f *flow) newPiecesAsk(stage int, first bool, homeZone string) proto.PiecesAsk {
 	spec := &f.route.Stages[stage]
 	ask := proto.PiecesAsk{
@@ -223,7 +228,7 @@
 	return ask
 }
 
-// soleReader tells whether no other stage of the request reads the results of one.
+// isOnlyReader reports whether no other stage of the request reads the results of the stage before.
 func (f *flow) isOnlyReader(stage, before int) bool {
 	for i := range f.route.Stages {
 		if i != stage && f.pieceCount(i) > 0 && contains(f.route.Stages[i].DependsOn, before) {
@@ -233,8 +238,8 @@
 	return true
 }
 
-// restAfter is the expected time from the end of a stage to the first event of the answer, with the queues of the
-// stages that come after it: a request that would get stuck there is better refused before anything has run.
+// remainingTimeAfter returns the expected time from the end of a stage to the first event, including the queues of the
+// later stages. A request that would get stuck in one of them should be refused before anything has run.
 func (f *flow) remainingTimeAfter(stage int) time.Duration {
 	longest := time.Duration(0)
 	for i := range f.route.Stages {
@@ -250,7 +255,8 @@
 	return longest
 }
 
-// stageLength is the usual length of a call for a stage: by the configuration a rather full one, until calls were seen.
+// stageCallTime returns the upper bound of the duration of a stage's calls. Until calls are observed it is computed
+// from the configuration for a nearly full call.
 func (f *flow) stageCallTime(stage int) time.Duration {
 	pool := f.route.Stages[stage].Pool
 	spec := f.server.tables.Current().Routing().Pools[pool]
@@ -261,19 +267,20 @@
 	return f.server.callTimes.upperBound(pool, stated)
 }
 
-// toFirstEvent is how long the request itself nearly always takes to its first event once its stages are done: what
-// those of its route take beside the reading of the parts that are their own, and the reading of its own part.
+// timeToFirstEvent returns the upper bound of the time to the first event once the stages are done: the time that
+// requests of the route take besides reading the private parts of their prompts, plus the time to read the private part
+// of this one.
 func (f *flow) timeToFirstEvent() time.Duration {
 	return f.server.firstEventTimes.upperBound(f.route.Name, initialFirstEventTime) + f.ownPromptTime()
 }
 
-// sawFirstEvent learns from a first event that came after a time.
+// recordFirstEvent records the time to a first event.
 func (f *flow) recordFirstEvent(took time.Duration) {
 	f.server.firstEventTimes.observe(f.route.Name, initialFirstEventTime, max(0, took-f.ownPromptTime()))
 }
 
-// reading is how long an engine of the pool reads the part of the prompt that is the request's own. Prompts of one route
-// differ by ten times, and the longest leave the least time to their stages.
+// ownPromptTime returns how long an engine of the pool takes to read the private part of the prompt. Prompts of one
+// route differ in length by a factor of ten, and the longest leave the least time for their stages.
 func (f *flow) ownPromptTime() time.Duration {
 	if f.spec.Engine == nil {
 		return 0
@@ -290,7 +297,7 @@
 	return false
 }
 
-// last tells whether no stage that is done needs the results of this one.
+// isFinalStage reports whether no other stage of the request needs the results of a stage.
 func (f *flow) isFinalStage(stage int) bool {
 	for i := range f.route.Stages {
 		if f.pieceCount(i) > 0 && contains(f.route.Stages[i].DependsOn, stage) {
@@ -300,7 +307,7 @@
 	return true
 }
 
-// collectInputs takes the results that the request itself needs, and the zone where most of their bytes lie.
+// collectInputs collects the results that the request itself needs, and finds the zone that holds most of their bytes.
 func (f *flow) collectInputs() {
 	most := 0
 	for i := range f.stageResults {
@@ -314,7 +321,7 @@
 	}
 }
 
-// freeUsed frees the results of stages whose every reader is done.
+// freeConsumed frees the results of stages all of whose readers are done.
 func (f *flow) freeConsumed() {
 	for i := range f.stageResults {
 		if !f.stageResults[i].done || f.stageResults[i].freed || f.isFinalStage(i) {
@@ -346,10 +353,10 @@
 	f.server.pieces.Free(f.route.Stages[stage].Pool, results[stage].shard, results[stage].handles)
 }
 
-// freeAll frees all results that are left, once the request has read its inputs or has ended.
+// freeAllResults frees all remaining results, once the request's inputs have been read or the request has ended.
 func (f *flow) freeAllResults() { f.freeResults(f.stageResults) }
 
-// freeResults frees some results, which may be those of stages that were done anew since.
+// freeResults frees the given results, which may belong to stages that were run again since.
 func (f *flow) freeResults(results []stageResult) {
 	f.freeMu.Lock()
 	defer f.freeMu.Unlock()
@@ -358,7 +365,7 @@
 	}
 }
 
-// noteFreed takes in that the daemon that batches for a stage has given the stage's inputs up.
+// recordFreed records that the daemon that batches for a stage has freed the inputs of the stage.
 func (f *flow) recordFreed(e stageOutcome) {
 	if !e.answer.InputsFreed {
 		return
@@ -370,7 +377,7 @@
 	}
 }
 
-// inputsFreed tells whether inputs of the request itself were given up, so that no further target can fetch them.
+// inputsFreed reports whether inputs of the request itself were freed, so that no other target can fetch them.
 func (f *flow) inputsFreed() bool {
 	if f.inputsMissing {
 		return true
--- a/relay/stages_test.go
+++ b/relay/stages_test.go
@@ -13,14 +13,14 @@
 	"emberlead/proto"
 )
 
-// ownerPeers has another daemon do all stages at once, and records what it was asked in order.
+// recordingPeers simulates another daemon that runs all stages at once, and records the messages in order.
 type recordingPeers struct {
 	scriptedPeers
 	askedMu sync.Mutex
 	asked   []proto.PiecesAsk
-	// queue is what it says of the queue of each pool.
+	// queue is the queue delay that it reports for each pool.
 	queue time.Duration
-	// takes is how long the n-th ask takes; nil if all are answered at once.
+	// takes returns how long the n-th message takes; nil if all are answered at once.
 	takes func(n int) time.Duration
 }
 
@@ -57,7 +57,7 @@
 	return order
 }
 
-// stagedFlow is a request of a route with a large stage of its own beside a chain of three.
+// newStagedFlow returns a request of a route with an independent stage with large results and a chain of three stages.
 func newStagedFlow(peers *recordingPeers, counts ...int) *flow {
 	clock := clockwork.NewRealClock()
 	pieces := newTestPieceScheduler(clock, peers, &stubSender{})
@@ -93,7 +93,7 @@
 			if fail, _ := f.runStages(context.Background()); fail != nil {
 				t.Fatal(fail.reason)
 			}
-			// The last two may begin together.
+			// The last two may start at the same time.
 			if got := peers.stages(); got != s.order && !(s.order == "1230" && got == "1203") {
 				t.Errorf("stages were asked for in the order %s, want %s", got, s.order)
 			}
@@ -127,8 +127,8 @@
 	}
 }
 
-// TestTheFirstStageCountsTheQueuesBehindIt has one request learn of the queues, and another begin earlier for them: it
-// is refused at once where it could only be late.
+// TestFirstStageAccountsForLaterQueues lets one request learn the queue delays. The first stage of the next request
+// must then be due earlier, so that a request that could only be late is refused at once.
 func TestFirstStageAccountsForLaterQueues(t *testing.T) {
 	peers := &recordingPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}, queue: 2 * time.Second}
 	f := newStagedFlow(peers, 0, 1, 2, 3)
@@ -142,14 +142,14 @@
 	if first.Stage != 1 || second.Stage != 1 {
 		t.Fatalf("stages %d and %d", first.Stage, second.Stage)
 	}
-	// Two stages come after it, each with a queue that was heard of a moment ago.
+	// Two stages follow, each with a queue delay that was reported a moment ago.
 	if less := first.DueIn - second.DueIn; less < 3*time.Second || less > 4*time.Second {
 		t.Errorf("the first stage is due %v earlier for two queues of 2s", less)
 	}
 }
 
-// TestALongPromptLeavesItsStagesLessTime has engines that are known to read a token in 50 microseconds, and a route whose
-// requests take 100 ms to their first event beside the reading of their prompts.
+// TestLongPromptShortensStageDeadline uses engines that read a token in 50 microseconds, and a route whose requests
+// take 100 ms to their first event in addition to the reading of their prompts.
 func TestLongPromptShortensStageDeadline(t *testing.T) {
 	const token, beside = 50 * time.Microsecond, 100 * time.Millisecond
 	due := map[int]time.Duration{}
--- a/relay/table.go
+++ b/relay/table.go
@@ -10,7 +10,7 @@
 	"emberlead/proto"
 )
 
-// Table answers which route and which workspace a request belongs to, for one version of the configuration.
+// Table looks up the route and the workspace of a request in one version of the configuration.
 type Table struct {
 	routing *proto.Routing
 	hosts   map[string][]*proto.Route
@@ -39,10 +39,10 @@
 	return t
 }
 
-// Routing returns the configuration that the table was made from.
+// Routing returns the configuration that the table was built from.
 func (t *Table) Routing() *proto.Routing { return t.routing }
 
-// Match returns the route with the longest prefix of the path among those of the host, or nil.
+// Match returns the route of a host with the longest matching path prefix, or nil.
 func (t *Table) Match(host, path string) *proto.Route {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// Owner returns the workspace that holds a key, or nil.
+// Owner returns the workspace that an API key belongs to, or nil.
 func (t *Table) Owner(key string) *proto.RelayWorkspace {
 	if key == "" {
 		return nil
@@ -63,13 +63,13 @@
 	return t.owners[key]
 }
 
-// Rank returns how urgent a workspace's requests on a route are among those for a pool; 0 is the most urgent. The
+// Rank returns the priority rank of a workspace's requests on a route among those for a pool; 0 is the most urgent. The
 // workspace may be nil.
 func (t *Table) Rank(pool string, owner *proto.RelayWorkspace, route *proto.Route) int {
 	return t.ranks[pool][urgencyOf(owner, route)]
 }
 
-// Urgency returns how urgent a rank is among those that requests for a pool can have: from 0 for the least urgent to 1 for the most.
+// Urgency converts a rank of a pool to a number from 0 for the least urgent rank to 1 for the most urgent one.
 func (t *Table) Urgency(pool string, rank int) float64 {
 	last := len(t.ranks[pool]) - 1
 	if last <= 0 {
@@ -78,18 +78,18 @@
 	return 1 - float64(min(rank, last))/float64(last)
 }
 
-// Keyed tells whether requests need a key at all.
+// Keyed reports whether requests need an API key.
 func (t *Table) Keyed() bool { return len(t.routing.Workspaces) > 0 }
 
-// Tables holds the table in force; its version never goes down within the life of the process.
+// Tables holds the current table. Its version never decreases during the life of the process.
 type Tables struct {
 	current atomic.Pointer[Table]
 }
 
-// Current returns the table in force, or nil before the first configuration is known.
+// Current returns the current table, or nil before the first configuration is known.
 func (t *Tables) Current() *Table { return t.current.Load() }
 
-// ReplaceIfNewer puts a configuration in force if it is newer, and tells whether it did.
+// ReplaceIfNewer makes a configuration the current one if it is newer, and reports whether it did.
 func (t *Tables) ReplaceIfNewer(r *proto.Routing) bool {
 	next := NewTable(r)
 	for {
@@ -103,7 +103,7 @@
 	}
 }
 
-// Version returns the version in force, 0 if there is none.
+// Version returns the version of the current table, or 0 if there is none.
 func (t *Tables) Version() uint64 {
 	if c := t.current.Load(); c != nil {
 		return c.routing.Version
--- a/relay/typical.go
+++ b/relay/typical.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	// typicalWeight is the weight of the newest observation: some twenty count, which a route of ten requests a second
-	// gives in two seconds.
+	// estimateWeight is the weight of the newest observation. About twenty observations count, which a route with ten
+	// requests per second yields in two seconds.
 	estimateWeight = 0.1
-	// typicalDeviations is how many mean deviations above the mean what is nearly always enough lies: about 19 of 20.
+	// estimateDeviations is how many mean deviations the upper bound is above the mean. About 19 of 20 observations are
+	// below it.
 	estimateDeviations = 2
-	// typicalOdd is how many times what is nearly always enough an observation counts for at most.
+	// maxOutlierFactor limits an observation to this multiple of the upper bound.
 	maxOutlierFactor = 3
 )
 
-// typical learns how long something takes, and how much that varies.
+// durationEstimate learns the mean of a duration and its variation.
 type durationEstimate struct{ mean, deviation float64 }
 
 func (t *durationEstimate) observe(took time.Duration) {
@@ -25,25 +26,25 @@
 	t.deviation += estimateWeight * (max(off, -off) - t.deviation)
 }
 
-// most is what is nearly always enough.
+// upperBound returns a duration that is nearly always sufficient.
 func (t *durationEstimate) upperBound() time.Duration {
 	return time.Duration(t.mean + estimateDeviations*t.deviation)
 }
 
-// typicals learns how long the same kind of thing takes for each of several keys.
+// durationEstimates holds a durationEstimate for each key.
 type durationEstimates[K comparable] struct {
 	mu   sync.Mutex
 	keys map[K]*durationEstimate
 }
 
-// observe takes in how long it took; prior is what was expected before anything was observed.
+// observe records a duration. prior is the expected upper bound, from which the first estimate of a key is derived.
 func (t *durationEstimates[K]) observe(key K, prior, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.at(key, prior).observe(took)
 }
 
-// mean is how long it takes on average, and half of the prior before anything was observed.
+// mean returns the average duration, or half of prior without observations.
 func (t *durationEstimates[K]) mean(key K, prior time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -53,7 +54,7 @@
 	return prior / 2
 }
 
-// most is what is nearly always enough, and the prior before anything was observed.
+// upperBound returns a duration that is nearly always sufficient, or prior without observations.
 func (t *durationEstimates[K]) upperBound(key K, prior time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -69,7 +70,7 @@
 		if t.keys == nil {
 			t.keys = map[K]*durationEstimate{}
 		}
-		// Half of the prior is taken to be its spread.
+		// The deviation is initialized such that the upper bound equals the prior.
 		known = &durationEstimate{mean: float64(prior) / 2, deviation: float64(prior) / 2 / estimateDeviations}
 		t.keys[key] = known
 	}
