--- a/proto/check.go
+++ b/proto/check.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Limits of a configuration file.
+// Limits on a configuration file.
 const (
 	MaxFileSize   = 4 << 20
 	MaxStages     = 8
@@ -24,16 +24,16 @@
 	hashPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 )
 
-// Fault is one reason why a file is refused.
+// Fault is one reason why a file is rejected.
 type Fault struct {
 	Path   string `json:"path"`
 	Reason string `json:"reason"`
 }
 
-// String returns path and reason as one line.
+// String returns the path and the reason on one line.
 func (f Fault) String() string { return f.Path + ": " + f.Reason }
 
-// ReadFile decodes a configuration file and returns every fault that it finds; unknown fields are faults.
+// ReadFile decodes a configuration file and returns every fault that it finds. Unknown fields are faults.
 func ReadFile(data []byte) (*File, []Fault) {
 	if len(data) > MaxFileSize {
 		return nil, []Fault{{Path: "$", Reason: fmt.Sprintf("is %d bytes, more than %d", len(data), MaxFileSize)}}
@@ -76,7 +76,7 @@
 	seen[name] = true
 }
 
-// Check returns every fault that the file has by itself.
+// Check returns every fault that the file has on its own, without regard to other files.
 func (f *File) Check() []Fault {
 	c := &checker{}
 	if f.Kind != FileKindDeployment {
--- a/proto/codec.go
+++ b/proto/codec.go
@@ -7,7 +7,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Limits of messages between daemons.
+// Limits on the messages between daemons.
 const (
 	MaxMessage  = 16 << 20
 	maxElements = 1 << 17
@@ -32,7 +32,7 @@
 	return mode
 }
 
-// Encode frames a message as CBOR; it fails with KindInvalid.
+// Encode encodes a message as CBOR in an Envelope. It fails with KindInvalid.
 func Encode(m Message, call uint64, answer bool, trace string) ([]byte, error) {
 	body, err := encMode.Marshal(m)
 	if err != nil {
@@ -52,20 +52,20 @@
 	return data, nil
 }
 
-// NameOf returns the name of a message's type, for counters.
+// NameOf returns the name of the message's type, for use in metrics.
 func NameOf(m Message) string { return messageNames[m.messageKind()] }
 
-// messageNames are made once, since counters need one for each message.
+// messageNames is computed once because the metrics look up a name for every message.
 var messageNames = func() map[MessageKind]string {
 	names := map[MessageKind]string{}
 	for kind, read := range decoders {
-		empty, _ := read(nil) // The value is empty in any case, and only its type is used.
+		empty, _ := read(nil) // The body is empty, so decoding fails; only the type of the value is used.
 		names[kind] = strings.TrimPrefix(fmt.Sprintf("%T", empty), "proto.")
 	}
 	return names
 }()
 
-// Decode reads what Encode wrote; it fails with KindInvalid.
+// Decode decodes the output of Encode. It fails with KindInvalid.
 func Decode(data []byte) (Envelope, Message, error) {
 	var env Envelope
 	if err := decMode.Unmarshal(data, &env); err != nil {
--- a/proto/codec_fuzz_test.go
+++ b/proto/codec_fuzz_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// FuzzDecode reads bytes of any form as another daemon might send them: what is read must be a message that can be
-// written and read again.
+// FuzzDecode decodes arbitrary bytes, as a peer might send them. Whatever decodes must be a message that can be encoded
+// and decoded again.
 func FuzzDecode(f *testing.F) {
 	for _, m := range []Message{
 		Heartbeat{Incarnation: 7, Routing: 3, Targets: Revision{Era: 1, Version: 9}},
--- a/proto/digest.go
+++ b/proto/digest.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	loadRowSize  = 8 // bytes: hash of the target, running, waiting, slots, age
+	loadRowSize  = 8 // bytes: target hash, running, waiting, slots, age
 	loadAgeUnit  = 50 * time.Millisecond
 	maxLoadCount = 255
 )
 
-// LoadRow is a target's load as the daemon that reads it passes it on.
+// LoadRow is the load of a target, as forwarded by the daemon that reads it.
 type LoadRow struct {
 	Pool    string
 	Target  string
@@ -21,16 +21,16 @@
 	Waiting int
 	Slots   int
 	Models  []string
-	// Age is how long before the sending the target reported.
+	// Age is the time between the target's report and the message.
 	Age time.Duration
 }
 
-// TargetHash returns the hash by which a digest names a target.
+// TargetHash returns the hash that identifies a target in a digest.
 func TargetHash(target string) uint32 { return uint32(xxhash.Sum64String(target)) }
 
 func loadCount(n int) byte { return byte(min(maxLoadCount, max(0, n))) }
 
-// PackLoads writes eight bytes for each row; counts above 255 and ages above 12.75 s are cut to that.
+// PackLoads encodes each row in eight bytes. Counts are capped at 255 and ages at 12.75 s.
 func PackLoads(rows []LoadRow) []byte {
 	digest := make([]byte, 0, loadRowSize*len(rows))
 	for i := range rows {
@@ -41,7 +41,7 @@
 	return digest
 }
 
-// UnpackLoads reads what PackLoads wrote; rows of targets that are not in names are left out.
+// UnpackLoads decodes the output of PackLoads. It skips rows of targets that are not in names.
 func UnpackLoads(digest []byte, names map[uint32]LoadRow) []LoadRow {
 	rows := make([]LoadRow, 0, len(digest)/loadRowSize)
 	for ; len(digest) >= loadRowSize; digest = digest[loadRowSize:] {
--- a/proto/doc.go
+++ b/proto/doc.go
@@ -1,2 +1,2 @@
-// Package proto holds the typed messages, identifiers, file formats and error outcomes that every other package shares.
+// Package proto defines the messages, identifiers, file formats and error types that the other packages share.
 package proto
--- a/proto/duration.go
+++ b/proto/duration.go
@@ -7,19 +7,19 @@
 	"github.com/invopop/jsonschema"
 )
 
-// Duration is a time.Duration that JSON writes as a Go duration string such as "1.5s".
+// Duration is a time.Duration that is encoded in JSON as a Go duration string such as "1.5s".
 type Duration time.Duration
 
-// Std returns the standard library's form.
+// Std returns the duration as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// String returns the Go duration string.
+// String returns the duration in Go syntax.
 func (d Duration) String() string { return time.Duration(d).String() }
 
-// MarshalJSON writes the duration string.
+// MarshalJSON encodes the duration as a string.
 func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(d.String()) }
 
-// UnmarshalJSON reads a duration string; it fails with KindInvalid.
+// UnmarshalJSON decodes a duration string. It fails with KindInvalid.
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// JSONSchema describes the duration string.
+// JSONSchema returns the schema of a duration string.
 func (Duration) JSONSchema() *jsonschema.Schema {
 	return &jsonschema.Schema{
 		Type:        "string",
--- a/proto/errors.go
+++ b/proto/errors.go
@@ -6,10 +6,10 @@
 	"github.com/pkg/errors"
 )
 
-// Kind classes an error so that callers of a package can branch on it.
+// Kind classifies an error so that callers can branch on it.
 type Kind string
 
-// Kinds of the errors of this package.
+// Error kinds of this package.
 const (
 	KindInvalid  Kind = "invalid"
 	KindMismatch Kind = "mismatch"
@@ -21,11 +21,11 @@
 	KindUnavailable Kind = "unavailable"
 	// KindUnknown means that a write may or may not have taken effect.
 	KindUnknown Kind = "unknown"
-	// KindDenied means that the other side refused the credentials or the epoch.
+	// KindDenied means that the other side rejected the credentials or the epoch.
 	KindDenied Kind = "denied"
 )
 
-// KindedError is what every package's error type implements, so that callers can branch on kinds across packages.
+// KindedError is implemented by the error types of all packages, so that callers can branch on kinds across packages.
 type KindedError interface{ ErrorKind() Kind }
 
 // KindOf returns the kind of the first error in the chain that has one, or "".
@@ -37,22 +37,23 @@
 	return ""
 }
 
-// Package names the package whose error an OpError is.
+// Package identifies the package that an OpError belongs to.
 type Package interface{ Package() string }
 
-// OpError is an operation that failed, with the kind of its error. Each package has its own as Error, told apart by P.
+// OpError is the error of a failed operation. Each package declares its own instance as Error; P makes the types
+// distinct.
 type OpError[P Package] struct {
 	Op   string
 	Kind Kind
 	Err  error
 }
 
-// NewOpError returns an error whose cause is a text.
+// NewOpError returns an error whose cause is the formatted text.
 func NewOpError[P Package](op string, kind Kind, format string, args ...any) error {
 	return &OpError[P]{Op: op, Kind: kind, Err: errors.Errorf(format, args...)}
 }
 
-// Error returns the package, the operation, the kind and the cause as one line.
+// Error returns the package, operation, kind and cause on one line.
 func (e *OpError[P]) Error() string {
 	var pkg P
 	return fmt.Sprintf("%s: %s: %s: %v", pkg.Package(), e.Op, e.Kind, e.Err)
@@ -61,13 +62,13 @@
 // Unwrap returns the cause.
 func (e *OpError[P]) Unwrap() error { return e.Err }
 
-// ErrorKind returns the kind.
+// ErrorKind returns the error kind.
 func (e *OpError[P]) ErrorKind() Kind { return e.Kind }
 
-// source names this package in its errors.
+// source identifies this package in its errors.
 type source struct{}
 
-// Package returns the package's name.
+// Package returns the name of the package.
 func (source) Package() string { return "proto" }
 
 // Error is the error type of this package.
--- a/proto/errors_test.go
+++ b/proto/errors_test.go
@@ -9,7 +9,7 @@
 
 func (otherPackage) Package() string { return "other" }
 
-// TestErrorTypesOfPackagesAreDistinct holds that a generic error type is one type for each package.
+// Instances of the generic error type for different packages must be distinct types for errors.As.
 func TestErrorTypesOfPackagesAreDistinct(t *testing.T) {
 	cause := errors.New("it broke")
 	var err error = &OpError[otherPackage]{Op: "read", Kind: KindUnavailable, Err: cause}
--- a/proto/file.go
+++ b/proto/file.go
@@ -8,7 +8,7 @@
 // FileKindDeployment is the kind of a configuration file.
 const FileKindDeployment = "deployment"
 
-// File is one declarative configuration file, which is applied as a whole.
+// File is a declarative configuration file, which is applied as a whole.
 type File struct {
 	Kind       string      `json:"kind" jsonschema:"enum=deployment,description=Always deployment."`
 	Name       string      `json:"name" jsonschema:"description=Name of the file; applying a file of the same name replaces it as a whole."`
@@ -18,23 +18,23 @@
 	Services   []Service   `json:"services,omitempty"`
 }
 
-// Objective weighs attainment against cost by stage; both weights lie between 0 and 1.
+// Objective weighs attainment against cost by stage. Both weights are between 0 and 1.
 type Objective struct {
 	Attainment float64 `json:"attainment" jsonschema:"minimum=0,maximum=1"`
 	Cost       float64 `json:"cost" jsonschema:"minimum=0,maximum=1"`
 }
 
-// Workspace is a tenant with a fair share and the hashes of its keys.
+// Workspace is a tenant with a fair share and the hashes of its API keys.
 type Workspace struct {
 	Name      string   `json:"name"`
 	Weight    float64  `json:"weight" jsonschema:"description=Fair share relative to other workspaces."`
 	KeyHashes []string `json:"keyHashes" jsonschema:"description=SHA-256 of each bearer key in hexadecimal."`
 }
 
-// PoolKind tells what the targets of a pool do.
+// PoolKind tells what kind of stages the targets of a pool run.
 type PoolKind string
 
-// Kinds of pools.
+// Pool kinds.
 const (
 	PoolEncoder   PoolKind = "encoder"
 	PoolRetriever PoolKind = "retriever"
@@ -43,12 +43,12 @@
 	PoolService   PoolKind = "service"
 )
 
-// Pure tells whether running a stage on this kind twice has no effect beyond its cost.
+// Pure reports whether running a stage twice on a pool of this kind has no effect besides its cost.
 func (k PoolKind) Pure() bool {
 	return k == PoolEncoder || k == PoolRetriever || k == PoolReranker
 }
 
-// Pool is a group of targets that serve the same stages.
+// Pool is a group of targets that run the same stages.
 type Pool struct {
 	Name    string   `json:"name"`
 	Kind    PoolKind `json:"kind" jsonschema:"enum=encoder,enum=retriever,enum=reranker,enum=engine,enum=service"`
@@ -56,20 +56,20 @@
 	Targets []Target `json:"targets"`
 }
 
-// Target is one process that runs stages.
+// Target is a process that runs stages.
 type Target struct {
 	Name    string         `json:"name"`
 	Address netip.AddrPort `json:"address" jsonschema:"type=string"`
 	Zone    Zone           `json:"zone"`
 	VM      VM             `json:"vm"`
 	Slots   int            `json:"slots,omitempty" jsonschema:"description=Requests that it runs at once; learnt from its load reports if left out."`
-	// ChecksOrders says that the target refuses an order with an older lease epoch.
+	// ChecksOrders means that the target rejects orders with an outdated lease epoch.
 	ChecksOrders bool `json:"checksOrders,omitempty"`
-	// ExportsCache says that the target exports and imports KV cache.
+	// ExportsCache means that the target can export and import KV caches.
 	ExportsCache bool `json:"exportsCache,omitempty"`
 }
 
-// Service is one pipeline under one deadline.
+// Service is a pipeline of stages with one deadline.
 type Service struct {
 	Name       string   `json:"name"`
 	Workspaces []string `json:"workspaces,omitempty" jsonschema:"description=Workspaces that may call it; all if left out."`
@@ -88,7 +88,8 @@
 	MaxTokens  int    `json:"maxTokens,omitempty"`
 }
 
-// MayRepeat tells whether the stage may run twice for a request of the given mark on a pool of the given kind.
+// MayRepeat reports whether the stage may run more than once on a pool of the given kind. requestRepeatable tells
+// whether the caller marked the request as repeatable.
 func (s *Stage) MayRepeat(kind PoolKind, requestRepeatable bool) bool {
 	if s.Repeatable != nil {
 		return *s.Repeatable
@@ -96,7 +97,7 @@
 	return requestRepeatable || kind.Pure()
 }
 
-// MayRepeat tells whether the service is declared repeatable, which it is by default.
+// MayRepeat reports whether the service is declared repeatable, which is the default.
 func (s *Service) MayRepeat() bool { return s.Repeatable == nil || *s.Repeatable }
 
 // StopPlan is a planned stop of a VM.
--- a/proto/homes.go
+++ b/proto/homes.go
@@ -2,27 +2,27 @@
 
 import "slices"
 
-// AllowedRegions are the regions in which a request may be worked on; without a bound it may be anywhere.
+// AllowedRegions is the set of regions in which a request may be processed, or no restriction.
 type AllowedRegions struct {
-	// Bound says that only Regions are allowed, which may be none.
+	// Restricted means that only Regions are allowed. Regions may be empty.
 	Restricted bool     `cbor:"1,keyasint,omitempty"`
 	Regions    []string `cbor:"2,keyasint,omitempty"`
 }
 
-// AllowRegions returns a bound to some regions, or none if there are no regions.
+// AllowRegions returns a restriction to the given regions, or no restriction if there are none.
 func AllowRegions(regions []string) AllowedRegions {
 	return AllowedRegions{Restricted: len(regions) > 0, Regions: regions}
 }
 
-// IsZero tells whether there is no bound.
+// IsZero reports whether there is no restriction.
 func (h AllowedRegions) IsZero() bool { return !h.Restricted }
 
-// Allows tells whether a region is allowed.
+// Allows reports whether a region is allowed.
 func (h AllowedRegions) Allows(region string) bool {
 	return !h.Restricted || slices.Contains(h.Regions, region)
 }
 
-// Intersect returns the bound that holds where both hold.
+// Intersect returns the regions that both restrictions allow.
 func (h AllowedRegions) Intersect(other AllowedRegions) AllowedRegions {
 	switch {
 	case !h.Restricted:
--- a/proto/ids.go
+++ b/proto/ids.go
@@ -9,34 +9,34 @@
 	"github.com/google/uuid"
 )
 
-// RequestID identifies one request and is a UUID of version 7.
+// RequestID identifies a request. It is a version 7 UUID.
 type RequestID = uuid.UUID
 
-// VM names a virtual machine of the platform.
+// VM is the name of a virtual machine of the platform.
 type VM string
 
-// Zone names an availability zone as region/zone.
+// Zone is the name of an availability zone in the form region/zone.
 type Zone string
 
-// Region returns the part of the zone's name before the slash.
+// Region returns the part of the name before the slash.
 func (z Zone) Region() string {
 	region, _, _ := strings.Cut(string(z), "/")
 	return region
 }
 
-// AttemptID identifies one attempt at one stage of one request.
+// AttemptID identifies one attempt at one stage of a request.
 type AttemptID struct {
 	Request RequestID
 	Stage   int
 	Number  int
 }
 
-// String returns the form that targets see.
+// String returns the form that is sent to targets.
 func (a AttemptID) String() string {
 	return fmt.Sprintf("%s.%d.%d", a.Request, a.Stage, a.Number)
 }
 
-// ParseAttemptID reads the form that String writes; it fails with KindInvalid.
+// ParseAttemptID parses the output of String. It fails with KindInvalid.
 func ParseAttemptID(s string) (AttemptID, error) {
 	parts := strings.Split(s, ".")
 	if len(parts) != 3 {
@@ -54,10 +54,10 @@
 	return AttemptID{Request: id, Stage: stage, Number: number}, nil
 }
 
-// Key is a caller's idempotency key: a UUID of version 7, whose time tells old keys from new ones.
+// Key is a caller's idempotency key. It is a version 7 UUID, so its age can be read from it.
 type Key = uuid.UUID
 
-// ParseKey reads an idempotency key; it fails with KindInvalid unless it is a UUID of version 7.
+// ParseKey parses an idempotency key. It fails with KindInvalid unless the key is a version 7 UUID.
 func ParseKey(s string) (Key, error) {
 	key, err := uuid.Parse(s)
 	if err != nil {
@@ -69,13 +69,13 @@
 	return key, nil
 }
 
-// KeyTime returns the creation time that a key carries, to the millisecond.
+// KeyTime returns the creation time of a key, with millisecond precision.
 func KeyTime(key Key) time.Time {
 	ms := int64(key[0])<<40 | int64(key[1])<<32 | int64(key[2])<<24 | int64(key[3])<<16 | int64(key[4])<<8 | int64(key[5])
 	return time.UnixMilli(ms)
 }
 
-// KeyAt returns a key that carries the given time and the given random bits.
+// KeyAt returns a key with the given creation time and random bits.
 func KeyAt(at time.Time, random [10]byte) Key {
 	var key Key
 	ms := at.UnixMilli()
--- a/proto/outcome.go
+++ b/proto/outcome.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Outcome tells a caller what is certain about a request that was not answered.
+// Outcome tells a caller what is known about a request that was not answered.
 type Outcome string
 
-// Outcomes of a request.
+// Request outcomes.
 const (
-	// OutcomeNotRun says that no target was given any part of the request.
+	// OutcomeNotRun means that no part of the request was sent to a target.
 	OutcomeNotRun Outcome = "notRun"
-	// OutcomeMayHaveRun says that some part of the request may have run.
+	// OutcomeMayHaveRun means that part of the request may have run.
 	OutcomeMayHaveRun Outcome = "mayHaveRun"
-	// OutcomeRan says that the request ran, whether or not its answer is still known.
+	// OutcomeRan means that the request ran, whether or not its answer is still known.
 	OutcomeRan Outcome = "ran"
 )
 
-// FailureKind names why a request got no answer.
+// FailureKind is the reason why a request was not answered.
 type FailureKind string
 
-// Failure kinds that callers see in the kind member of a problem document.
+// Failure kinds, as they appear in the kind member of a problem document.
 const (
 	FailureOverloaded  FailureKind = "overloaded"
 	FailureDeadline    FailureKind = "deadlineExceeded"
@@ -43,7 +43,7 @@
 	FailureSlowCaller  FailureKind = "callerTooSlow"
 )
 
-// Failure is the typed form of a problem document.
+// Failure is the internal form of a problem document.
 type Failure struct {
 	Kind       FailureKind
 	Outcome    Outcome
@@ -51,7 +51,7 @@
 	RetryAfter time.Duration
 }
 
-// Status returns the HTTP status of the failure; 429 and 503 are only used for OutcomeNotRun.
+// Status returns the HTTP status code of the failure. 429 and 503 are used only with OutcomeNotRun.
 func (f *Failure) Status() int {
 	switch f.Kind {
 	case FailureBadRequest, FailureKeyInvalid:
@@ -85,7 +85,7 @@
 	return http.StatusServiceUnavailable
 }
 
-// Problem is an RFC 9457 problem document.
+// Problem is a problem document as defined in RFC 9457.
 type Problem struct {
 	Type      string      `json:"type"`
 	Title     string      `json:"title"`
@@ -96,7 +96,7 @@
 	RequestID string      `json:"requestId,omitempty"`
 }
 
-// NewProblem returns the problem document of a failure.
+// NewProblem returns the problem document for a failure.
 func NewProblem(f *Failure, requestID string) Problem {
 	return Problem{
 		Type:      "urn:emberlead:problem:" + string(f.Kind),
--- a/proto/pack.go
+++ b/proto/pack.go
@@ -7,21 +7,20 @@
 	"sync"
 )
 
-// compressMinSize is from how many bytes on the body of a message is compressed: lists of targets and of daemons, whose entries
-// are alike. Smaller ones gain less than a packet. A list of 3,000 targets takes a sixth of its bytes, for some
-// milliseconds of processor time at either end (BenchmarkPack).
+// compressMinSize is the size in bytes from which message bodies are compressed: lists of targets and of daemons, whose
+// entries are similar. Compressing smaller bodies would save less than one packet. A list of 3,000 targets shrinks to a
+// sixth, at the cost of a few milliseconds of CPU time on each side (see BenchmarkPack).
 const compressMinSize = 1 << 10
 
-// compressors are kept, since each has some hundred kilobytes of tables.
+// compressors is a pool because each compressor allocates several hundred kilobytes of tables.
 var compressors = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(nil, flate.BestSpeed)
 	if err != nil {
-		panic(err) // Only a level that does not exist fails.
+		panic(err) // NewWriter fails only for an invalid level.
 	}
 	return w
 }}
 
-// compress compresses a body.
 func compress(body []byte) ([]byte, error) {
 	w := compressors.Get().(*flate.Writer)
 	defer compressors.Put(w)
@@ -36,7 +35,7 @@
 	return compressed.Bytes(), nil
 }
 
-// decompress reads what pack wrote, up to the size that a message may have.
+// decompress decompresses a body, up to the maximum message size.
 func decompress(compressed []byte) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(compressed))
 	defer r.Close()
--- a/proto/pack_test.go
+++ b/proto/pack_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// targetList is the list of targets that a daemon gives to another.
+// targetList returns a target list as one daemon sends it to another.
 func targetList(targets int) RoutingAnswer {
 	a := RoutingAnswer{Targets: Revision{Version: 7}, HasTargets: true, Full: true}
 	for i := range targets {
@@ -46,7 +46,7 @@
 	}
 }
 
-// TestOversizedDecompressedMessageIsRejected has a sender pack much more than a message may hold.
+// A small compressed message must not expand to more than the maximum message size.
 func TestOversizedDecompressedMessageIsRejected(t *testing.T) {
 	var packed bytes.Buffer
 	w, err := flate.NewWriter(&packed, flate.BestCompression)
--- a/proto/peer.go
+++ b/proto/peer.go
@@ -7,19 +7,19 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Incarnation tells the runs of one VM's daemon apart; it grows with each start.
+// Incarnation distinguishes the runs of the daemon on one VM. It increases with each start.
 type Incarnation uint64
 
 // Epoch numbers the versions of the roster and of leases.
 type Epoch uint64
 
-// Message is what daemons send each other.
+// Message is a message between daemons.
 type Message interface{ messageKind() MessageKind }
 
-// MessageKind names the type of a message on the wire.
+// MessageKind identifies the type of a message on the wire.
 type MessageKind uint8
 
-// Kinds of messages.
+// Message kinds.
 const (
 	MessageHeartbeat MessageKind = iota + 1
 	MessageAlive
@@ -58,28 +58,29 @@
 	MessagePermitAnswer
 )
 
-// Heartbeat says that the sender is alive and what it has.
+// Heartbeat tells a peer that the sender is alive and which versions of the shared state it has.
 type Heartbeat struct {
 	Incarnation Incarnation `cbor:"1,keyasint"`
 	Generation  Generation  `cbor:"2,keyasint"`
 	Roster      Epoch       `cbor:"3,keyasint"`
 	Stopping    bool        `cbor:"4,keyasint,omitempty"`
-	// Routing is the version of the configuration that a relaying daemon has, and Targets the revision of its list of targets.
+	// Routing is the version of the routing configuration that the sender has, and Targets the revision of its target
+	// list.
 	Routing uint64   `cbor:"5,keyasint,omitempty"`
 	Targets Revision `cbor:"6,keyasint,omitzero"`
-	// Dead is a digest of the runs that the sender holds to be dead; 0 if none.
+	// DeadDigest is a digest of the daemon runs that the sender considers dead; 0 if there are none.
 	DeadDigest uint64 `cbor:"7,keyasint,omitempty"`
-	// Ends is a digest of the ends of targets that the sender knows of; 0 if none.
+	// EndsDigest is a digest of the target ends that the sender knows of; 0 if there are none.
 	EndsDigest uint64 `cbor:"8,keyasint,omitempty"`
-	// Void is a digest of the void entries of targets that the sender knows of; 0 if none.
+	// InvalidDigest is a digest of the invalid target entries that the sender knows of; 0 if there are none.
 	InvalidDigest uint64 `cbor:"9,keyasint,omitempty"`
-	// Evacuations is the revision of the newest evacuation, or end of one, that the sender knows.
+	// Evacuations is the revision of the newest evacuation, or end of an evacuation, that the sender knows of.
 	Evacuations Revision `cbor:"10,keyasint,omitzero"`
-	// Notices is a digest of what listed targets have said of themselves, as far as the sender knows; 0 if nothing.
+	// NoticesDigest is a digest of the target notices that the sender knows of; 0 if there are none.
 	NoticesDigest uint64 `cbor:"11,keyasint,omitempty"`
 }
 
-// Alive announces a daemon, or refutes an alarm about it by a higher count.
+// Alive announces a daemon, or refutes an alarm about it with a higher sequence number.
 type Alive struct {
 	VM          VM             `cbor:"1,keyasint"`
 	Zone        Zone           `cbor:"2,keyasint"`
@@ -89,7 +90,7 @@
 	Stopping    bool           `cbor:"6,keyasint,omitempty"`
 }
 
-// Alarm says that a daemon which links to another has not heard from it, or has again.
+// Alarm reports that a daemon has stopped hearing from a peer it is connected to, or hears from it again.
 type Alarm struct {
 	Subject     VM          `cbor:"1,keyasint"`
 	Incarnation Incarnation `cbor:"2,keyasint"`
@@ -98,33 +99,33 @@
 	Silent      bool        `cbor:"5,keyasint,omitempty"`
 }
 
-// DaemonRun is one run of a daemon.
+// DaemonRun identifies one run of a daemon.
 type DaemonRun struct {
 	VM          VM          `cbor:"1,keyasint"`
 	Incarnation Incarnation `cbor:"2,keyasint"`
 }
 
-// Deaths names the runs that the sender holds to be dead.
+// Deaths lists the daemon runs that the sender considers dead.
 type Deaths struct {
 	Runs []DaemonRun `cbor:"1,keyasint"`
 }
 
-// News passes on what the sender has lately heard of daemons that are not itself.
+// News forwards recent Alive and Alarm messages about other daemons.
 type News struct {
 	Alive  []Alive `cbor:"1,keyasint,omitempty"`
 	Alarms []Alarm `cbor:"2,keyasint,omitempty"`
 }
 
-// ChangeKind tells what an accepted change is about.
+// ChangeKind is the kind of an accepted configuration change.
 type ChangeKind string
 
-// Kinds of changes.
+// Change kinds.
 const (
 	ChangeFile ChangeKind = "file"
 	ChangeStop ChangeKind = "stop"
 )
 
-// Change is one accepted change of configuration.
+// Change is one accepted configuration change.
 type Change struct {
 	Generation Generation `json:"generation" cbor:"1,keyasint"`
 	Kind       ChangeKind `json:"kind" cbor:"2,keyasint"`
@@ -134,67 +135,67 @@
 	By         string     `json:"by,omitempty" cbor:"6,keyasint,omitempty"`
 	At         time.Time  `json:"at" cbor:"7,keyasint"`
 	Stop       *StopPlan  `json:"stop,omitempty" cbor:"8,keyasint,omitempty"`
-	// Body is the file itself; only messages between daemons carry it.
+	// Body is the file content. It is only set in messages between daemons.
 	Body []byte `json:"-" cbor:"9,keyasint,omitempty"`
 }
 
-// ChangesAsk asks for the changes after a generation.
+// ChangesAsk requests the changes after a generation.
 type ChangesAsk struct {
 	After Generation `cbor:"1,keyasint"`
 }
 
-// ChangesAnswer holds changes in order; with Whole set they are the whole state as of Generation.
+// ChangesAnswer holds changes in order. If Full is set, they are the complete state as of Generation.
 type ChangesAnswer struct {
 	Generation Generation `cbor:"1,keyasint"`
 	Changes    []Change   `cbor:"2,keyasint,omitempty"`
 	Full       bool       `cbor:"3,keyasint,omitempty"`
 }
 
-// RosterMember is one run of a daemon that keeps claims.
+// RosterMember is one run of a daemon that stores claims.
 type RosterMember struct {
 	VM          VM          `json:"vm" cbor:"1,keyasint"`
 	Zone        Zone        `json:"zone" cbor:"2,keyasint"`
 	Incarnation Incarnation `json:"incarnation" cbor:"3,keyasint"`
 }
 
-// Slot is a part of the key space with the replicas that keep its claims.
+// Slot is a part of the key space together with the replicas that store its claims.
 type Slot struct {
 	Group []RosterMember `json:"group" cbor:"1,keyasint"`
-	// Since is the roster epoch at which the group came to be.
+	// Since is the roster epoch in which the group was formed.
 	Since Epoch `json:"since" cbor:"2,keyasint"`
-	// Previous is the group that the claims are to be read from; empty once that is done.
+	// Previous is the group from which the claims still have to be read; empty once that is done.
 	Previous      []RosterMember `json:"previous,omitempty" cbor:"3,keyasint,omitempty"`
 	PreviousSince Epoch          `json:"previousSince,omitempty" cbor:"4,keyasint,omitempty"`
-	// Forced says that too few of the previous group were left to read all claims.
+	// Forced is set if too few members of the previous group were left to read all claims.
 	Forced bool `json:"forced,omitempty" cbor:"5,keyasint,omitempty"`
 	// ForgottenBefore is the time of the newest key whose claim may have been lost.
 	ForgottenBefore time.Time `json:"forgottenBefore,omitzero" cbor:"6,keyasint,omitempty"`
 }
 
-// Roster says which daemons keep the claims of which slots; it changes by conditional writes to one row.
+// Roster assigns the slots of the key space to replicas. It is changed by conditional writes to one row of the store.
 type Roster struct {
 	Epoch Epoch  `json:"epoch" cbor:"1,keyasint"`
 	Slots []Slot `json:"slots" cbor:"2,keyasint"`
 }
 
-// RosterAsk asks for the roster.
+// RosterAsk requests the roster.
 type RosterAsk struct{}
 
-// RosterAnswer holds the roster as the sender knows it.
+// RosterAnswer holds the roster that the sender has.
 type RosterAnswer struct {
 	Roster Roster `cbor:"1,keyasint"`
 }
 
-// ClaimID tells the claims on one key apart.
+// ClaimID identifies one claim among the claims on the same key.
 type ClaimID struct {
 	Holder      VM          `cbor:"1,keyasint"`
 	Incarnation Incarnation `cbor:"2,keyasint"`
 	Request     RequestID   `cbor:"3,keyasint"`
-	// Try tells a request's claims apart, since one that was released is never granted again.
+	// Attempt distinguishes the claims of one request, because a released claim is never granted again.
 	Attempt int `cbor:"4,keyasint,omitempty"`
 }
 
-// ClaimAsk asks a replica to grant a key to a request.
+// ClaimAsk requests that a replica grant a key to a request.
 type ClaimAsk struct {
 	Slot        int     `cbor:"1,keyasint"`
 	Since       Epoch   `cbor:"2,keyasint"`
@@ -203,25 +204,25 @@
 	Claim       ClaimID `cbor:"5,keyasint"`
 }
 
-// ClaimResult is a replica's word on a claim.
+// ClaimResult is the answer of one replica to a claim.
 type ClaimResult uint8
 
-// Results of claims.
+// Claim results.
 const (
 	ClaimGranted ClaimResult = iota + 1
 	ClaimTaken
 	ClaimDone
 	ClaimMismatch
 	ClaimTooOld
-	// ClaimTooNew means that the key's time is ahead of the replica's clock by more than the allowed skew.
+	// ClaimTooNew means that the key's time is ahead of the replica's clock by more than the allowed clock skew.
 	ClaimTooNew
-	// ClaimNotReady means that the replica cannot speak for the slot, or not yet.
+	// ClaimNotReady means that the replica cannot answer for the slot, or cannot answer for it yet.
 	ClaimNotReady
-	// ClaimStale means that the asker's roster is older than the replica's.
+	// ClaimStale means that the sender of the ClaimAsk has an older roster than the replica.
 	ClaimStale
 )
 
-// ClaimAnswer answers a ClaimAsk.
+// ClaimAnswer is the answer to a ClaimAsk.
 type ClaimAnswer struct {
 	Result ClaimResult `cbor:"1,keyasint"`
 	Since  Epoch       `cbor:"2,keyasint"`
@@ -238,17 +239,17 @@
 	Answer   []byte  `cbor:"5,keyasint,omitempty"`
 }
 
-// ClaimState is how far a claim has come.
+// ClaimState is the state of a claim.
 type ClaimState uint8
 
-// States of claims.
+// Claim states.
 const (
 	ClaimStateHeld ClaimState = iota + 1
 	ClaimStateReleased
 	ClaimStateDone
 )
 
-// ClaimRecord is one remembered claim.
+// ClaimRecord is a stored claim.
 type ClaimRecord struct {
 	Key         Key        `cbor:"1,keyasint"`
 	Claim       ClaimID    `cbor:"2,keyasint"`
@@ -257,7 +258,7 @@
 	Answer      []byte     `cbor:"5,keyasint,omitempty"`
 }
 
-// TransferAsk asks a member of the previous group to stop granting and to hand over a slot's claims.
+// TransferAsk requests that a member of the previous group stop granting claims and hand over the claims of a slot.
 type TransferAsk struct {
 	Slot          int   `cbor:"1,keyasint"`
 	Since         Epoch `cbor:"2,keyasint"` // of the new group
@@ -265,7 +266,7 @@
 	After         Key   `cbor:"4,keyasint"`
 }
 
-// TransferAnswer holds a page of a slot's claims in key order.
+// TransferAnswer holds one page of a slot's claims in key order.
 type TransferAnswer struct {
 	Ready           bool          `cbor:"1,keyasint"`
 	Records         []ClaimRecord `cbor:"2,keyasint,omitempty"`
@@ -273,32 +274,32 @@
 	ForgottenBefore time.Time     `cbor:"4,keyasint,omitempty"`
 }
 
-// SlotReady says that a replica has read all claims of a slot.
+// SlotReady reports that a replica has read all claims of a slot.
 type SlotReady struct {
 	Slot  int   `cbor:"1,keyasint"`
 	Since Epoch `cbor:"2,keyasint"`
 }
 
-// UsageRow is what was spent for a workspace at a pool.
+// UsageRow is the time that one workspace used at a pool.
 type UsageRow struct {
 	Pool      string        `cbor:"1,keyasint"`
 	Workspace string        `cbor:"2,keyasint"`
 	Spent     time.Duration `cbor:"3,keyasint"`
 }
 
-// Usage carries usage to a collector, or with Totals set what the others spent back from it.
+// Usage sends usage to a collector. With Totals set, the collector sends back the usage of the other daemons.
 type Usage struct {
 	Rows   []UsageRow `cbor:"1,keyasint"`
 	Totals bool       `cbor:"2,keyasint,omitempty"`
 }
 
-// ModelRow is which models a target of a pool with several has.
+// ModelRow lists the models that one target has loaded, for pools with several models.
 type ModelRow struct {
 	Target string   `cbor:"1,keyasint"`
 	Models []string `cbor:"2,keyasint"`
 }
 
-// Loads carries the loads of targets from the daemon that reads them; Digest is what PackLoads returns.
+// Loads forwards target loads from the daemon that reads them. Digest is the result of PackLoads.
 type Loads struct {
 	Digest []byte       `cbor:"1,keyasint,omitempty"`
 	Models []ModelRow   `cbor:"4,keyasint,omitempty"`
@@ -306,25 +307,25 @@
 	Pools  []string     `cbor:"3,keyasint,omitempty"`
 }
 
-// Listed carries what changed in the platform's VM list, from a daemon that reads it.
+// Listed forwards the changes of the platform's VM list, from a daemon that reads the list.
 type Listed struct {
 	VMs     []VMEntry `cbor:"1,keyasint,omitempty"`
 	Removed []VM      `cbor:"2,keyasint,omitempty"`
 }
 
-// DemandRow is what a daemon spent with a model at a pool lately.
+// DemandRow is the time that a daemon recently used with one model at a pool.
 type DemandRow struct {
 	Pool  string        `cbor:"1,keyasint"`
 	Model string        `cbor:"2,keyasint"`
 	Spent time.Duration `cbor:"3,keyasint"`
 }
 
-// Demand tells the daemon that orders models for a pool what the sender spent since its last one.
+// Demand reports the sender's usage since its previous Demand to the daemon that assigns the models of a pool.
 type Demand struct {
 	Rows []DemandRow `cbor:"1,keyasint"`
 }
 
-// Done answers a call that needs no other answer.
+// Done is the answer to a call that needs no result.
 type Done struct{}
 
 func (Heartbeat) messageKind() MessageKind      { return MessageHeartbeat }
@@ -363,13 +364,13 @@
 func (PermitAsk) messageKind() MessageKind      { return MessagePermitAsk }
 func (PermitAnswer) messageKind() MessageKind   { return MessagePermitAnswer }
 
-// Envelope frames one message; Call is not 0 for a call and for its answer.
+// Envelope frames one message. Call is nonzero for a call and for its answer.
 type Envelope struct {
 	Kind   MessageKind     `cbor:"1,keyasint"`
 	Call   uint64          `cbor:"2,keyasint,omitempty"`
 	Answer bool            `cbor:"3,keyasint,omitempty"`
 	Body   cbor.RawMessage `cbor:"4,keyasint,omitempty"`
 	Trace  string          `cbor:"5,keyasint,omitempty"`
-	// Compressed is the body in compressed form, in place of Body.
+	// Compressed is the compressed body; it replaces Body.
 	Compressed []byte `cbor:"6,keyasint,omitempty"`
 }
--- a/proto/platform.go
+++ b/proto/platform.go
@@ -2,7 +2,7 @@
 
 import "net/netip"
 
-// Paths of the platform's protocol.
+// Paths of the platform API.
 const (
 	PathTransact = "/v1/table/transact"
 	PathRows     = "/v1/table/rows"
@@ -11,38 +11,38 @@
 	PathWeights  = "/v1/weights"
 )
 
-// Row is one row of the platform's table service; version 0 means that there is none.
+// Row is a row of the platform's table service. Version 0 means that the row does not exist.
 type Row struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
 	Value   []byte `json:"value,omitempty"`
 }
 
-// Condition holds if the row has the version.
+// Condition holds if the row has the given version.
 type Condition struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
 }
 
-// Write sets the value of a row, or deletes it if Value is nil.
+// Write sets the value of a row, or deletes the row if Value is nil.
 type Write struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value,omitempty"`
 }
 
-// Transaction writes all of its rows if all of its conditions hold, and otherwise none.
+// Transaction applies all of its writes if all of its conditions hold, and none otherwise.
 type Transaction struct {
 	Conditions []Condition `json:"conditions"`
 	Writes     []Write     `json:"writes"`
 }
 
-// RowList is a page of rows in key order.
+// RowList is one page of rows in key order.
 type RowList struct {
 	Rows []Row `json:"rows"`
 	More bool  `json:"more,omitempty"`
 }
 
-// VMEntry is one VM as the platform lists it, late.
+// VMEntry is a VM in the platform's list. The list may be out of date.
 type VMEntry struct {
 	VM      VM             `json:"vm"`
 	Zone    Zone           `json:"zone"`
@@ -51,7 +51,7 @@
 	Leaving bool           `json:"leaving"`
 }
 
-// VMList is the platform's list of live and leaving VMs.
+// VMList is the platform's list of running and leaving VMs.
 type VMList struct {
 	VMs []VMEntry `json:"vms"`
 }
--- a/proto/proto_test.go
+++ b/proto/proto_test.go
@@ -52,7 +52,7 @@
 	properties.TestingRun(t)
 }
 
-// Files refer to each other, so a change of one is checked against all.
+// Files refer to each other, so a changed file must be checked together with all others.
 func TestCheckFileAgainstOtherFiles(t *testing.T) {
 	body := func(name, workspace, pool, uses string) *File {
 		data := fmt.Appendf(nil, `{"kind":"deployment","name":%q,"workspaces":[{"name":%q,"weight":1,"keyHashes":["%064x"]}],
--- a/proto/revision.go
+++ b/proto/revision.go
@@ -5,29 +5,29 @@
 	"strconv"
 )
 
-// Revision is a moment in the history of the platform's store. A store that is restored from a copy begins a new era, and
-// gives out again the versions that it gave to changes which the copy lacks; so a version alone does not tell which of two
-// changes is newer, nor that two are the same.
+// Revision is a point in the history of the platform's store. A store that is restored from a copy begins a new era and
+// reuses the versions of the changes that the copy lacks. So a version alone shows neither which of two changes is
+// newer nor whether two changes are the same.
 type Revision struct {
 	_ struct{} `cbor:",toarray"`
-	// Era counts the restorations of the store; 0 if the store does not tell.
+	// Era counts the restores of the store; 0 if the store does not report eras.
 	Era uint64
-	// Version is the store's own count of changes.
+	// Version is the store's own change counter.
 	Version uint64
 }
 
-// Compare returns -1, 0 or 1 as the revision is before another one, the same or after it.
+// Compare returns -1, 0 or 1 if the revision is older than, equal to or newer than the other one.
 func (r Revision) Compare(other Revision) int {
 	return cmp.Or(cmp.Compare(r.Era, other.Era), cmp.Compare(r.Version, other.Version))
 }
 
-// After tells whether the revision is newer than another one.
+// After reports whether the revision is newer than the other one.
 func (r Revision) After(other Revision) bool { return r.Compare(other) > 0 }
 
-// IsZero tells whether the revision is before all others.
+// IsZero reports whether the revision is older than all others.
 func (r Revision) IsZero() bool { return r == Revision{} }
 
-// String returns the version, after the era and a colon where the store tells of eras.
+// String returns the version, preceded by the era and a colon if the store reports eras.
 func (r Revision) String() string {
 	version := strconv.FormatUint(r.Version, 10)
 	if r.Era == 0 {
@@ -36,7 +36,7 @@
 	return strconv.FormatUint(r.Era, 10) + ":" + version
 }
 
-// MarshalText writes the revision as String does, for logs and metrics.
+// MarshalText returns the same text as String, for logs and metrics.
 func (r Revision) MarshalText() ([]byte, error) { return []byte(r.String()), nil }
 
 // Latest returns the newer of two revisions.
--- a/proto/snapshot.go
+++ b/proto/snapshot.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Generation numbers the accepted changes of configuration; it never goes down.
+// Generation numbers the accepted configuration changes. It never decreases.
 type Generation uint64
 
-// Snapshot is every accepted file and stop plan as of one generation; it is not changed once built.
+// Snapshot holds all accepted files and stop plans as of one generation. It is immutable.
 type Snapshot struct {
 	Generation Generation
 	Files      map[string]*File
@@ -26,7 +26,8 @@
 	return buildSnapshot(0, map[string]*File{}, map[VM]StopPlan{})
 }
 
-// Snapshots are rebuilt from pointers to the unchanged files, so that the cost of a change is in names, not in bytes.
+// buildSnapshot reuses pointers to the unchanged files, so the cost of a change depends on the number of names and not
+// on the file sizes.
 func buildSnapshot(generation Generation, files map[string]*File, stops map[VM]StopPlan) *Snapshot {
 	s := &Snapshot{
 		Generation: generation,
@@ -61,7 +62,7 @@
 	}
 }
 
-// WithFile returns the snapshot after a file replaced the one of its name.
+// WithFile returns a copy of the snapshot in which the file replaces the one with the same name.
 func (s *Snapshot) WithFile(generation Generation, file *File) *Snapshot {
 	files := make(map[string]*File, len(s.Files)+1)
 	for name, old := range s.Files {
@@ -71,7 +72,7 @@
 	return buildSnapshot(generation, files, s.Stops)
 }
 
-// WithStop returns the snapshot after a stop was planned or, with a zero time, cancelled.
+// WithStop returns a copy of the snapshot with a planned stop, or without it if the time of the plan is zero.
 func (s *Snapshot) WithStop(generation Generation, plan StopPlan) *Snapshot {
 	stops := make(map[VM]StopPlan, len(s.Stops)+1)
 	for vm, old := range s.Stops {
@@ -88,7 +89,7 @@
 	return &next
 }
 
-// CheckFile returns the faults that a file has beside the files that are in force.
+// CheckFile returns the faults that a file has in combination with the other files of the snapshot.
 func (s *Snapshot) CheckFile(file *File) []Fault {
 	c := &checker{}
 	others := make(map[string]*File, len(s.Files))
@@ -121,7 +122,7 @@
 	}
 }
 
-// Every reference of every file is checked, because removing a pool breaks the files that refer to it.
+// references checks the references of all files, because removing a pool breaks the other files that refer to it.
 func (c *checker) references(all *Snapshot) {
 	names := make([]string, 0, len(all.Files))
 	for name := range all.Files {
@@ -166,7 +167,8 @@
 	return false
 }
 
-// CheckStop returns the pools that would have no target left once the VM and all others with a plan are stopped.
+// CheckStop returns the pools that would have no targets left once the VM and all other VMs with a stop plan have
+// stopped.
 func (s *Snapshot) CheckStop(plan StopPlan) []string {
 	var empty []string
 	for name, pool := range s.Pools {
@@ -193,19 +195,19 @@
 	return found
 }
 
-// Leaving tells whether the VM has a planned stop that starts within the lead time.
+// Leaving reports whether the VM has a planned stop that is due within the lead time.
 func (s *Snapshot) Leaving(vm VM, now time.Time, lead time.Duration) bool {
 	at, ok := s.StopOf(vm)
 	return ok && !now.Before(at.Add(-lead))
 }
 
-// StopOf returns when the VM is planned to stop.
+// StopOf returns the time of the VM's planned stop.
 func (s *Snapshot) StopOf(vm VM) (time.Time, bool) {
 	plan, ok := s.Stops[vm]
 	return plan.At, ok
 }
 
-// LongestDeadline is that of the services with a stage on a pool that has a target on the VM.
+// LongestDeadline returns the longest deadline of the services that have a stage on a pool with a target on the VM.
 func (s *Snapshot) LongestDeadline(vm VM) time.Duration {
 	longest := time.Duration(0)
 	for _, service := range s.Services {
--- a/proto/target.go
+++ b/proto/target.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Paths of the protocol that targets serve.
+// Paths of the target API.
 const (
 	PathRun    = "/v1/run"
 	PathCancel = "/v1/cancel"
@@ -15,7 +15,7 @@
 	PathCaches = "/v1/cache-events"
 )
 
-// Headers that callers and targets see.
+// Headers of the caller and target APIs.
 const (
 	HeaderKey        = "Idempotency-Key"
 	HeaderTimeout    = "Emberlead-Timeout"
@@ -25,7 +25,7 @@
 	HeaderAttempt    = "Emberlead-Attempt"
 )
 
-// RunRequest asks a target to run one attempt at one stage.
+// RunRequest asks a target to run one attempt at a stage.
 type RunRequest struct {
 	Attempt   string          `json:"attempt"`
 	Workspace string          `json:"workspace"`
@@ -38,14 +38,14 @@
 	Deadline  time.Time       `json:"deadline"`
 	Stream    bool            `json:"stream,omitempty"`
 	MaxTokens int             `json:"maxTokens,omitempty"`
-	// Offset counts the tokens that the caller already has; the target goes on after them.
+	// Offset is the number of tokens that the caller already has; the target continues after them.
 	Offset    int             `json:"offset,omitempty"`
 	Delivered json.RawMessage `json:"delivered,omitempty"`
-	// CacheHandle names an exported KV cache to import.
+	// CacheHandle identifies an exported KV cache to import.
 	CacheHandle string `json:"cacheHandle,omitempty"`
 }
 
-// RunAnswer is a target's whole answer to one attempt.
+// RunAnswer is the complete answer of a target to an attempt.
 type RunAnswer struct {
 	Attempt  string          `json:"attempt"`
 	Output   json.RawMessage `json:"output,omitempty"`
@@ -55,7 +55,7 @@
 	Load     *Load           `json:"load,omitempty"`
 }
 
-// RunChunk is one part of a streamed answer; Offset counts the tokens before it.
+// RunChunk is one part of a streamed answer. Offset is the number of tokens before it.
 type RunChunk struct {
 	Attempt string `json:"attempt"`
 	Offset  int    `json:"offset"`
@@ -63,7 +63,7 @@
 	Tokens  int    `json:"tokens"`
 }
 
-// RunRefusal is a target's word on a request that it did not answer.
+// RunRefusal is the response of a target that did not answer a request.
 type RunRefusal struct {
 	Outcome Outcome `json:"outcome"`
 	Reason  string  `json:"reason"`
@@ -80,7 +80,7 @@
 	Role    string    `json:"role,omitempty"`
 }
 
-// CacheEvent says that a target's prefix cache took in or dropped a prefix; Sequence shows gaps.
+// CacheEvent reports that a target's prefix cache added or evicted a prefix. Gaps in Sequence show lost events.
 type CacheEvent struct {
 	Target   string `json:"target"`
 	Sequence uint64 `json:"sequence"`
@@ -88,12 +88,13 @@
 	Present  bool   `json:"present"`
 }
 
-// ExportAnswer names an exported KV cache, which any engine of the pool can import.
+// ExportAnswer identifies an exported KV cache, which any engine of the pool can import.
 type ExportAnswer struct {
 	Handle string `json:"handle"`
 }
 
-// Order tells a target which models and role it should have; targets that check refuse an epoch lower than one seen.
+// Order tells a target which models and role to use. Targets that check orders reject an epoch lower than one they have
+// seen.
 type Order struct {
 	Lease  string   `json:"lease"`
 	Epoch  uint64   `json:"epoch"`
@@ -101,7 +102,7 @@
 	Role   string   `json:"role,omitempty"`
 }
 
-// StreamOutput is the output of a streaming stage as a whole answer carries it.
+// StreamOutput is the output of a streaming stage in a complete answer.
 type StreamOutput struct {
 	Text string `json:"text"`
 }
