--- a/core/backlog.go
+++ b/core/backlog.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// backlog is the work that a pool has been promised, by when it has to start at the latest. Admission asks
-// whether everything promised could still start in time if tickets go in that order, so a burst that the
-// deadlines can absorb is taken. The more of the pool a request needs, the smaller the part of the time ahead
-// that such requests may fill: under overload the pool then takes those that need least of it, which is what
-// delivers most of them in time. Work counts from the admission on, through the stages before, so that there
-// is no delay for the limit to swing on.
+// backlog tracks the work committed to a pool by the latest time at which it must start. Admission checks whether all
+// committed work could still start in time if tickets run in that order, so a burst that the deadlines can absorb is
+// admitted. The more of the pool a request needs, the smaller the fraction of the remaining time that requests of its
+// kind may fill. Under overload the pool therefore admits the requests that need least of it, which maximizes the
+// number delivered in time. Work counts from admission on, including during the stages before this pool, so that the
+// limit reacts without delay and does not oscillate.
 type backlog struct {
-	buckets     [bucketCount]float64 // seconds of slot time, by step of the latest start
-	firstBucket int64                // number of the first step
-	running     float64              // seconds of slot time, of attempts in progress
-	meanWork    float64              // seconds of slot time, of a request on average
-	share       float64              // part of the pool that this daemon gets
+	buckets     [bucketCount]float64 // seconds of slot time, by bucket of the latest start
+	firstBucket int64                // number of the bucket at index 0
+	running     float64              // seconds of slot time, of the attempts in progress
+	meanWork    float64              // seconds of slot time, of an average request
+	share       float64              // fraction of the pool available to this daemon
 	updated     time.Time
 }
 
@@ -23,17 +23,17 @@
 	meanWeight    = 0.02
 	shareWeight   = 0.05
 	shareInterval = 50 * time.Millisecond
-	// meanFill is the part of the time ahead that requests of average work may fill.
+	// meanFill is the fraction of the remaining time that requests of average work may fill.
 	meanFill = 0.6
 	maxFill  = 0.9
-	// The part follows a workspace's use relative to its share between these bounds.
+	// These bounds limit the effect of a workspace's usage relative to its fair share on the fill fraction.
 	minRelativeUse = 0.5
 	maxRelativeUse = 4.0
-	// runningRemainder is the part of the attempts in progress that is still to be done on average.
+	// runningRemainder is the average fraction of the work of running attempts that is still to be done.
 	runningRemainder = 0.5
 )
 
-// commitment is what a pool counts for one stage of one request.
+// commitment is the work that a pool counts for one stage of one request.
 type commitment struct {
 	bucket int64
 	work   float64
@@ -41,7 +41,7 @@
 
 func bucketOf(at time.Time) int64 { return at.UnixNano() / int64(bucketWidth) }
 
-// advance moves the window to now; work whose latest start has passed counts as due now.
+// advance moves the window to now. Work whose latest start has passed counts as due now.
 func (b *backlog) advance(now time.Time) {
 	current := bucketOf(now)
 	passed := min(current-b.firstBucket, bucketCount)
@@ -73,7 +73,7 @@
 	return c
 }
 
-// release takes off what was promised, once it has begun or is no longer wanted.
+// release removes a commitment once its work has started or is no longer wanted.
 func (b *backlog) release(now time.Time, c commitment) {
 	b.advance(now)
 	i := b.index(c.bucket)
@@ -84,7 +84,7 @@
 
 func (b *backlog) removeRunning(work float64) { b.running = max(0, b.running-work) }
 
-// updateShare follows the part of the requests at the pool's targets that are this daemon's own.
+// updateShare tracks the fraction of the requests at the pool's targets that belong to this daemon.
 func (b *backlog) updateShare(now time.Time, own, all float64) {
 	if now.Sub(b.updated) < shareInterval {
 		return
@@ -97,13 +97,13 @@
 	b.share += shareWeight * (share - b.share)
 }
 
-// fillFraction is the part of the time ahead that requests of so much work may fill.
+// fillFraction returns the fraction of the remaining time that requests of the given work may fill.
 func (b *backlog) fillFraction(work, relative float64) float64 {
 	relative = min(maxRelativeUse, max(minRelativeUse, relative))
 	return min(maxFill, meanFill*b.meanWork/(work*relative))
 }
 
-// admits tells whether everything promised and one request more can start in time.
+// admits reports whether all committed work and one more request can start in time.
 func (b *backlog) admits(now, latest time.Time, slots, work, relative float64) bool {
 	if work <= 0 || b.meanWork <= 0 || b.share <= 0 {
 		return true
@@ -112,7 +112,7 @@
 	rate := slots * b.share * b.fillFraction(work, relative)
 	sum := work + runningRemainder*b.running
 	ownBucket := b.index(bucketOf(latest))
-	// Idle slots take a request whatever the estimate says.
+	// Idle slots accept a request regardless of the estimate.
 	if b.running+work <= slots*b.share*work && b.empty() {
 		return true
 	}
@@ -129,7 +129,7 @@
 	return true
 }
 
-// increment marks the step that the request itself adds to.
+// increment returns 1 for the bucket of the request itself and 0 for all others.
 func (b *backlog) increment(i, ownBucket int64) float64 {
 	if i == ownBucket {
 		return 1
--- a/core/bench_test.go
+++ b/core/bench_test.go
@@ -11,7 +11,7 @@
 	"emberlead/proto"
 )
 
-// benchPool is an engine pool of many targets with reported loads, of which each decision ranks some.
+// benchPool returns an engine pool whose targets have reported loads, and a ticket for it.
 func benchPool(b *testing.B, targets int) (*pool, *Ticket) {
 	b.Helper()
 	tuning := DefaultTuning()
@@ -47,7 +47,7 @@
 	}
 }
 
-// BenchmarkRequest is a whole request of two stages through an engine, without its I/O.
+// BenchmarkRequest runs whole requests of two stages through an engine, without I/O.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{3, 35, 100, 600} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
@@ -73,7 +73,7 @@
 	}
 }
 
-// BenchmarkTick is one look at deadlines and queues with nothing due.
+// BenchmarkTick runs ticks at which nothing is due.
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{5, 30, 100, 300} {
 		b.Run(fmt.Sprintf("pools=%d", n), func(b *testing.B) {
@@ -92,7 +92,7 @@
 	}
 }
 
-// heapOf returns the bytes that what a function builds keeps alive.
+// heapOf returns the heap size in bytes of the value that build returns.
 func heapOf(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -117,7 +117,7 @@
 	}
 }
 
-// BenchmarkUsageHeap is what a pool keeps of the workspaces that were active lately.
+// BenchmarkUsageHeap measures the heap size of the usage of recently active workspaces in a pool.
 func BenchmarkUsageHeap(b *testing.B) {
 	for _, n := range []int{5, 60, 600, 6600} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
--- a/core/doc.go
+++ b/core/doc.go
@@ -1,6 +1,6 @@
-// Package core makes the decisions of one entry daemon: admission, queueing, routing, limits, retries, hedges and placement.
+// Package core makes the decisions of an entry daemon: admission, queueing, routing, limits, retries, hedges and
+// placement.
 //
-// It does no I/O, starts no goroutine and reads no wall clock. Events go in with
-// the instant they happened at, and actions come out. A driver carries the
-// actions out and feeds back what came of them.
+// It does no I/O, starts no goroutines and does not read the wall clock. It takes events, each with the time at which
+// it happened, and returns actions. A driver executes the actions and reports their results as further events.
 package core
--- a/core/drain.go
+++ b/core/drain.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// dispatch grants waiting tickets in rank order while targets are open.
+// dispatch grants queued tickets in order of rank while targets are available.
 func (p *pool) dispatch(now time.Time) []grant {
 	var grants []grant
 	for {
@@ -25,18 +25,18 @@
 		p.targets[chosen].recordStart(now)
 		p.backlog.addRunning(ticket.Need.ServiceTime)
 		if ticket.Need.entry != nil {
-			// The target will hold the prefix from now on; an event corrects that if it does not.
+			// The target will hold the prefix from now on. A cache event corrects this if it does not.
 			ticket.Need.entry.holders.set(chosen, true)
 		}
 		grants = append(grants, grant{pool: p, ticket: ticket, target: p.targets[chosen]})
 	}
 }
 
-// urgentSlack is the slack, in parts of the work left, below which a ticket does not let another one go first.
+// urgentSlack is the slack, as a multiple of the remaining work, below which a ticket is not overtaken by another.
 const urgentSlack = 1.0
 
-// preferCacheHit looks for a waiting ticket whose prefix an open target holds, if the first one's is held by none and it
-// can wait a little: a hit frees the slot earlier for all.
+// preferCacheHit looks for another queued ticket whose prefix an available target holds, if no target holds the prefix
+// of the first ticket and that ticket has some slack. A cache hit frees the slot earlier for everyone.
 func (p *pool) preferCacheHit(now time.Time, ticket *Ticket, chosen int) (*Ticket, int) {
 	e := ticket.Need.entry
 	if e == nil || e.holders.has(chosen) || ticket.latestStart().Sub(now) < seconds(urgentSlack*ticket.Remaining.Seconds()) {
@@ -74,7 +74,7 @@
 	return noTarget
 }
 
-// readmitSome ends the ejections that are over soonest when more than half of the targets are ejected.
+// readmitSome ends the ejection that would end first when more than half of the targets are ejected.
 func (p *pool) readmitSome(now time.Time) {
 	ejected := 0
 	var soonest *target
--- a/core/engine.go
+++ b/core/engine.go
@@ -15,7 +15,7 @@
 	"emberlead/state"
 )
 
-// Engine decides for one entry daemon; its methods may be called from several threads.
+// Engine makes the decisions of one entry daemon. Its methods are safe for concurrent use.
 type Engine struct {
 	zone       proto.Zone
 	tuning     Tuning
@@ -29,7 +29,7 @@
 
 	poolsMu sync.RWMutex
 	pools   map[string]*pool
-	// poolList holds the same pools in order of name.
+	// poolList holds the same pools, sorted by name.
 	poolList   atomic.Pointer[[]*pool]
 	leavingVMs atomic.Pointer[map[proto.VM]bool]
 
@@ -44,19 +44,19 @@
 	attempt int // 0 for the deadline of the request
 }
 
-// Option changes an Engine at construction.
+// Option configures an Engine.
 type Option func(*Engine)
 
-// WithTuning sets the tuning instead of DefaultTuning.
+// WithTuning replaces DefaultTuning.
 func WithTuning(t Tuning) Option { return func(e *Engine) { e.tuning = t } }
 
-// WithZone sets the daemon's own availability zone.
+// WithZone sets the availability zone of the daemon itself.
 func WithZone(z proto.Zone) Option { return func(e *Engine) { e.zone = z } }
 
 // WithSeed sets the seed of all random choices.
 func WithSeed(seed uint64) Option { return func(e *Engine) { e.seed = seed } }
 
-// RouterName names a routing policy.
+// RouterName is the name of a routing policy.
 type RouterName string
 
 // Routing policies.
@@ -69,7 +69,7 @@
 
 const expectedFinishSample = 5
 
-// WithRouter sets the routing policy instead of RouterExpected.
+// WithRouter replaces the default routing policy, RouterExpectedFinish.
 func WithRouter(name RouterName) Option {
 	return func(e *Engine) { e.newChooser = chooserOf(name) }
 }
@@ -89,7 +89,7 @@
 	}
 }
 
-// New returns an engine without configuration.
+// New returns an engine with an empty configuration.
 func New(options ...Option) *Engine {
 	e := &Engine{
 		tuning:     DefaultTuning(),
@@ -109,16 +109,16 @@
 	return e
 }
 
-// Stats returns the engine's measures.
+// Stats returns the statistics of the engine.
 func (e *Engine) Stats() *Stats { return e.stats }
 
 // OpenRequests returns the number of requests in progress.
 func (e *Engine) OpenRequests() int { return e.requests.Len() }
 
-// Snapshot returns the configuration that new requests start under.
+// Snapshot returns the configuration for new requests.
 func (e *Engine) Snapshot() *proto.Snapshot { return e.snapshot.Load() }
 
-// Configure takes over a snapshot; one that is not newer is ignored.
+// Configure applies a snapshot. It ignores a snapshot that is not newer than the current one and then returns false.
 func (e *Engine) Configure(s *proto.Snapshot, now time.Time, lead time.Duration) bool {
 	e.poolsMu.Lock()
 	defer e.poolsMu.Unlock()
@@ -127,7 +127,7 @@
 	}
 	e.snapshot.Store(s)
 	leaving := e.leavingFunc(s, now, lead)
-	// In order of name, so that the same configuration gives each pool the same random source.
+	// Pools are created in order of name, so that the same configuration gives each pool the same random source.
 	for _, name := range slices.Sorted(maps.Keys(s.Pools)) {
 		e.poolLocked(name, s).configure(s.Pools[name], s.Workspaces, leaving)
 	}
@@ -150,7 +150,7 @@
 	return p
 }
 
-// poolObjective is that of the services which use the pool; the one that weighs attainment most wins.
+// poolObjective returns the objective with the largest attainment weight among the services that use the pool.
 func poolObjective(s *proto.Snapshot, pool string) proto.Objective {
 	var best proto.Objective
 	for name, service := range s.Services {
@@ -163,7 +163,7 @@
 	return best
 }
 
-// SetLeavingVMs takes over the VMs that the platform lists as leaving.
+// SetLeavingVMs sets the VMs that the platform lists as leaving.
 func (e *Engine) SetLeavingVMs(vms map[proto.VM]bool) { e.leavingVMs.Store(&vms) }
 
 func (e *Engine) leavingFunc(s *proto.Snapshot, now time.Time, lead time.Duration) leavingFunc {
@@ -176,7 +176,7 @@
 	}
 }
 
-// publishPools makes the list anew that allPools returns; the list itself is never changed.
+// publishPools rebuilds the list returned by allPools. A published list is never modified.
 func (e *Engine) publishPools() {
 	list := make([]*pool, 0, len(e.pools))
 	for _, name := range slices.Sorted(maps.Keys(e.pools)) {
@@ -185,7 +185,7 @@
 	e.poolList.Store(&list)
 }
 
-// allPools returns the pools in order of name.
+// allPools returns the pools, sorted by name.
 func (e *Engine) allPools() []*pool {
 	if list := e.poolList.Load(); list != nil {
 		return *list
@@ -199,7 +199,7 @@
 	return e.pools[name]
 }
 
-// TakeUsage returns what this daemon spent since the last call, for the other daemons.
+// TakeUsage returns the time used by this daemon since the last call, to be reported to the other daemons.
 func (e *Engine) TakeUsage() []UsageReported {
 	var reports []UsageReported
 	for _, p := range e.allPools() {
@@ -211,7 +211,7 @@
 	return reports
 }
 
-// TakeDemand returns what this daemon spent by pool and model since the last call.
+// TakeDemand returns the time used by this daemon since the last call, by pool and model.
 func (e *Engine) TakeDemand() []proto.DemandRow {
 	var rows []proto.DemandRow
 	for _, p := range e.allPools() {
@@ -222,7 +222,7 @@
 	return rows
 }
 
-// eventResult collects what one event leads to.
+// eventResult collects the actions and grants that result from one event.
 type eventResult struct {
 	now     time.Time
 	actions []Action
@@ -231,7 +231,7 @@
 
 func (t *eventResult) emit(a Action) { t.actions = append(t.actions, a) }
 
-// Handle takes in one event and returns the actions that follow, in order.
+// Handle processes an event and returns the resulting actions in order.
 func (e *Engine) Handle(now time.Time, event Event) []Action {
 	t := &eventResult{now: now}
 	switch ev := event.(type) {
@@ -320,7 +320,7 @@
 	}
 }
 
-// NewRequestID returns a new identifier; the caller passes in the time so that tests are the same each run.
+// NewRequestID returns a new ID. The time and the random source are parameters so that tests are reproducible.
 func NewRequestID(now time.Time, r *rand.Rand) proto.RequestID {
 	var random [10]byte
 	binary.LittleEndian.PutUint64(random[:8], r.Uint64())
--- a/core/engine_test.go
+++ b/core/engine_test.go
@@ -20,7 +20,7 @@
 	return &b
 }
 
-// testFile has a pipeline that may repeat, one that streams, and one whose last stage may run only once.
+// testFile has a pipeline that may be repeated, one that streams, and one whose last stage may run only once.
 func testFile(perPool int) *proto.File {
 	f := &proto.File{
 		Kind: proto.FileKindDeployment, Name: "test",
@@ -46,7 +46,7 @@
 
 const testTokens = 12
 
-// observed is what the caller and the targets keep of a request.
+// observed is what the caller and the targets have seen of a request.
 type observed struct {
 	service  string
 	stream   bool
@@ -57,7 +57,7 @@
 	starts   map[int]int // possibly started attempts, by stage
 }
 
-// simulation drives an engine with targets that answer late, twice, out of order, wrongly or not at all.
+// simulation drives an engine with targets that answer late, twice, out of order, incorrectly or not at all.
 type simulation struct {
 	engine   *Engine
 	random   *rand.Rand
@@ -143,7 +143,7 @@
 	}
 }
 
-// answer sends the whole answer, sometimes twice, with chunks that are doubled, missing or late.
+// answer sends a complete answer, sometimes twice, with chunks that may be duplicated, missing or late.
 func (h *simulation) answer(a Start) {
 	if a.Stream {
 		for from := a.Offset; from < testTokens; from += 4 {
@@ -217,7 +217,7 @@
 	}
 }
 
-// step delivers one of the next answers; mostly in order, sometimes any.
+// step delivers one pending answer, mostly in order, sometimes a random one, or generates a new event.
 func (h *simulation) step() {
 	switch n := h.random.IntN(10); {
 	case n < 2:
--- a/core/estimate.go
+++ b/core/estimate.go
@@ -9,7 +9,7 @@
 
 const defaultServiceTime = 50 * time.Millisecond
 
-// estimates learns the service time of each stage of each service online.
+// estimates learns the service time of each stage of each service.
 type estimates struct {
 	mu     sync.RWMutex
 	stages map[stageKey]*state.Mean
@@ -36,7 +36,7 @@
 	mean.Add(took.Seconds())
 }
 
-// of returns mean and deviation in seconds, and whether they were learnt.
+// of returns the mean and the deviation in seconds, and whether they were learned or are defaults.
 func (e *estimates) of(service, stage string) (mean, deviation float64, known bool) {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
--- a/core/events.go
+++ b/core/events.go
@@ -6,10 +6,10 @@
 	"emberlead/proto"
 )
 
-// Event is one input of an Engine.
+// Event is an input of an Engine.
 type Event interface{ event() }
 
-// Arrival is a caller's request that passed authentication.
+// Arrival is an authenticated request from a caller.
 type Arrival struct {
 	ID         proto.RequestID
 	Workspace  string
@@ -20,22 +20,22 @@
 	Prefix     string
 	Input      []byte
 	Stream     bool
-	// KeyLost says that too few replicas of the key's group are live for the key to be claimed now.
+	// QuorumLost means that too few replicas of the key's group are alive for the key to be claimed now.
 	QuorumLost bool
 }
 
-// AttemptStatus tells what is certain about an attempt that ended.
+// AttemptStatus tells what is known about an attempt that ended.
 type AttemptStatus int
 
-// Fates of an attempt.
+// Attempt statuses.
 const (
-	// FateDone means that the target answered.
+	// StatusDone means that the target answered.
 	StatusDone AttemptStatus = iota
-	// FateNotStarted means that nothing was written, or that the target said it never started.
+	// StatusNotStarted means that nothing was sent, or that the target reported that it did not start the attempt.
 	StatusNotStarted
-	// FateFailed means that the target ran the attempt and said that it failed.
+	// StatusFailed means that the target ran the attempt and reported a failure.
 	StatusFailed
-	// FateUnknown means that the connection broke or timed out after the first byte was written.
+	// StatusUnknown means that the connection broke or timed out after the first byte was sent.
 	StatusUnknown
 )
 
@@ -58,7 +58,7 @@
 	Tokens  int
 }
 
-// CallerLeft says that the caller closed its connection.
+// CallerLeft reports that the caller closed its connection.
 type CallerLeft struct {
 	Request proto.RequestID
 	Slow    bool
@@ -67,63 +67,64 @@
 // ClaimResult is the result of claiming an idempotency key.
 type ClaimResult int
 
-// Verdicts on a claim.
+// Claim results.
 const (
-	// VerdictGranted means that this daemon alone may run the request.
+	// ClaimGranted means that only this daemon may run the request.
 	ClaimGranted ClaimResult = iota
-	// VerdictTaken means that the key was claimed before and may have run.
+	// ClaimTaken means that the key was claimed before and its request may have run.
 	ClaimTaken
-	// VerdictDone means that the key's request ran and its answer is known.
+	// ClaimDone means that the key's request has run and its answer is known.
 	ClaimDone
-	// VerdictMismatch means that the key was used for another request.
+	// ClaimMismatch means that the key was used for a different request.
 	ClaimMismatch
-	// VerdictTooOld means that the key is older than what is remembered.
+	// ClaimTooOld means that the key is older than the retention of claims.
 	ClaimTooOld
-	// VerdictTooNew means that the key's time lies in the future.
+	// ClaimTooNew means that the key's time is in the future.
 	ClaimTooNew
-	// VerdictUnreachable means that too few replicas could be asked.
+	// ClaimNoQuorum means that too few replicas could be reached.
 	ClaimNoQuorum
 )
 
-// ClaimAnswered is the answer to a Claim action.
+// ClaimAnswered is the result of a Claim action.
 type ClaimAnswered struct {
 	Request proto.RequestID
 	Result  ClaimResult
 	Answer  []byte
 }
 
-// LoadReported is a target's late word on its own load.
+// LoadReported is a target's report of its own load, which may arrive late.
 type LoadReported struct {
 	Pool string
 	Load proto.Load
 }
 
-// CacheReported is a target's late and gappy word on its prefix cache.
+// CacheReported is a target's report of a change in its prefix cache. Reports may arrive late or get lost.
 type CacheReported struct {
 	Pool  string
 	Event proto.CacheEvent
 }
 
-// UsageReported is what another daemon spent for a workspace since its last report.
+// UsageReported is the time that another daemon used for a workspace since its previous report.
 type UsageReported struct {
 	Pool      string
 	Workspace string
 	Spent     time.Duration
 }
 
-// StopCheck lets the engine look at stops of VMs, listed and planned; it comes several times a second.
+// StopCheck makes the engine check for VMs that are listed as leaving or have a planned stop. It is sent several times
+// per second.
 type StopCheck struct {
-	// Lead is how long before its planned stop a VM gets no new work, and its work is moved.
+	// Lead is how long before its planned stop a VM gets no new work and its work is moved to other targets.
 	Lead time.Duration
 }
 
-// Exported is the answer to an Export action; the handle is empty if the target could not export.
+// Exported is the result of an Export action. Handle is empty if the target could not export.
 type Exported struct {
 	Attempt proto.AttemptID
 	Handle  string
 }
 
-// Tick lets the engine act on what is due; it comes at least every few milliseconds while requests are open.
+// Tick makes the engine process what is due. It is sent at least every few milliseconds while requests are open.
 type Tick struct{}
 
 func (Arrival) event()       {}
@@ -138,10 +139,10 @@
 func (Exported) event()      {}
 func (Tick) event()          {}
 
-// Action is one output of an Engine.
+// Action is an output of an Engine.
 type Action interface{ action() }
 
-// Start asks the driver to run an attempt at a target.
+// Start tells the driver to run an attempt at a target.
 type Start struct {
 	ID        proto.AttemptID
 	Pool      string
@@ -156,32 +157,32 @@
 	Stream    bool
 	Offset    int
 	Delivered string
-	// CacheHandle names the KV cache to import.
+	// CacheHandle identifies the KV cache to import.
 	CacheHandle string
-	// MayRepeat is false for a stage that may run only once.
+	// MayRepeat is false if the stage may run only once.
 	MayRepeat bool
 }
 
-// Export asks the driver to export the KV cache of an attempt whose target is about to stop.
+// Export tells the driver to export the KV cache of an attempt whose target is about to stop.
 type Export struct {
 	Attempt proto.AttemptID
 	Target  proto.Target
 }
 
-// Cancel asks the driver to cancel an attempt at its target.
+// Cancel tells the driver to cancel an attempt at its target.
 type Cancel struct{ Attempt proto.AttemptID }
 
-// Claim asks the driver to claim an idempotency key before a stage that may run only once.
+// Claim tells the driver to claim an idempotency key. It precedes stages that may run only once.
 type Claim struct {
 	Request proto.RequestID
 	Key     proto.Key
 }
 
-// Settle tells the replicas of a key how its request ended.
+// Settle tells the driver to report the end of a request to the replicas of its key.
 type Settle struct {
 	Request proto.RequestID
 	Key     proto.Key
-	// Released means that the stage that may run only once was certainly not run.
+	// Released means that no stage that may run only once was started.
 	Released bool
 	Answer   []byte
 }
@@ -192,16 +193,16 @@
 	Offset  int
 	Text    string
 	Tokens  int
-	// Generation is the configuration that the request runs under.
+	// Generation is the configuration that the request runs with.
 	Generation proto.Generation
 }
 
-// Finish ends a request with its whole answer, or with a failure.
+// Finish ends a request with its complete answer or with a failure.
 type Finish struct {
 	Request proto.RequestID
 	Output  []byte
 	Failure *proto.Failure
-	// Generation is the configuration that the request ran under.
+	// Generation is the configuration that the request ran with.
 	Generation proto.Generation
 }
 
--- a/core/flow.go
+++ b/core/flow.go
@@ -74,7 +74,8 @@
 	return false
 }
 
-// admit refuses at once what could not be in time, because that costs nothing and the caller learns it early.
+// admit rejects requests that cannot finish in time as early as possible: that costs no target time, and the caller can
+// react at once.
 func (e *Engine) admit(t *eventResult, r *request, quorumLost bool) *proto.Failure {
 	if !t.now.Before(r.deadline) {
 		return &proto.Failure{
@@ -107,7 +108,7 @@
 	}
 }
 
-// admitToPools refuses what needs more of an overloaded pool than others that wait for it.
+// admitToPools rejects a request that needs more of an overloaded pool than other requests waiting for it.
 func (e *Engine) admitToPools(t *eventResult, r *request, queueDelay time.Duration) *proto.Failure {
 	works := e.expectedWork(r)
 	for i, p := range r.pools {
@@ -127,7 +128,7 @@
 	return min(maxRetryAfter, max(minRetryAfter, queueDelay))
 }
 
-// begin claims the key first if some stage may run only once, so that a refusal is known before anything runs.
+// begin first claims the key if a stage may run only once, so that a rejected key is known before any stage runs.
 func (e *Engine) begin(t *eventResult, r *request) {
 	if r.hasKey && r.runsOnce() {
 		r.claim = claimPending
@@ -160,7 +161,7 @@
 	t.grants = append(t.grants, r.pool().offer(t.now, r.ticket)...)
 }
 
-// Only engines hold a prefix cache.
+// cachePrefix returns the prefix of the request for engine pools, since only engines have a prefix cache.
 func (r *request) cachePrefix() string {
 	if r.pool().kind != proto.PoolEngine {
 		return ""
@@ -168,7 +169,7 @@
 	return r.prefix
 }
 
-// granted starts an attempt, unless the request ended while its ticket waited.
+// granted starts an attempt, unless the request has ended while its ticket was queued.
 func (e *Engine) granted(t *eventResult, g grant) {
 	taken := false
 	e.withRequest(g.ticket.Request, func(r *request) {
@@ -217,13 +218,13 @@
 	})
 }
 
-// priority maps the time left to the engines' scale, 0 for the most urgent.
+// priority maps the time left to the priority scale of the engines; 0 is the most urgent.
 func priority(left time.Duration) int {
 	const step = 250 * time.Millisecond
 	return int(min(9, max(0, left/step)))
 }
 
-// hedgeAt is when an attempt has taken so long that a second one may be worth its cost.
+// hedgeAt returns the time from which an attempt is slow enough that a second one may be worth its cost.
 func (e *Engine) hedgeAt(now time.Time, r *request) (time.Time, bool) {
 	if !r.mayRepeat() || r.stageSpec().Stream {
 		return time.Time{}, false
@@ -258,7 +259,7 @@
 	e.enqueue(t, r)
 }
 
-// expired ends a request whose ticket waited until the deadline could no longer be met.
+// expired ends a request whose ticket stayed queued until the deadline could no longer be met.
 func (e *Engine) expired(t *eventResult, r *request, ticket *Ticket) {
 	if r.ticket != ticket {
 		return
@@ -307,7 +308,7 @@
 	}
 }
 
-// replay gives a caller that sent its key again the answer that was kept.
+// replay returns the stored answer to a caller that repeated its key.
 func (e *Engine) replay(t *eventResult, r *request, answer []byte) {
 	if answer == nil {
 		e.conflict(t, r, proto.FailureKeyTaken, proto.OutcomeRan, "the key's request ran, and its answer is no longer kept")
@@ -320,7 +321,7 @@
 	e.finish(t, r, nil, &proto.Failure{Kind: kind, Outcome: outcome, Detail: detail, RetryAfter: time.Second})
 }
 
-// fail ends a request with what is certain about it.
+// fail ends a request with a failure whose outcome tells what is known about the request.
 func (e *Engine) fail(t *eventResult, r *request, kind proto.FailureKind, detail string, queueDelay time.Duration) {
 	outcome := r.outcome()
 	if r.reason != "" {
@@ -333,7 +334,7 @@
 	e.finish(t, r, nil, failure)
 }
 
-// finish is the only way that a request ends; its shard forgets it once the event is handled.
+// finish is the only way to end a request. The request is removed from its shard after the event has been handled.
 func (e *Engine) finish(t *eventResult, r *request, output []byte, failure *proto.Failure) {
 	if r.done {
 		return
@@ -363,7 +364,7 @@
 	}
 }
 
-// abandon cancels an attempt whose result is no longer wanted; what it delivers later is dropped.
+// abandon cancels an attempt whose result is no longer needed. Any later answers of the attempt are dropped.
 func (e *Engine) abandon(t *eventResult, r *request, a *attempt) {
 	spent := t.now.Sub(a.startedAt)
 	if e.pauses.overlapped(a.startedAt, t.now) {
--- a/core/pause.go
+++ b/core/pause.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// pauseThreshold is how late a tick may be before the daemon takes itself to have been paused.
+	// pauseThreshold is the gap between ticks above which the daemon is assumed to have been paused.
 	pauseThreshold = 250 * time.Millisecond
-	// pauseGrace is how long after a pause requests may still be ones that waited through it.
+	// pauseGrace is how long after a pause newly read requests may still have waited through it.
 	pauseGrace = 250 * time.Millisecond
 )
 
-// pauses remembers the daemon's last pause. A request that was read after one may have waited for all of it in
-// a socket, so its deadline counts from the beginning of the pause: a push must not go out late.
+// pauses records the last pause of the daemon. A request read shortly after a pause may have waited in a socket for all
+// of it, so its deadline counts from the start of the pause. Otherwise a push could be sent too late.
 type pauses struct {
 	mu       sync.Mutex
-	lastTick time.Time // of the last tick
+	lastTick time.Time
 	from     time.Time
 	until    time.Time
 }
@@ -34,7 +34,7 @@
 	}
 }
 
-// arrived returns since when a request that is read now may have waited.
+// arrived returns the earliest time at which a request that is read now may have arrived.
 func (p *pauses) arrived(now time.Time) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -45,7 +45,8 @@
 	return now
 }
 
-// overlapped tells whether what began then went through the last pause, so that how long it took tells nothing.
+// overlapped reports whether an operation that began at the given time went through the last pause, which makes its
+// measured duration meaningless.
 func (p *pauses) overlapped(began, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/core/placement.go
+++ b/core/placement.go
@@ -10,28 +10,28 @@
 	"emberlead/state"
 )
 
-// PlacementTuning holds the constants of placement.
+// PlacementTuning holds the parameters of model placement.
 type PlacementTuning struct {
-	// HalfLife is that of the demand which placement follows.
+	// HalfLife is the half-life of the demand that placement follows.
 	HalfLife time.Duration
-	// MinShortage is by how many targets' worth a model must be short before a target is changed.
+	// MinShortage is the shortage of a model, in targets, from which a target is reassigned.
 	MinShortage float64
-	// Hold is how long a model must have been short without a break.
+	// Hold is how long a model must be short without interruption.
 	Hold time.Duration
-	// Dwell is how long a target keeps its model at least.
+	// Dwell is the minimum time that a target keeps its model.
 	Dwell time.Duration
-	// Rate is how many targets may change in a second over all pools, which the weight store bounds.
+	// Rate is the number of targets that may change per second over all pools. It is bounded by the weight store.
 	Rate float64
-	// Burst is how many targets may change at once.
+	// Burst is the number of targets that may change at once.
 	Burst float64
 }
 
-// DefaultPlacementTuning returns constants under which a change of load is followed within a minute and a spike is not.
+// DefaultPlacementTuning returns parameters that follow a lasting change of load within a minute and ignore a spike.
 func DefaultPlacementTuning() PlacementTuning {
 	return PlacementTuning{HalfLife: 20 * time.Second, MinShortage: 0.6, Hold: 10 * time.Second, Dwell: time.Minute, Rate: 0.2, Burst: 2}
 }
 
-// Placement moves targets between models as their demand shifts, with hysteresis.
+// Placement reassigns targets between models as demand shifts, with hysteresis.
 type Placement struct {
 	tuning     PlacementTuning
 	demand     map[string]map[string]*state.DecayingSum
@@ -41,13 +41,13 @@
 	refilledAt time.Time
 }
 
-// shortage is which model a pool lacks most, and since when.
+// shortage is the model that a pool lacks most, and since when.
 type shortage struct {
 	model string
 	since time.Time
 }
 
-// NewPlacement returns a placement that has seen no demand.
+// NewPlacement returns a placement without any demand history.
 func NewPlacement(tuning PlacementTuning) *Placement {
 	return &Placement{tuning: tuning, demand: map[string]map[string]*state.DecayingSum{}, changedAt: map[string]time.Time{}, shortages: map[string]shortage{}, tokens: tuning.Burst}
 }
@@ -71,7 +71,7 @@
 	return levels
 }
 
-// Place returns the targets to give another model. Every model of the pool keeps at least one target.
+// Place returns the targets to reassign, with their new models. Every model of the pool keeps at least one target.
 func (p *Placement) Place(now time.Time, pool *proto.Pool, demand map[string]time.Duration, current map[string][]string) map[string][]string {
 	levels := p.updateDemand(now, pool.Name, demand)
 	p.refill(now)
@@ -102,7 +102,7 @@
 	return changes
 }
 
-// persists tells whether the pool has lacked the same model for long enough.
+// persists reports whether the pool has lacked the same model for long enough.
 func (p *Placement) persists(now time.Time, pool, model string, isShort bool) bool {
 	if !isShort {
 		delete(p.shortages, pool)
@@ -121,7 +121,8 @@
 	p.refilledAt = now
 }
 
-// assign sorts the targets by their model; one that holds several or none is given one at once, in turn.
+// assigned groups the targets by model. A target that holds several models or none is assigned at once to the model
+// with the fewest targets.
 func (p *Placement) assign(pool *proto.Pool, current map[string][]string, changes map[string][]string) map[string][]string {
 	byModel := map[string][]string{}
 	for _, name := range slices.Sorted(maps.Keys(current)) {
@@ -137,7 +138,7 @@
 	return byModel
 }
 
-// extremes returns the model that is short of most targets and the one that has most to spare.
+// extremes returns the model with the largest shortage and the model with the largest surplus.
 func (p *Placement) extremes(models []string, byModel map[string][]string, share func(string) float64) (short, surplus string) {
 	maxShortage, maxSurplus := 0.0, 0.0
 	for _, model := range models {
--- a/core/placement_test.go
+++ b/core/placement_test.go
@@ -8,7 +8,7 @@
 	"emberlead/proto"
 )
 
-// place plays rounds of placement, in which targets obey at once, and returns how many changed and what they have.
+// place runs rounds of placement with targets that obey at once. It updates have and returns the number of changes.
 func place(p *Placement, pool *proto.Pool, have map[string][]string, from time.Time, rounds int, demand func(round int) map[string]time.Duration) int {
 	moved := 0
 	for round := range rounds {
@@ -74,7 +74,7 @@
 	}
 }
 
-// Targets that hold several models or none are given one each, evenly.
+// Targets that hold several models or none are assigned one model each, evenly.
 func TestPlacementAssignsUnassignedTargets(t *testing.T) {
 	pool := &proto.Pool{Name: "generate", Models: []string{"a", "b"}}
 	have := map[string][]string{"t-1": {"a", "b"}, "t-2": {"a", "b"}, "t-3": nil, "t-4": {"other"}}
--- a/core/policy.go
+++ b/core/policy.go
@@ -7,50 +7,50 @@
 	"emberlead/proto"
 )
 
-// Need is what a stage of a request asks of a target.
+// Need describes what a stage of a request requires of a target.
 type Need struct {
 	Now         time.Time
 	Prefix      string
 	Zone        proto.Zone
 	Model       string
-	ServiceTime float64 // expected seconds at an idle target
+	ServiceTime float64 // expected seconds on an idle target
 	Exclude     string
-	// Deadline is that of the request: it is not sent to a target that stops before it.
+	// Deadline is the request's deadline. The request is not sent to a target that stops before it.
 	Deadline time.Time
 
 	entry  *prefixEntry
 	saving float64
 }
 
-// Candidate is what a Chooser ranks.
+// Candidate is a target as seen by a Chooser.
 type Candidate interface {
-	// Available tells whether the candidate may take one more request.
+	// Available reports whether the candidate may take one more request.
 	Available(need *Need) bool
-	// Outstanding returns the own requests in progress.
+	// Outstanding returns the number of this daemon's requests in progress at the candidate.
 	Outstanding() int
 	// ExpectedFinish returns the expected seconds until a request sent now is done.
 	ExpectedFinish(need *Need) float64
-	// Preferred tells whether the candidate is one of those that a prefix maps to.
+	// Preferred reports whether the candidate is preferred for the request's prompt prefix.
 	Preferred(need *Need) bool
 }
 
-// Chooser picks one of the candidates, or -1 if none is open.
+// Chooser selects one of the candidates, or returns -1 if none is available.
 type Chooser[C Candidate] interface {
 	Choose(candidates []C, need *Need) int
 }
 
-// Random picks any open candidate.
+// Random chooses any available candidate.
 type Random[C Candidate] struct{ Rand *rand.Rand }
 
-// Choose picks one open candidate at random.
+// Choose returns a random available candidate.
 func (r *Random[C]) Choose(candidates []C, need *Need) int {
 	return firstAvailable(candidates, need, r.Rand.IntN(max(1, len(candidates))))
 }
 
-// RoundRobin picks the open candidates in turn.
+// RoundRobin chooses the available candidates in turn.
 type RoundRobin[C Candidate] struct{ next int }
 
-// Choose picks the next open candidate.
+// Choose returns the next available candidate.
 func (r *RoundRobin[C]) Choose(candidates []C, need *Need) int {
 	i := firstAvailable(candidates, need, r.next%max(1, len(candidates)))
 	r.next = i + 1
@@ -67,10 +67,10 @@
 	return -1
 }
 
-// LeastOutstanding picks the open candidate with the fewest own requests.
+// LeastOutstanding chooses the available candidate with the fewest requests of this daemon in progress.
 type LeastOutstanding[C Candidate] struct{ Rand *rand.Rand }
 
-// Choose picks the open candidate with the fewest own requests; ties fall to a random one.
+// Choose returns the available candidate with the fewest own requests in progress; ties are broken at random.
 func (l *LeastOutstanding[C]) Choose(candidates []C, need *Need) int {
 	best, fewest := -1, 0
 	from := l.Rand.IntN(max(1, len(candidates)))
@@ -86,14 +86,15 @@
 	return best
 }
 
-// ExpectedFinish picks the earliest expected finish among a few random candidates and those the prefix maps to.
+// ExpectedFinish chooses the candidate with the earliest expected finish among a few random candidates and those
+// preferred for the prompt prefix.
 type ExpectedFinish[C Candidate] struct {
 	Rand *rand.Rand
-	// Sample is how many open candidates are compared.
+	// Sample is the number of available candidates to compare.
 	Sample int
 }
 
-// Choose compares Sample open candidates and every preferred one it meets on the way.
+// Choose compares Sample available candidates and, if the request has a prefix, all preferred candidates.
 func (e *ExpectedFinish[C]) Choose(candidates []C, need *Need) int {
 	best, earliest, seen := -1, 0.0, 0
 	from := e.Rand.IntN(max(1, len(candidates)))
@@ -119,39 +120,40 @@
 	return best
 }
 
-// Tuning holds the switches and constants of the policy.
+// Tuning holds the switches and parameters of the decisions.
 type Tuning struct {
-	// Admission refuses a request whose deadline cannot be met.
+	// Admission enables the rejection of requests whose deadline cannot be met.
 	Admission bool
-	// Fair ranks waiting requests by workspace usage and deadline instead of by arrival.
+	// FairQueueing orders queued requests by workspace usage and deadline instead of by arrival.
 	FairQueueing bool
-	// Limits holds requests back when a target's slots are taken.
+	// Limits keeps requests queued while a target's slots are taken.
 	Limits bool
-	// MostAttempts bounds the attempts at one stage of one request.
+	// MaxAttempts is the largest number of attempts at one stage of a request.
 	MaxAttempts int
-	// RetryRatio is the part of a retry that each first attempt earns.
+	// RetryRatio is the fraction of a retry that each first attempt earns.
 	RetryRatio float64
-	// HedgeRatio is the part of a hedge that each first attempt earns.
+	// HedgeRatio is the fraction of a hedge that each first attempt earns.
 	HedgeRatio float64
-	// HedgeDeviations is how many deviations past the mean an attempt may take before it is hedged.
+	// HedgeDeviations is the number of deviations above the mean after which an attempt is hedged.
 	HedgeDeviations float64
-	// PeerCorrelation is the weight of the assumption that other daemons dispatched as this one did since a load report.
+	// PeerCorrelation is the weight of the assumption that, since a load report, the other daemons have dispatched like
+	// this one.
 	PeerCorrelation float64
-	// Overcommit is the factor on a target's slots up to which it is sent requests.
+	// Overcommit is the factor on a target's slots up to which requests are sent to it.
 	Overcommit float64
-	// EjectAfter is the number of failures in a row that ejects a target.
+	// EjectAfter is the number of consecutive failures after which a target is ejected.
 	EjectAfter int
-	// EjectionTime is the first ejection's length; it doubles each time.
+	// EjectionTime is the length of the first ejection. It doubles with each further one.
 	EjectionTime time.Duration
-	// RampUpTime is the time over which a target's limit grows back.
+	// RampUpTime is the time over which the limit of a readmitted target grows back.
 	RampUpTime time.Duration
-	// UsageHalfLife is the half-life of the spent time that fairness looks at.
+	// UsageHalfLife is the half-life of the workspace usage that fair queueing considers.
 	UsageHalfLife time.Duration
-	// ShareSlack is the factor over its fair share from which a workspace ranks last.
+	// ShareSlack is the multiple of its fair share above which a workspace is ranked last.
 	ShareSlack float64
 }
 
-// DefaultTuning returns the tuning that daemons run with.
+// DefaultTuning returns the tuning that daemons use.
 func DefaultTuning() Tuning {
 	return Tuning{
 		Admission:       true,
@@ -171,7 +173,8 @@
 	}
 }
 
-// ForObjective returns the tuning for a file's objective: retries and hedges cost, so a file that weighs cost gets fewer.
+// ForObjective adapts the tuning to the objective of a file. Retries and hedges add cost, so a file with a larger cost
+// weight gets fewer of them.
 func (t Tuning) ForObjective(o proto.Objective) Tuning {
 	if o.Attainment == 0 && o.Cost == 0 {
 		return t
--- a/core/pool.go
+++ b/core/pool.go
@@ -12,19 +12,19 @@
 const (
 	completionHalfLife = 2 * time.Second
 	noTarget           = -1
-	panicFraction      = 2 // at most one in this many targets stays ejected
+	panicFraction      = 2 // at most one in this many targets may stay ejected
 	retryBurst         = 10
 	usageSweepInterval = 30 * time.Second
 )
 
-// grant gives a waiting ticket a target.
+// grant assigns a target to a queued ticket.
 type grant struct {
 	pool   *pool
 	ticket *Ticket
 	target *target
 }
 
-// pool is one pool's targets, queue and budgets under one lock.
+// pool holds the targets, the queue and the retry and hedge budgets of one pool. mu guards them all.
 type pool struct {
 	mu           sync.Mutex
 	name         string
@@ -63,7 +63,7 @@
 	return p
 }
 
-// burst is how many retries or hedges a pool may make before it has earned any: none if it earns none.
+// burst returns how many retries or hedges a pool may make before it has earned any; none if it never earns any.
 func burst(ratio float64) float64 {
 	if ratio <= 0 {
 		return 0
@@ -71,7 +71,8 @@
 	return retryBurst
 }
 
-// configure takes over the targets of a new generation; those left out get no new work and go once they are idle.
+// configure applies the targets of a new generation. Removed targets get no new work and are deleted once they are
+// idle.
 func (p *pool) configure(spec *proto.Pool, workspaces map[string]*proto.Workspace, leaving leavingFunc) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -97,7 +98,7 @@
 	p.reindex()
 }
 
-// reindex gives the targets their indexes; what is known by index is forgotten if one changed.
+// reindex assigns the target indexes. If an index changed, it discards the data that is stored by index.
 func (p *pool) reindex() {
 	changed := false
 	for i, t := range p.targets {
@@ -135,10 +136,10 @@
 	p.targets = append(p.targets, added)
 }
 
-// leavingFunc tells whether a VM gets no new work, and when it is planned to stop.
+// leavingFunc tells whether a VM gets no new work, and when its stop is planned.
 type leavingFunc func(proto.VM) (leaving bool, stopAt time.Time)
 
-// setLeaving returns whether any target has a planned stop.
+// setLeaving updates the targets and reports whether any of them has a planned stop.
 func (p *pool) setLeaving(leaving leavingFunc) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -150,14 +151,14 @@
 	return planned
 }
 
-// stopOf returns when a target is planned to stop.
+// stopOf returns the time of the target's planned stop.
 func (p *pool) stopOf(t *target) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return t.stopAt
 }
 
-// offer queues a ticket and returns the grants that follow.
+// offer queues a ticket and returns the resulting grants.
 func (p *pool) offer(now time.Time, ticket *Ticket) []grant {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -168,14 +169,15 @@
 	return p.dispatch(now)
 }
 
-// estimateWait estimates how long a new ticket of a workspace with the given latest start would queue.
+// estimateWait estimates how long a new ticket of a workspace with the given latest start time would be queued.
 func (p *pool) estimateWait(now time.Time, workspace string, latest time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.drainTime(now, p.queue.Ahead(workspace, latest))
 }
 
-// drainTime is how long the pool takes to start so many waiting requests at its rate of late.
+// drainTime estimates how long the pool needs to start the given number of queued requests, from its recent completion
+// rate.
 func (p *pool) drainTime(now time.Time, waiting int) time.Duration {
 	if waiting == 0 {
 		return 0
@@ -187,7 +189,7 @@
 	return seconds(float64(waiting) / rate)
 }
 
-// slots is the number of requests that the pool's open targets run at once.
+// slots returns the number of requests that the pool's available targets can run concurrently.
 func (p *pool) slots(now time.Time) float64 {
 	sum := 0
 	for _, t := range p.targets {
@@ -198,7 +200,7 @@
 	return float64(sum)
 }
 
-// admits tells whether a request of so much work is taken while others wait for the pool.
+// admits reports whether a request with the given work is admitted alongside the work already committed.
 func (p *pool) admits(now, latest time.Time, workspace string, work float64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -221,7 +223,7 @@
 	p.backlog.release(now, c)
 }
 
-// ended takes in the end of an attempt and returns the grants that follow.
+// ended records the end of an attempt and returns the resulting grants.
 func (p *pool) ended(now time.Time, a *attempt, workspace string, status AttemptStatus, took time.Duration, spent time.Duration, hit bool) []grant {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -242,10 +244,10 @@
 	return p.dispatch(now)
 }
 
-// hangRatio is the multiple of the expected time from which an abandoned attempt counts against its target.
+// hangRatio is the multiple of the expected time beyond which an abandoned attempt counts as a failure of its target.
 const hangRatio = 4
 
-// abandoned takes in that an attempt was abandoned.
+// abandoned records that an attempt was abandoned and returns the resulting grants.
 func (p *pool) abandoned(now time.Time, a *attempt, workspace string, spent time.Duration) []grant {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -260,7 +262,7 @@
 	return p.dispatch(now)
 }
 
-// returnGrant frees the slot of a grant that nobody wanted any more.
+// returnGrant frees the slot of a grant that was not used.
 func (p *pool) returnGrant(now time.Time, unused *target, work float64) []grant {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -270,7 +272,7 @@
 	return p.dispatch(now)
 }
 
-// recordSlow takes in that an attempt has already taken a multiple of its expected time.
+// recordSlow records that a running attempt has already taken the given multiple of its expected time.
 func (p *pool) recordSlow(t *target, ratio float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -286,7 +288,8 @@
 	return p.dispatch(now)
 }
 
-// poll expires what cannot be in time and grants what became open without an event, such as an ejection that ended.
+// poll removes tickets that cannot finish in time, and grants tickets when targets became available without an event,
+// such as at the end of an ejection.
 func (p *pool) poll(now time.Time) (expired []*Ticket, grants []grant) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -319,7 +322,8 @@
 	return p.retries.Take()
 }
 
-// takeHedge takes a hedge if the budget has one and nobody waits, since a hedge must not delay a first attempt.
+// takeHedge takes a hedge from the budget, but only if no ticket is queued, because a hedge must not delay a first
+// attempt.
 func (p *pool) takeHedge() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/core/prefix.go
+++ b/core/prefix.go
@@ -12,15 +12,16 @@
 const (
 	maxPrefixes    = 4096
 	preferredCount = 2
-	// defaultSaving is the part of the service time that a prefix hit saves, until that is learnt.
+	// defaultSaving is the assumed fraction of the service time that a prefix hit saves, until it has been learned.
 	defaultSaving = 0.3
 	maxSaving     = 0.9
-	// preferredBonus is the part of the saving that a home without the prefix is credited, so that one prefix gathers there.
+	// preferredBonus is the fraction of the saving credited to a preferred target that does not hold the prefix yet, so
+	// that the requests with one prefix gather there.
 	preferredBonus = 0.15
 	minSamples     = 8
 )
 
-// bitset marks targets of a pool by index.
+// bitset is a set of target indexes of a pool.
 type bitset []uint64
 
 func (b bitset) has(i int) bool { return i>>6 < len(b) && b[i>>6]&(1<<(i&63)) != 0 }
@@ -36,14 +37,15 @@
 	b[i>>6] &^= 1 << (i & 63)
 }
 
-// prefixEntry is what is known of one prompt prefix: the targets that are thought to hold it, and its homes,
-// which every daemon works out alike without a message.
+// prefixEntry is what is known of one prompt prefix: the targets that are believed to hold it, and the preferred
+// targets, which every daemon computes identically without communication.
 type prefixEntry struct {
 	holders   bitset
 	preferred bitset
 }
 
-// prefixes is what a pool knows of its targets' prefix caches. Events are late and have gaps, so it is a guess.
+// prefixes is what a pool knows of the prefix caches of its targets. It is an estimate, because events arrive late and
+// may be missing.
 type prefixes struct {
 	entries        map[string]*prefixEntry
 	insertionOrder []string
@@ -53,7 +55,7 @@
 
 func newPrefixes() *prefixes { return &prefixes{entries: map[string]*prefixEntry{}} }
 
-// reset forgets all, because the targets' indexes have changed.
+// reset discards everything, because the target indexes have changed.
 func (p *prefixes) reset() {
 	clear(p.entries)
 	p.insertionOrder = nil
@@ -109,7 +111,7 @@
 	return indexes
 }
 
-// record takes in how long an attempt with a prefix took against what was expected, by whether it hit.
+// record records the ratio of actual to expected time of an attempt with a prefix, separately for hits and misses.
 func (p *prefixes) record(hit bool, ratio float64) {
 	if hit {
 		p.hitRatio.Add(ratio)
@@ -118,7 +120,7 @@
 	p.missRatio.Add(ratio)
 }
 
-// saving is the part of the service time that a hit saves.
+// saving returns the fraction of the service time that a hit saves.
 func (p *prefixes) saving() float64 {
 	if p.hitRatio.Count() < minSamples || p.missRatio.Count() < minSamples || p.missRatio.Mean() <= 0 {
 		return defaultSaving
--- a/core/queue.go
+++ b/core/queue.go
@@ -8,13 +8,13 @@
 	"emberlead/state"
 )
 
-// Ticket is a request that waits for a target of a pool.
+// Ticket is a queued request for a target of a pool.
 type Ticket struct {
 	Request   proto.RequestID
 	Workspace string
 	Weight    float64
 	Deadline  time.Time
-	// Remaining is the expected time from a free target to the end of the request.
+	// Remaining is the expected time from the start at a free target to the end of the request.
 	Remaining time.Duration
 	Need      Need
 	Since     time.Time
@@ -22,13 +22,14 @@
 	withdrawn bool
 }
 
-// latestStart is when the ticket has to get a target to be in time.
+// latestStart returns the latest time at which the ticket has to get a target to finish in time.
 func (t *Ticket) latestStart() time.Time { return t.Deadline.Add(-t.Remaining) }
 
-// minWorkFraction is the part of the expected work that must still fit before the deadline; some requests beat the mean.
+// minWorkFraction is the fraction of the expected work that must still fit before the deadline. It is below 1 because
+// some requests are faster than the mean.
 const minWorkFraction = 0.6
 
-// hopeless tells whether the ticket can no longer be in time.
+// missesDeadline reports whether the ticket can no longer finish in time.
 func (t *Ticket) hopeless(now time.Time) bool {
 	return t.Deadline.Sub(now) < time.Duration(minWorkFraction*float64(t.Remaining))
 }
@@ -36,20 +37,22 @@
 // Queue orders the tickets that wait for a pool.
 type Queue interface {
 	Push(ticket *Ticket)
-	// Next returns the ticket that ranks first, and leaves it in the queue.
+	// Next returns the first ticket without removing it.
 	Next(now time.Time) *Ticket
-	// Alternative returns a ticket that may go before the given one and that pick picks, or nil.
+	// Alternative returns another ticket that may be served before the given one and for which match returns true, or
+	// nil.
 	Alternative(ticket *Ticket, pick func(*Ticket) bool) *Ticket
-	// Remove takes out a ticket that Next or Beside returned.
+	// Remove removes a ticket that Next or Alternative returned.
 	Remove(ticket *Ticket)
 	Len() int
-	// Ahead returns how many tickets would rank before a new one of the workspace with the given latest start.
+	// Ahead returns how many tickets would be served before a new one of the workspace with the given latest start
+	// time.
 	Ahead(workspace string, latest time.Time) int
-	// Expire removes and returns the tickets that drop picks.
+	// Expire removes and returns the tickets for which drop returns true.
 	Expire(drop func(*Ticket) bool) []*Ticket
 }
 
-// arrivalQueue is first in, first out.
+// arrivalQueue is a first-in, first-out queue.
 type arrivalQueue struct{ heap *state.Heap[*Ticket] }
 
 func newArrivalQueue() *arrivalQueue {
@@ -69,7 +72,7 @@
 
 func (q *arrivalQueue) Remove(t *Ticket) { remove(q.heap, t) }
 
-// maxLookahead is how many tickets are looked through for one that fits an open target better.
+// maxLookahead is how many queued tickets are searched for one that suits an available target better.
 const maxLookahead = 16
 
 func alternative(heap *state.Heap[*Ticket], match func(*Ticket) bool) *Ticket {
@@ -104,12 +107,13 @@
 	return dropped
 }
 
-// fairQueue ranks workspaces within their fair share by deadline, and those over it by how far over they are.
+// fairQueue orders the workspaces within their fair share by deadline, and after them the others by how far they exceed
+// their share.
 type fairQueue struct {
 	usage *usage
 	slack float64
 	lanes map[string]*state.Heap[*Ticket]
-	// order holds the workspaces of the lanes by name: sums and ties then come out alike in each run.
+	// order holds the workspaces that have a lane, sorted by name, so that sums and ties are the same in each run.
 	order []string
 	count int
 }
@@ -152,7 +156,7 @@
 	return best
 }
 
-// excess is 0 within the fair share, and the use relative to the mean above it.
+// excess returns 0 for a workspace within its fair share, and otherwise its usage relative to the mean.
 func (q *fairQueue) excess(workspace string, weight, mean float64, now time.Time) float64 {
 	use := q.usage.recent(workspace, now) / weight
 	if mean == 0 || use <= mean*q.slack {
@@ -161,7 +165,8 @@
 	return use / mean
 }
 
-// The mean is over the workspaces that wait, because a share that nobody waits for is there to be used.
+// meanUse returns the mean over the workspaces that have queued tickets, because a share that nobody waits for may be
+// used by others.
 func (q *fairQueue) meanUse(now time.Time) float64 {
 	spent, weights := 0.0, 0.0
 	for _, workspace := range q.order {
@@ -175,7 +180,7 @@
 	return spent / weights
 }
 
-// Alternative looks in the lane of the same workspace first, and then in those that were spent less for.
+// Alternative searches the lane of the same workspace first and then the lanes of workspaces that have used less.
 func (q *fairQueue) Alternative(t *Ticket, match func(*Ticket) bool) *Ticket {
 	if other := alternative(q.lanes[t.Workspace], match); other != nil {
 		return other
@@ -213,8 +218,8 @@
 
 func (q *fairQueue) Len() int { return q.count }
 
-// Ahead counts the workspace's own tickets that must start earlier, and an equal part of the others', which is
-// what the ranking comes to.
+// Ahead counts the workspace's own tickets that must start earlier, and up to the same number, plus one, of each other
+// workspace, which approximates the order of Next.
 func (q *fairQueue) Ahead(workspace string, latest time.Time) int {
 	own := 0
 	if lane := q.lanes[workspace]; lane != nil {
--- a/core/request.go
+++ b/core/request.go
@@ -15,18 +15,18 @@
 	claimSettled
 )
 
-// attempt is one attempt in progress at a target.
+// attempt is an attempt in progress at a target.
 type attempt struct {
 	id        proto.AttemptID
 	pool      *pool
 	target    *target
 	startedAt time.Time
-	expected  float64 // seconds, on average
+	expected  float64 // average service time in seconds
 	prefix    string
 	moving    bool
 }
 
-// request is the state of one request; the lock of its shard guards it.
+// request is the state of one request. It is guarded by the lock of its shard.
 type request struct {
 	id         proto.RequestID
 	workspace  string
@@ -52,18 +52,18 @@
 	claim        claimState
 	// possibleStarts counts the attempts that may have started at a target.
 	possibleStarts int
-	// unsafeStarts counts those of them at a stage that may run only once.
+	// unsafeStarts counts those of them at stages that may run only once.
 	unsafeStarts int
 	done         bool
-	// commitment is the work that each stage's pool still counts for this request.
+	// commitments holds the work that the pool of each stage still counts for this request.
 	commitments []commitment
-	// ran says that some stage is known to have run.
+	// ran is set if at least one stage is known to have run.
 	ran         bool
 	hedged      bool
 	exclude     string
 	offset      int
 	text        []byte
-	cacheHandle string // of the KV cache that the next attempt imports
+	cacheHandle string // handle of the KV cache that the next attempt imports
 	lastStatus  AttemptStatus
 	reason      string
 }
@@ -76,7 +76,7 @@
 	return r.stageSpec().MayRepeat(r.pool().kind, r.repeatable)
 }
 
-// runsOnce tells whether some stage of the request may run only once.
+// runsOnce reports whether any stage of the request may run only once.
 func (r *request) runsOnce() bool {
 	for i := range r.service.Stages {
 		if !r.service.Stages[i].MayRepeat(r.pools[i].kind, r.repeatable) {
@@ -88,7 +88,7 @@
 
 func (r *request) isLastStage() bool { return r.stage == len(r.service.Stages)-1 }
 
-// outcome is what is certain about a request that ends without an answer.
+// outcome returns what is known about a request that ends without an answer.
 func (r *request) outcome() proto.Outcome {
 	switch {
 	case r.possibleStarts == 0:
@@ -105,7 +105,7 @@
 	}
 }
 
-// remaining is the expected time from a free target at a stage to the end, without queueing.
+// remaining returns the expected time from a free target at the given stage to the end, without queueing.
 func (e *Engine) remaining(r *request, from int) time.Duration {
 	sum := 0.0
 	for i := from; i < len(r.service.Stages); i++ {
@@ -117,7 +117,7 @@
 	return seconds(sum)
 }
 
-// expectedWork returns the slot time in seconds that each stage takes on average, 0 where that is not learnt yet.
+// expectedWork returns the average slot time of each stage in seconds; 0 where it has not been learned.
 func (e *Engine) expectedWork(r *request) []float64 {
 	works := make([]float64, len(r.pools))
 	for i := range r.pools {
@@ -128,7 +128,7 @@
 	return works
 }
 
-// commitWork notes the request's work with the pools; settle takes off what a stage was promised.
+// commitWork registers the request's work with the pools. releaseCommitment removes the work of one stage.
 func (e *Engine) commitWork(now time.Time, r *request, works []float64) {
 	r.commitments = make([]commitment, len(works))
 	for i, work := range works {
@@ -145,7 +145,7 @@
 	}
 }
 
-// queueDelay is the expected wait in the queues of the stages from one on.
+// queueDelay returns the longest expected wait among the queues from the given stage on.
 func (e *Engine) queueDelay(now time.Time, r *request, from int) time.Duration {
 	longest := time.Duration(0)
 	for i := from; i < len(r.pools); i++ {
--- a/core/result.go
+++ b/core/result.go
@@ -6,7 +6,8 @@
 	"emberlead/proto"
 )
 
-// attemptEnded matches an answer by request, stage and attempt; what matches nothing is dropped and counted.
+// attemptEnded matches an answer by request, stage and attempt number. Answers that match no attempt are dropped and
+// counted.
 func (e *Engine) attemptEnded(t *eventResult, r *request, ev *AttemptEnded) {
 	a := r.attempts[ev.Attempt.Number]
 	if a == nil || a.id != ev.Attempt {
@@ -45,7 +46,7 @@
 	}
 }
 
-// checkedStatus turns a stream that ends before its last token into a broken one.
+// checkedStatus treats a stream that ends before its last token as broken.
 func (e *Engine) checkedStatus(r *request, ev *AttemptEnded) AttemptStatus {
 	if ev.Status == StatusDone && r.stageSpec().Stream && ev.Tokens != r.offset {
 		e.stats.gap()
@@ -123,7 +124,7 @@
 
 func (e *Engine) hasOtherAttempt(r *request) bool { return len(r.attempts) > 0 || r.ticket != nil }
 
-// chunk passes a stream on by offset: what was delivered is dropped, and a gap breaks the attempt.
+// chunk forwards a stream by offset. Text that was already delivered is dropped, and a gap breaks the attempt.
 func (e *Engine) chunk(t *eventResult, r *request, ev *AttemptChunk) {
 	a := r.attempts[ev.Attempt.Number]
 	if a == nil || a.id != ev.Attempt {
@@ -159,7 +160,7 @@
 	return out
 }
 
-// HasRequest tells whether a request is in progress.
+// HasRequest reports whether a request is in progress.
 func (e *Engine) HasRequest(id proto.RequestID) bool {
 	_, ok := e.requests.Get(id)
 	return ok
--- a/core/scenario_test.go
+++ b/core/scenario_test.go
@@ -11,7 +11,7 @@
 	"emberlead/proto"
 )
 
-// scenarioRunner runs decisions step by step; each file in testdata is a scenario and says at its head what it shows.
+// scenarioRunner runs the commands of a scenario file. The head of each file in testdata says what the scenario shows.
 type scenarioRunner struct {
 	engine *Engine
 	now    time.Time
@@ -145,7 +145,7 @@
 	}
 }
 
-// The objective of a file decides what may be spent on attainment: the institute's hedges nothing.
+// The objective of a file limits what may be spent on attainment: with equal weights, nothing is hedged.
 func TestObjectiveLimitsRetriesAndHedges(t *testing.T) {
 	scenarios := []struct {
 		name      string
--- a/core/stats.go
+++ b/core/stats.go
@@ -16,7 +16,7 @@
 	histogramDigits = 2
 )
 
-// WorkspaceStats counts how the requests of a workspace ended.
+// WorkspaceStats counts how the requests of one workspace ended.
 type WorkspaceStats struct {
 	Requests      int64 `json:"asked"`
 	Delivered     int64 `json:"delivered"`
@@ -26,7 +26,7 @@
 	CallerLeft    int64 `json:"callerLeft"`
 }
 
-// Attainment is the part of all requests asked that was delivered within the deadline.
+// Attainment returns the fraction of all requests that was answered within the deadline.
 func (w *WorkspaceStats) Attainment() float64 {
 	if w.Requests == 0 {
 		return 1
@@ -34,7 +34,7 @@
 	return float64(w.OnTime) / float64(w.Requests)
 }
 
-// StageStats is the cost of one stage of one service.
+// StageStats holds the cost of one stage of one service.
 type StageStats struct {
 	Busy     proto.Duration `json:"busy"`
 	Tokens   int64          `json:"tokens"`
@@ -44,16 +44,16 @@
 	Hedges   int64          `json:"hedges"`
 }
 
-// DropStats counts answers that were not delivered because they matched no attempt in progress.
+// DropStats counts answers that were dropped because they matched no attempt in progress, and attempts that were moved.
 type DropStats struct {
 	Late       int64 `json:"late"`
 	Duplicates int64 `json:"duplicates"`
 	Gaps       int64 `json:"gaps"`
-	// Moved counts attempts that went on at another target because of a planned stop.
+	// Moved counts attempts that were continued at another target because of a planned stop.
 	Moved int64 `json:"moved"`
 }
 
-// Stats are the measures of one engine.
+// Stats collects the statistics of an engine.
 type Stats struct {
 	mu                sync.Mutex
 	workspaces        map[string]*WorkspaceStats
@@ -162,7 +162,7 @@
 	})
 }
 
-// LatencySummary gives quantiles of the time from arrival to the whole answer.
+// LatencySummary holds quantiles of the time from arrival to the complete answer.
 type LatencySummary struct {
 	P50 proto.Duration `json:"p50"`
 	P95 proto.Duration `json:"p95"`
@@ -178,7 +178,7 @@
 	}
 }
 
-// Report is a copy of the measures of an engine.
+// Report is a copy of the statistics of an engine.
 type Report struct {
 	Workspaces map[string]WorkspaceStats `json:"workspaces"`
 	Attainment map[string]float64        `json:"attainment"`
@@ -188,7 +188,7 @@
 	FirstToken LatencySummary            `json:"firstToken"`
 }
 
-// Report returns a copy of the measures.
+// Report returns a copy of the statistics.
 func (s *Stats) Report() Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -210,7 +210,7 @@
 	return r
 }
 
-// MergeStages adds the costs of one report to another.
+// MergeStages adds the stage costs of one report to those of another.
 func MergeStages(into, from map[string]StageStats) {
 	for name := range maps.Keys(from) {
 		a, b := into[name], from[name]
--- a/core/status.go
+++ b/core/status.go
@@ -7,7 +7,7 @@
 	"emberlead/proto"
 )
 
-// TargetStatus is how an engine sees a target.
+// TargetStatus is the state of a target as an engine sees it.
 type TargetStatus struct {
 	Target   string  `json:"target"`
 	VM       string  `json:"vm"`
@@ -20,7 +20,7 @@
 	Slowness float64 `json:"slowness"`
 }
 
-// PoolStatus is how an engine sees a pool.
+// PoolStatus is the state of a pool as an engine sees it.
 type PoolStatus struct {
 	Pool    string         `json:"pool"`
 	Kind    proto.PoolKind `json:"kind"`
@@ -28,7 +28,7 @@
 	Targets []TargetStatus `json:"targets"`
 }
 
-// Pools returns how the engine sees its pools, in order of name.
+// Pools returns the state of all pools, sorted by name.
 func (e *Engine) Pools(now time.Time) []PoolStatus {
 	var all []PoolStatus
 	for _, p := range e.allPools() {
--- a/core/stops.go
+++ b/core/stops.go
@@ -6,7 +6,8 @@
 	"emberlead/proto"
 )
 
-// checkStops takes targets on leaving VMs out of service, and moves what would not end before a planned stop.
+// checkStops takes the targets on leaving VMs out of service, and moves attempts that would not end before a planned
+// stop.
 func (e *Engine) checkStops(t *eventResult, lead time.Duration) {
 	leaving := e.leavingFunc(e.snapshot.Load(), t.now, lead)
 	planned := false
@@ -24,7 +25,7 @@
 	})
 }
 
-// moveDue starts to move the attempts that may last beyond the planned stop of their target.
+// moveDue starts to move the attempts that may outlast the planned stop of their target.
 func (e *Engine) moveDue(t *eventResult, r *request, lead time.Duration) {
 	for _, a := range r.attempts {
 		stopAt := a.pool.stopOf(a.target)
@@ -32,7 +33,7 @@
 			continue
 		}
 		if !r.mayRepeat() {
-			// It cannot be run anew; its plan was forced, and it ends or is cut off where it is.
+			// The stage cannot run again. The stop was forced, so the attempt either ends or is cut off at its target.
 			continue
 		}
 		a.moving = true
@@ -53,7 +54,7 @@
 	e.move(t, r, a, ev.Handle)
 }
 
-// move leaves an attempt for another target, which goes on after what the caller already has.
+// move abandons an attempt and continues it at another target, after the part that the caller already has.
 func (e *Engine) move(t *eventResult, r *request, a *attempt, handle string) {
 	delete(r.attempts, a.id.Number)
 	e.abandon(t, r, a)
--- a/core/target.go
+++ b/core/target.go
@@ -18,36 +18,36 @@
 	minLimit             = 1.0
 	reportMaxAge         = 2 * time.Second
 	staleHalfLife        = 2 * time.Second
-	zoneCost             = 0.002 // seconds, both ways to another zone
-	regionCost           = 0.060 // seconds, both ways to another region
+	zoneCost             = 0.002 // seconds, round trip to another zone
+	regionCost           = 0.060 // seconds, round trip to another region
 	maxEjectionDoublings = 6
 	limitGrowth          = 0.05
 	limitBackoff         = 0.85
-	modelLoadCost        = 1.0 // seconds that loading a model costs a request
+	modelLoadCost        = 1.0 // seconds that loading a model adds to a request
 )
 
-// target is one candidate of a pool, as this daemon sees it; the pool's lock guards it.
+// target is a target of a pool as this daemon sees it. It is guarded by the lock of the pool.
 type target struct {
 	spec     proto.Target
 	hash     uint64
 	index    int
 	leaving  bool
-	stopAt   time.Time // of a planned stop, or zero
+	stopAt   time.Time // time of the planned stop, or zero
 	removed  bool
 	inflight int
 
-	others      float64 // other daemons' requests as of the last report
+	others      float64 // requests of other daemons as of the last report
 	reportedAt  time.Time
 	ownAtReport int
 	slots       int
 	models      []string
-	limitFactor float64 // factor below 1 learnt from refusals
+	limitFactor float64 // factor of at most 1, learned from refusals
 
 	failures     int
 	ejections    int
 	ejectedUntil time.Time
 	readmittedAt time.Time
-	slowness     state.Mean // observed over expected service time
+	slowness     state.Mean // ratio of observed to expected service time
 
 	history   [historySize]uint16
 	historyAt int64
@@ -71,7 +71,7 @@
 	return defaultSlots
 }
 
-// limit is how many requests of all daemons the target should have at once.
+// limit returns how many requests of all daemons the target should have at a time.
 func (t *target) limit(now time.Time) float64 {
 	limit := float64(t.capacity()) * t.tuning.Overcommit * t.limitFactor
 	if !t.readmittedAt.IsZero() {
@@ -83,7 +83,7 @@
 	return max(minLimit, limit)
 }
 
-// expected is the estimate of all daemons' requests at the target now.
+// expected estimates the current number of requests of all daemons at the target.
 func (t *target) expected(now time.Time) float64 {
 	others := t.others
 	if age := now.Sub(t.reportedAt); age > reportMaxAge {
@@ -95,7 +95,7 @@
 	return others + float64(t.inflight)
 }
 
-// Available tells whether the target may take one more request.
+// Available reports whether the target may take one more request.
 func (t *target) Available(need *Need) bool {
 	if t.leaving || t.removed || !t.stopAt.IsZero() && need.Deadline.After(t.stopAt) || need.Now.Before(t.ejectedUntil) || t.spec.Name == need.Exclude {
 		return false
@@ -106,7 +106,7 @@
 	return t.inflight == 0 && t.others < float64(t.capacity()) || t.expected(need.Now)+1 <= t.limit(need.Now)
 }
 
-// Outstanding returns the own requests in progress.
+// Outstanding returns the number of this daemon's requests in progress.
 func (t *target) Outstanding() int { return t.inflight }
 
 // ExpectedFinish returns the expected seconds until a request sent now is done.
@@ -141,7 +141,7 @@
 	return modelLoadCost
 }
 
-// Preferred tells whether the target is thought to hold the prefix, or is one of its homes.
+// Preferred reports whether the target is believed to hold the prefix or is a preferred target for it.
 func (t *target) Preferred(need *Need) bool {
 	e := need.entry
 	return e != nil && (e.holders.has(t.index) || e.preferred.has(t.index))
@@ -164,7 +164,8 @@
 	t.record(now)
 }
 
-// attemptEnded takes in the fate of an attempt; ratio is observed over expected service time, or 0 if there was no answer.
+// attemptEnded records the end of an attempt. ratio is observed over expected service time, or 0 if there was no
+// answer.
 func (t *target) attemptEnded(now time.Time, status AttemptStatus, ratio float64) {
 	t.inflight = max(0, t.inflight-1)
 	t.record(now)
@@ -209,7 +210,8 @@
 	t.models = load.Models
 }
 
-// record keeps the own requests in progress for each tenth of a second, so that a late report can be set against its own time.
+// record stores the number of own requests in progress for each tenth of a second, so that a late load report can be
+// compared with the state at its own time.
 func (t *target) record(now time.Time) {
 	at := now.UnixNano() / int64(historyInterval)
 	if t.historyAt == 0 || at-t.historyAt > historySize {
--- a/core/usage.go
+++ b/core/usage.go
@@ -8,7 +8,7 @@
 	"emberlead/state"
 )
 
-// usage is the time that each workspace spent at a pool lately, over all daemons that report.
+// usage is the time that each workspace recently used at a pool, over all daemons that report.
 type usage struct {
 	mu         sync.Mutex
 	halfLife   time.Duration
@@ -16,7 +16,7 @@
 	total      state.DecayingSum
 	weights    map[string]*proto.Workspace
 	unreported map[string]time.Duration
-	models     map[string]time.Duration // by model, since it was last taken
+	models     map[string]time.Duration // by model, since the last takeModels
 }
 
 func newUsage(halfLife time.Duration) *usage {
@@ -53,7 +53,7 @@
 	}
 }
 
-// setWeights takes over the workspaces of a new configuration.
+// setWeights applies the workspaces of a new configuration.
 func (u *usage) setWeights(workspaces map[string]*proto.Workspace) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -67,7 +67,7 @@
 	return 1
 }
 
-// relative is a workspace's use for its weight over that of all active workspaces together; 1 is a fair share.
+// relativeUse returns a workspace's weighted usage divided by that of all active workspaces together; 1 is a fair share.
 func (u *usage) relative(workspace string, now time.Time) float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -83,7 +83,7 @@
 	return d.Value(now, u.halfLife) / u.weight(workspace) / (total / weights)
 }
 
-// takeUnreported returns what this daemon spent since the last call, by workspace.
+// takeUnreported returns the time used by this daemon since the last call, by workspace.
 func (u *usage) takeUnreported() map[string]time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -111,7 +111,7 @@
 
 const negligibleUse = 1e-4
 
-// prune drops the workspaces that spent next to nothing lately, so that memory follows the active ones.
+// prune removes the workspaces with negligible recent usage, so that memory is proportional to the active ones.
 func (u *usage) prune(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
