--- a/coord/alarms.go
+++ b/coord/alarms.go
@@ -10,15 +10,15 @@
 	"emberlead/proto"
 )
 
-// raise tells the links that a daemon has fallen silent, or is heard again.
-func (m *Members) raise(now time.Time, mem *member, silent bool) {
-	m.counts++
-	alarm := proto.Alarm{Subject: mem.alive.VM, Incarnation: mem.alive.Incarnation, Reporter: m.self.VM, Sequence: m.counts, Silent: silent}
+// raiseAlarm tells the links that a daemon has fallen silent, or is heard again.
+func (m *Members) raiseAlarm(now time.Time, mem *member, silent bool) {
+	m.alarmSequence++
+	alarm := proto.Alarm{Subject: mem.alive.VM, Incarnation: mem.alive.Incarnation, Reporter: m.self.VM, Sequence: m.alarmSequence, Silent: silent}
 	mem.alarms[m.self.VM] = alarm
 	if silent {
-		m.alarms++
+		m.alarmCount++
 	}
-	m.passAlarm(now, alarm, m.self.VM)
+	m.forwardAlarm(now, alarm, m.self.VM)
 	m.judge(now, mem)
 }
 
@@ -26,10 +26,10 @@
 func (m *Members) HandleAlarm(now time.Time, a proto.Alarm, from proto.VM) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.alarm(now, a, from)
+	m.handleAlarm(now, a, from)
 }
 
-func (m *Members) alarm(now time.Time, a proto.Alarm, from proto.VM) {
+func (m *Members) handleAlarm(now time.Time, a proto.Alarm, from proto.VM) {
 	if a.Subject == m.self.VM {
 		if a.Silent && a.Incarnation == m.self.Incarnation {
 			m.deny(now, from)
@@ -44,7 +44,7 @@
 		return
 	}
 	mem.alarms[a.Reporter] = a
-	m.passAlarm(now, a, from)
+	m.forwardAlarm(now, a, from)
 	m.judge(now, mem)
 }
 
@@ -64,7 +64,7 @@
 	monitors, alarmed := 0, 0
 	for _, vm := range m.monitors(mem) {
 		other := m.members[vm]
-		if other == nil || other.dead || other.suspect() {
+		if other == nil || other.dead || other.isSuspect() {
 			continue
 		}
 		monitors++
@@ -78,14 +78,14 @@
 	}
 	mem.dead = false
 	if dead {
-		m.bury(now, mem)
+		m.markDead(now, mem)
 	}
-	m.changed()
+	m.invalidateGraph()
 }
 
-// suspect tells whether more than one daemon misses another, which may well be dead: its silence on a third speaks for
+// isSuspect tells whether more than one daemon misses another, which may well be dead: its silence on a third speaks for
 // nothing. When a third of 200 daemons die at once, a quarter of the dead have lost half of those that watch them.
-func (mem *member) suspect() bool {
+func (mem *member) isSuspect() bool {
 	silent := 0
 	for _, a := range mem.alarms {
 		if a.Silent {
@@ -98,7 +98,7 @@
 // monitors are the regional links that the daemon has, or would have if it were alive.
 func (m *Members) monitors(mem *member) []proto.VM {
 	if !mem.dead {
-		return m.ring().regional[mem.alive.VM]
+		return m.linkGraph().regional[mem.alive.VM]
 	}
 	monitors := make([]proto.VM, 0, len(mem.alarms))
 	for vm := range mem.alarms {
@@ -108,20 +108,20 @@
 }
 
 func (m *Members) checkLink(now time.Time, mem *member) {
-	if mem == nil || mem.alarming || !mem.known {
+	if mem == nil || mem.alarming || !mem.announced {
 		return
 	}
 	if mem.lastSeen.IsZero() {
 		mem.lastSeen = now
 	}
-	if now.Sub(m.expectedSince(mem)) > m.timing.SilenceTimeout {
+	if now.Sub(m.silentSince(mem)) > m.timing.SilenceTimeout {
 		mem.alarming = true
-		m.raise(now, mem, true)
+		m.raiseAlarm(now, mem, true)
 	}
 }
 
-// forgive starts all links afresh after a pause of this daemon, which was silent itself and heard nothing.
-func (m *Members) forgive(now time.Time) {
+// resetSilence starts all links afresh after a pause of this daemon, which was silent itself and heard nothing.
+func (m *Members) resetSilence(now time.Time) {
 	m.pausedAt = now
 	for _, mem := range m.members {
 		if !mem.alarming {
@@ -135,16 +135,16 @@
 	// compareAfter is how many heartbeats two daemons may disagree on who is dead before one tells the other what it
 	// knows: word of a death takes a few hops, each well under a heartbeat.
 	compareAfter = 3
-	// compareMost bounds how often that wait doubles while the disagreement stays: the other may not know the daemon.
-	compareMost = 5
+	// maxCompareBackoff bounds how often that wait doubles while the disagreement stays: the other may not know the daemon.
+	maxCompareBackoff = 5
 )
 
 // agreement is how a linked daemon's view of who is dead compares with the own one.
 type agreement struct {
-	// differs is since when they differ, or when this daemon last told the other.
-	differs time.Time
-	theirs  uint64
-	told    int
+	// differsSince is since when they differ, or when this daemon last told the other.
+	differsSince time.Time
+	theirDigest  uint64
+	timesSent    int
 }
 
 // deadDigest is equal at daemons that hold the same runs to be dead.
@@ -158,22 +158,22 @@
 	return digest
 }
 
-// compare makes up for alarms that were lost, such as those that went by way of daemons that died: a linked daemon that
+// compareDeaths makes up for alarms that were lost, such as those that went by way of daemons that died: a linked daemon that
 // goes on holding others to be dead than this one does is told this one's view.
-func (m *Members) compare(now time.Time, mem *member, theirs uint64) {
+func (m *Members) compareDeaths(now time.Time, mem *member, theirDigest uint64) {
 	a := &mem.agreement
-	if theirs == m.digest {
+	if theirDigest == m.deadDigestSent {
 		*a = agreement{}
 		return
 	}
-	if a.differs.IsZero() || a.theirs != theirs {
-		*a = agreement{differs: now, theirs: theirs}
+	if a.differsSince.IsZero() || a.theirDigest != theirDigest {
+		*a = agreement{differsSince: now, theirDigest: theirDigest}
 		return
 	}
-	if now.Sub(a.differs) < compareAfter*m.timing.HeartbeatInterval<<a.told {
+	if now.Sub(a.differsSince) < compareAfter*m.timing.HeartbeatInterval<<a.timesSent {
 		return
 	}
-	a.differs, a.told = now, min(compareMost, a.told+1)
+	a.differsSince, a.timesSent = now, min(maxCompareBackoff, a.timesSent+1)
 	m.peers.Send(mem.alive.VM, m.deaths())
 }
 
@@ -204,13 +204,13 @@
 		if slices.Contains(links, run.VM) && now.Sub(mem.lastSeen) < m.timing.SilenceTimeout {
 			continue
 		}
-		m.bury(now, mem)
+		m.markDead(now, mem)
 		news.Runs = append(news.Runs, run)
 	}
 	if len(news.Runs) == 0 {
 		return
 	}
-	m.changed()
+	m.invalidateGraph()
 	for _, vm := range m.links() {
 		if vm != from {
 			m.peers.Send(vm, news)
@@ -218,7 +218,7 @@
 	}
 }
 
-func (m *Members) bury(now time.Time, mem *member) {
+func (m *Members) markDead(now time.Time, mem *member) {
 	mem.dead = true
 	mem.deadAt = now
 	m.deathCount++
@@ -235,7 +235,7 @@
 		return
 	}
 	// Each daemon begins at another, so that together they ask all of them soon.
-	run := dead[(m.beats/probeEvery+xxhash.Sum64String(string(m.self.VM)))%uint64(len(dead))]
-	m.counts++
-	m.peers.Send(run.VM, proto.Alarm{Subject: run.VM, Incarnation: run.Incarnation, Reporter: m.self.VM, Sequence: m.counts, Silent: true})
+	run := dead[(m.heartbeatCount/probeEvery+xxhash.Sum64String(string(m.self.VM)))%uint64(len(dead))]
+	m.alarmSequence++
+	m.peers.Send(run.VM, proto.Alarm{Subject: run.VM, Incarnation: run.Incarnation, Reporter: m.self.VM, Sequence: m.alarmSequence, Silent: true})
 }
--- a/coord/alarms_test.go
+++ b/coord/alarms_test.go
@@ -16,49 +16,49 @@
 	}
 }
 
-// lively returns the messages that were sent a second by each daemon that is not gone.
-func (s *meshSim) lively(length time.Duration) float64 {
+// messageRate returns the messages that were sent a second by each daemon that is not gone.
+func (s *meshSim) messageRate(duration time.Duration) float64 {
 	before := s.sent
-	s.run(length)
+	s.run(duration)
 	live := 0
-	for _, vm := range s.order {
-		if !s.gone(vm) {
+	for _, vm := range s.vms {
+		if !s.isDown(vm) {
 			live++
 		}
 	}
-	return float64(s.sent-before) / length.Seconds() / float64(live)
+	return float64(s.sent-before) / duration.Seconds() / float64(live)
 }
 
-// wronglyDead returns how many pairs there are of which one daemon holds the other, which lives, to be dead.
-func (s *meshSim) wronglyDead() int {
+// falseDeaths returns how many pairs there are of which one daemon holds the other, which lives, to be dead.
+func (s *meshSim) falseDeaths() int {
 	wrong := 0
-	for _, vm := range s.order {
-		if !s.gone(vm) {
-			dead, _ := s.holdDead(vm)
+	for _, vm := range s.vms {
+		if !s.isDown(vm) {
+			dead, _ := s.countDead(vm)
 			wrong += dead
 		}
 	}
 	return wrong
 }
 
-// TestManyDeathsDoNotFloodTheLinks has a third of the daemons die at once: the rings close around them, and daemons
+// TestMassDeathDoesNotFloodLinks has a third of the daemons die at once: the rings close around them, and daemons
 // that had no link before have one then. That they have not heard each other yet is no silence.
-func TestManyDeathsDoNotFloodTheLinks(t *testing.T) {
+func TestMassDeathDoesNotFloodLinks(t *testing.T) {
 	for _, daemons := range []int{30, 74, 200} {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
 			s := newMesh(daemons, 1, 4, quickTiming())
 			s.run(5 * time.Second)
-			calm := s.lively(5 * time.Second)
+			calm := s.messageRate(5 * time.Second)
 			for i := range daemons / 3 {
-				s.dead[s.order[i*3]] = true
+				s.dead[s.vms[i*3]] = true
 			}
 			s.run(4 * time.Second)
-			after := s.lively(5 * time.Second)
-			if wrong := s.wronglyDead(); wrong > 0 {
+			after := s.messageRate(5 * time.Second)
+			if wrong := s.falseDeaths(); wrong > 0 {
 				t.Errorf("%d times a live daemon is held dead", wrong)
 			}
 			for vm := range s.dead {
-				if dead, live := s.holdDead(vm); dead < live {
+				if dead, live := s.countDead(vm); dead < live {
 					t.Errorf("%s is dead, and %d of %d know", vm, dead, live)
 				}
 			}
@@ -70,105 +70,105 @@
 	}
 }
 
-// TestManyDeathsAreKnownSoon has a third of 200 daemons die at once, when a quarter of those have lost half of their
+// TestMassDeathIsDetectedQuickly has a third of 200 daemons die at once, when a quarter of those have lost half of their
 // monitors. Within a silence, a link's first silence after that and what news takes, nine pairs in ten know.
-func TestManyDeathsAreKnownSoon(t *testing.T) {
+func TestMassDeathIsDetectedQuickly(t *testing.T) {
 	const daemons = 200
 	s := newMesh(daemons, 1, 4, quickTiming())
 	s.run(5 * time.Second)
 	for i := range daemons / 3 {
-		s.dead[s.order[i*3]] = true
+		s.dead[s.vms[i*3]] = true
 	}
-	s.run(2*s.timing.SilenceTimeout + 2*s.timing.HeartbeatInterval/gatherPart)
-	unknowing, pairs := 0, 0
+	s.run(2*s.timing.SilenceTimeout + 2*s.timing.HeartbeatInterval/batchesPerHeartbeat)
+	unaware, pairs := 0, 0
 	for vm := range s.dead {
-		dead, live := s.holdDead(vm)
-		unknowing += live - dead
+		dead, live := s.countDead(vm)
+		unaware += live - dead
 		pairs += live
 	}
-	if wrong := s.wronglyDead(); wrong > 0 {
+	if wrong := s.falseDeaths(); wrong > 0 {
 		t.Errorf("%d times a live daemon is held dead", wrong)
 	}
-	t.Logf("%d of %d pairs do not know", unknowing, pairs)
-	if unknowing*10 > pairs {
-		t.Errorf("%d of %d pairs of a live daemon and a dead one do not know of the death", unknowing, pairs)
+	t.Logf("%d of %d pairs do not know", unaware, pairs)
+	if unaware*10 > pairs {
+		t.Errorf("%d of %d pairs of a live daemon and a dead one do not know of the death", unaware, pairs)
 	}
 }
 
-// TestANewLinkIsNotSilent has one daemon die: no daemon raises an alarm about one that it has just been linked to.
-func TestANewLinkIsNotSilent(t *testing.T) {
+// TestNewLinkIsNotReportedSilent has one daemon die: no daemon raises an alarm about one that it has just been linked to.
+func TestNewLinkIsNotReportedSilent(t *testing.T) {
 	s := newMesh(74, 1, 4, quickTiming())
 	s.run(5 * time.Second)
 	s.dead["vm-7"] = true
 	s.run(10 * time.Second)
 	alarms := int64(0)
-	for _, vm := range s.order {
+	for _, vm := range s.vms {
 		alarms += s.members[vm].Counts().Alarms
 	}
-	if most := int64(2 * DefaultRings().Region); alarms > most {
-		t.Errorf("%d alarms about one death that at most %d daemons can notice", alarms, most)
+	if limit := int64(2 * DefaultRings().Region); alarms > limit {
+		t.Errorf("%d alarms about one death that at most %d daemons can notice", alarms, limit)
 	}
 }
 
-// TestADaemonAnnouncesItselfToWhomItMeets starts a daemon that learns of another from a list, which does not know it.
-func TestADaemonAnnouncesItselfToWhomItMeets(t *testing.T) {
+// TestDaemonAnnouncesItselfOverNewLink starts a daemon that learns of another from a list, which does not know it.
+func TestDaemonAnnouncesItselfOverNewLink(t *testing.T) {
 	s := &meshSim{
 		now: time.Unix(1_700_000_000, 0), members: map[proto.VM]*Members{}, zone: map[proto.VM]proto.Zone{"old": "r/z", "new": "r/z"},
-		order: []proto.VM{"old"}, dead: map[proto.VM]bool{}, paused: map[proto.VM]bool{}, timing: quickTiming(),
-		cut: func(proto.VM, proto.VM) bool { return false },
+		vms: []proto.VM{"old"}, dead: map[proto.VM]bool{}, paused: map[proto.VM]bool{}, timing: quickTiming(),
+		isCut: func(proto.VM, proto.VM) bool { return false },
 	}
 	s.start("old", 1)
 	s.run(time.Second)
-	s.order = append(s.order, "new")
+	s.vms = append(s.vms, "new")
 	s.start("new", 1)
 	s.members["new"].HandleAlive(s.now, proto.Alive{VM: "old", Zone: "r/z", Incarnation: 1, Sequence: 10}, "")
 	s.run(600 * time.Millisecond)
-	for _, vm := range s.order {
+	for _, vm := range s.vms {
 		if live := len(s.members[vm].Live()); live != 2 {
 			t.Errorf("%s knows %d daemons", vm, live)
 		}
 	}
 }
 
-// TestTwoPartsThatWereCutOffMeetAgain cuts the daemons in two until each part holds the other to be dead.
-func TestTwoPartsThatWereCutOffMeetAgain(t *testing.T) {
+// TestPartitionHeals cuts the daemons in two until each part holds the other to be dead.
+func TestPartitionHeals(t *testing.T) {
 	for _, daemons := range []int{6, 74} {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
 			s := newMesh(daemons, 1, 4, quickTiming())
 			s.run(5 * time.Second)
 			half := map[proto.VM]bool{}
-			for i, vm := range s.order {
+			for i, vm := range s.vms {
 				half[vm] = i < daemons/2
 			}
-			s.cut = func(a, b proto.VM) bool { return half[a] != half[b] }
+			s.isCut = func(a, b proto.VM) bool { return half[a] != half[b] }
 			s.run(6 * time.Second)
-			if s.wronglyDead() == 0 {
+			if s.falseDeaths() == 0 {
 				t.Fatal("the parts do not hold each other to be dead, so nothing is tested")
 			}
-			s.cut = func(proto.VM, proto.VM) bool { return false }
+			s.isCut = func(proto.VM, proto.VM) bool { return false }
 			s.run(6 * time.Second)
-			if wrong := s.wronglyDead(); wrong > 0 {
+			if wrong := s.falseDeaths(); wrong > 0 {
 				t.Errorf("%d times a live daemon is held dead", wrong)
 			}
 		})
 	}
 }
 
-// TestAllDaemonsStartTogether starts all of them anew, each with the addresses of three.
-func TestAllDaemonsStartTogether(t *testing.T) {
+// TestSimultaneousStart starts all of them anew, each with the addresses of three.
+func TestSimultaneousStart(t *testing.T) {
 	const daemons = 150
 	s := newMesh(daemons, 1, 4, quickTiming())
 	s.run(3 * time.Second)
 	s.queue = nil
-	for _, vm := range s.order {
+	for _, vm := range s.vms {
 		s.start(vm, 2)
-		for _, seed := range s.order[:3] {
+		for _, seed := range s.vms[:3] {
 			s.members[vm].HandleAlive(s.now, proto.Alive{VM: seed, Zone: s.zone[seed], Incarnation: 2, Sequence: 1}, "")
 		}
 	}
 	s.sent = 0
 	s.run(5 * time.Second)
-	for _, vm := range s.order {
+	for _, vm := range s.vms {
 		if live := len(s.members[vm].Live()); live != daemons {
 			t.Errorf("%s knows %d of %d daemons after five seconds", vm, live, daemons)
 		}
--- a/coord/apply.go
+++ b/coord/apply.go
@@ -14,13 +14,13 @@
 
 // Rows of the table service.
 const (
-	rowHead    = "config/head"
-	rowFile    = "config/file/"
-	rowStop    = "config/stop/"
-	rowLog     = "config/log/"
-	keptLog    = 1000
-	listPage   = 500
-	applyTries = 8
+	rowHead          = "config/head"
+	rowFile          = "config/file/"
+	rowStop          = "config/stop/"
+	rowLog           = "config/log/"
+	maxLogRows       = 1000
+	listPage         = 500
+	maxApplyAttempts = 8
 )
 
 func logRow(g proto.Generation) string { return fmt.Sprintf("%s%016d", rowLog, g) }
@@ -61,24 +61,24 @@
 		return err
 	}
 	own := c.Generation()
-	if head > own && (own == 0 || head-own >= keptLog || !s.follow(ctx, c)) {
-		if err := s.whole(ctx, c); err != nil {
+	if head > own && (own == 0 || head-own >= maxLogRows || !s.followLog(ctx, c)) {
+		if err := s.readFull(ctx, c); err != nil {
 			return err
 		}
 	}
-	c.Learnt(head)
+	c.MarkSynced(head)
 	return nil
 }
 
-// follow reads the log from the copy's generation on; it returns false if the log has a gap there.
-func (s *ConfigStore) follow(ctx context.Context, c *ConfigState) bool {
+// followLog reads the log from the copy's generation on; it returns false if the log has a gap there.
+func (s *ConfigStore) followLog(ctx context.Context, c *ConfigState) bool {
 	for {
 		list, err := s.platform.List(ctx, rowLog, logRow(c.Generation()), listPage)
 		if err != nil {
 			return false
 		}
-		changes, err := s.bodies(ctx, list.Rows)
-		if err != nil || !c.Take(changes) {
+		changes, err := s.decodeChanges(ctx, list.Rows)
+		if err != nil || !c.ApplyChanges(changes) {
 			return false
 		}
 		if !list.More {
@@ -87,7 +87,7 @@
 	}
 }
 
-func (s *ConfigStore) bodies(ctx context.Context, rows []proto.Row) ([]proto.Change, error) {
+func (s *ConfigStore) decodeChanges(ctx context.Context, rows []proto.Row) ([]proto.Change, error) {
 	changes := make([]proto.Change, 0, len(rows))
 	for _, row := range rows {
 		var change proto.Change
@@ -106,14 +106,14 @@
 	return changes, nil
 }
 
-// whole reads the state between two equal reads of the head, so that it is of one generation.
-func (s *ConfigStore) whole(ctx context.Context, c *ConfigState) error {
-	for range applyTries {
+// readFull reads the state between two equal reads of the head, so that it is of one generation.
+func (s *ConfigStore) readFull(ctx context.Context, c *ConfigState) error {
+	for range maxApplyAttempts {
 		before, version, err := s.Head(ctx)
 		if err != nil {
 			return err
 		}
-		changes, err := s.all(ctx)
+		changes, err := s.readAll(ctx)
 		if err != nil {
 			return err
 		}
@@ -122,16 +122,16 @@
 			return err
 		}
 		if version == after {
-			if !c.TakeWhole(before, changes) {
+			if !c.ApplyFull(before, changes) {
 				return newError("read configuration", proto.KindInvalid, "generation %d in the store cannot be read", before)
 			}
 			return nil
 		}
 	}
-	return newError("read configuration", proto.KindUnavailable, "it changed at each of %d reads", applyTries)
+	return newError("read configuration", proto.KindUnavailable, "it changed at each of %d reads", maxApplyAttempts)
 }
 
-func (s *ConfigStore) all(ctx context.Context) ([]proto.Change, error) {
+func (s *ConfigStore) readAll(ctx context.Context) ([]proto.Change, error) {
 	var all []proto.Change
 	for _, prefix := range []string{rowFile, rowStop} {
 		after := ""
@@ -140,7 +140,7 @@
 			if err != nil {
 				return nil, err
 			}
-			changes, err := s.bodies(ctx, list.Rows)
+			changes, err := s.decodeChanges(ctx, list.Rows)
 			if err != nil {
 				return nil, err
 			}
@@ -190,7 +190,7 @@
 	}
 	change := proto.Change{
 		Kind: proto.ChangeFile, Name: file.Name, Hash: HashOf(req.Body),
-		ApplyID: cmpOr(req.ApplyID, uuid.NewString()), By: req.By, At: s.clock.Now(), Body: req.Body,
+		ApplyID: orDefault(req.ApplyID, uuid.NewString()), By: req.By, At: s.clock.Now(), Body: req.Body,
 	}
 	if err := s.platform.Put(ctx, change.Hash, req.Body); err != nil {
 		return ApplyResult{}, &Error{Op: "apply", Kind: proto.KindUnavailable, Err: err}
@@ -209,7 +209,7 @@
 	})
 }
 
-func cmpOr(a, b string) string {
+func orDefault(a, b string) string {
 	if a != "" {
 		return a
 	}
@@ -232,7 +232,7 @@
 // PlanStop plans or cancels a stop; pools that it would leave without a target are faults unless the plan is forced.
 func (s *ConfigStore) PlanStop(ctx context.Context, c *ConfigState, plan proto.StopPlan, by string) (ApplyResult, error) {
 	change := proto.Change{
-		Kind: proto.ChangeStop, Name: string(plan.VM), ApplyID: cmpOr(plan.ID, uuid.NewString()),
+		Kind: proto.ChangeStop, Name: string(plan.VM), ApplyID: orDefault(plan.ID, uuid.NewString()),
 		By: by, At: s.clock.Now(), Stop: &plan,
 	}
 	return s.change(ctx, c, change, rowStop+string(plan.VM), func(row *proto.Change, snapshot *proto.Snapshot) *ApplyResult {
@@ -254,7 +254,7 @@
 
 // change writes one change; check sees the newest state and can end the change before it is written.
 func (s *ConfigStore) change(ctx context.Context, c *ConfigState, change proto.Change, key string, check func(*proto.Change, *proto.Snapshot) *ApplyResult) (ApplyResult, error) {
-	for range applyTries {
+	for range maxApplyAttempts {
 		if err := s.CatchUp(ctx, c); err != nil {
 			return ApplyResult{}, &Error{Op: "apply", Kind: proto.KindUnavailable, Err: err}
 		}
@@ -266,7 +266,7 @@
 		if snapshot.Generation != head {
 			continue
 		}
-		row, rowVersion, err := s.changeAt(ctx, key)
+		row, rowVersion, err := s.readChange(ctx, key)
 		if err != nil {
 			return ApplyResult{}, &Error{Op: "apply", Kind: proto.KindUnavailable, Err: err}
 		}
@@ -280,19 +280,19 @@
 		err = s.platform.Transact(ctx, transaction(change, key, headVersion, rowVersion))
 		switch proto.KindOf(err) {
 		case "":
-			c.Take([]proto.Change{change})
+			c.ApplyChanges([]proto.Change{change})
 			return ApplyResult{Generation: change.Generation, ApplyID: change.ApplyID}, nil
 		case proto.KindConflict:
 			continue
 		case proto.KindUnknown:
-			return s.settle(ctx, c, change, headVersion)
+			return s.resolveUnknown(ctx, c, change, headVersion)
 		}
 		return ApplyResult{}, &Error{Op: "apply", Kind: proto.KindUnavailable, Err: err}
 	}
-	return ApplyResult{}, newError("apply", proto.KindUnavailable, "others changed the configuration at each of %d tries", applyTries)
+	return ApplyResult{}, newError("apply", proto.KindUnavailable, "others changed the configuration at each of %d tries", maxApplyAttempts)
 }
 
-func (s *ConfigStore) changeAt(ctx context.Context, key string) (*proto.Change, uint64, error) {
+func (s *ConfigStore) readChange(ctx context.Context, key string) (*proto.Change, uint64, error) {
 	row, err := s.platform.Read(ctx, key)
 	if err != nil || row.Version == 0 {
 		return nil, 0, err
@@ -321,21 +321,21 @@
 		Conditions: []proto.Condition{{Key: rowHead, Version: headVersion}, {Key: key, Version: rowVersion}},
 		Writes:     []proto.Write{{Key: rowHead, Value: head}, {Key: key, Value: row}, {Key: logRow(change.Generation), Value: value}},
 	}
-	if change.Generation > keptLog {
-		tx.Writes = append(tx.Writes, proto.Write{Key: logRow(change.Generation - keptLog)})
+	if change.Generation > maxLogRows {
+		tx.Writes = append(tx.Writes, proto.Write{Key: logRow(change.Generation - maxLogRows)})
 	}
 	return tx
 }
 
-const maxDiff = 20
+const maxDiffLines = 20
 
 // diffLines names the lines that stand in only one of two files.
-func diffLines(old, fresh []byte) []string {
+func diffLines(old, updated []byte) []string {
 	var diff []string
-	diff = append(diff, onlyIn("- ", string(old), string(fresh))...)
-	diff = append(diff, onlyIn("+ ", string(fresh), string(old))...)
-	if len(diff) > maxDiff {
-		diff = append(diff[:maxDiff], "...")
+	diff = append(diff, onlyIn("- ", string(old), string(updated))...)
+	diff = append(diff, onlyIn("+ ", string(updated), string(old))...)
+	if len(diff) > maxDiffLines {
+		diff = append(diff[:maxDiffLines], "...")
 	}
 	return diff
 }
--- a/coord/bench_test.go
+++ b/coord/bench_test.go
@@ -10,7 +10,7 @@
 	"emberlead/state"
 )
 
-func heapOf(build func() any) float64 {
+func heapGrowth(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -21,7 +21,7 @@
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-func encoded(b *testing.B, m proto.Message) float64 {
+func encodedSize(b *testing.B, m proto.Message) float64 {
 	b.Helper()
 	data, err := proto.Encode(m, 0, false, "")
 	if err != nil {
@@ -30,8 +30,8 @@
 	return float64(len(data))
 }
 
-// oneOf returns the members of one daemon that knows n others.
-func oneOf(n int) (*Members, *meshSim) {
+// newMembers returns the members of one daemon that knows n others.
+func newMembers(n int) (*Members, *meshSim) {
 	s := &meshSim{now: time.Unix(1_700_000_000, 0), members: map[proto.VM]*Members{}, zone: map[proto.VM]proto.Zone{}, timing: DefaultMemberTiming()}
 	list := proto.VMList{}
 	for i := range n {
@@ -52,7 +52,7 @@
 func BenchmarkMembers(b *testing.B) {
 	for _, n := range []int{8, 60, 400, 2000} {
 		b.Run(fmt.Sprintf("peers=%d", n), func(b *testing.B) {
-			m, s := oneOf(n)
+			m, s := newMembers(n)
 			links := m.Links()
 			beat := proto.Heartbeat{Incarnation: 1_700_000_000_000, Generation: 60_000, Roster: 4000}
 			now := s.now
@@ -67,7 +67,7 @@
 				s.queue = s.queue[:0]
 			}
 			b.ReportMetric(float64(len(links)), "links")
-			b.ReportMetric(encoded(b, beat), "beatBytes")
+			b.ReportMetric(encodedSize(b, beat), "beatBytes")
 		})
 	}
 }
@@ -76,8 +76,8 @@
 	for _, n := range []int{8, 60, 400, 2000} {
 		b.Run(fmt.Sprintf("peers=%d", n), func(b *testing.B) {
 			for b.Loop() {
-				b.ReportMetric(heapOf(func() any {
-					m, s := oneOf(n)
+				b.ReportMetric(heapGrowth(func() any {
+					m, s := newMembers(n)
 					s.queue = nil
 					return m
 				}), "heapBytes")
@@ -90,9 +90,9 @@
 func BenchmarkRing(b *testing.B) {
 	for _, n := range []int{8, 60, 400, 2000} {
 		b.Run(fmt.Sprintf("peers=%d", n), func(b *testing.B) {
-			m, _ := oneOf(n)
+			m, _ := newMembers(n)
 			for b.Loop() {
-				m.changed()
+				m.invalidateGraph()
 				m.Links()
 			}
 		})
@@ -106,7 +106,7 @@
 			c := NewConfigState(nil)
 			take := func(g int, name string) {
 				body := fileBody(name, g%100)
-				c.Take([]proto.Change{{Generation: proto.Generation(g), Kind: proto.ChangeFile, Name: name, Hash: HashOf(body), Body: body}})
+				c.ApplyChanges([]proto.Change{{Generation: proto.Generation(g), Kind: proto.ChangeFile, Name: name, Hash: HashOf(body), Body: body}})
 			}
 			whole := make([]proto.Change, 0, n)
 			for i := range n {
@@ -114,7 +114,7 @@
 				body := fileBody(name, 1)
 				whole = append(whole, proto.Change{Generation: proto.Generation(i + 1), Kind: proto.ChangeFile, Name: name, Hash: HashOf(body), Body: body})
 			}
-			if !c.TakeWhole(proto.Generation(n), whole) {
+			if !c.ApplyFull(proto.Generation(n), whole) {
 				b.Fatal("the files were refused")
 			}
 			g := n
@@ -122,7 +122,7 @@
 				g++
 				take(g, "f1")
 			}
-			b.ReportMetric(encoded(b, proto.ChangesAnswer{Changes: []proto.Change{c.recent[len(c.recent)-1]}}), "changeBytes")
+			b.ReportMetric(encodedSize(b, proto.ChangesAnswer{Changes: []proto.Change{c.recent[len(c.recent)-1]}}), "changeBytes")
 		})
 	}
 }
@@ -131,7 +131,7 @@
 	for _, n := range []int{5, 60, 600, 6600} {
 		b.Run(fmt.Sprintf("files=%d", n), func(b *testing.B) {
 			for b.Loop() {
-				b.ReportMetric(heapOf(func() any {
+				b.ReportMetric(heapGrowth(func() any {
 					c := NewConfigState(nil)
 					var whole []proto.Change
 					for i := range n {
@@ -139,7 +139,7 @@
 						body := fileBody(name, 1)
 						whole = append(whole, proto.Change{Generation: proto.Generation(i + 1), Kind: proto.ChangeFile, Name: name, Hash: HashOf(body), Body: body})
 					}
-					c.TakeWhole(proto.Generation(n), whole)
+					c.ApplyFull(proto.Generation(n), whole)
 					return c
 				}), "heapBytes")
 			}
@@ -156,7 +156,7 @@
 	for _, n := range []int{1000, 10_000, 100_000, 400_000} {
 		b.Run(fmt.Sprintf("keys=%d", n), func(b *testing.B) {
 			now := time.Unix(1_700_000_000, 0)
-			l := state.NewLedger(time.Hour, 1<<30)
+			l := state.NewClaimStore(time.Hour, 1<<30)
 			claim := proto.ClaimID{Holder: "entry-1", Incarnation: 1}
 			for i := range n {
 				l.Claim(benchKey(i, now), 1, claim)
@@ -169,9 +169,9 @@
 				l.Settle(key, claim, true, nil)
 			}
 			ask := proto.ClaimAsk{Slot: 700, Since: 4000, Key: benchKey(1, now), Fingerprint: 1 << 60, Claim: claim}
-			b.ReportMetric(encoded(b, ask), "askBytes")
-			b.ReportMetric(encoded(b, proto.ClaimAnswer{Result: proto.ClaimGranted, Since: 4000, Roster: 4000}), "answerBytes")
-			b.ReportMetric(encoded(b, proto.Settle{Slot: 700, Key: benchKey(1, now), Claim: claim, Released: true}), "settleBytes")
+			b.ReportMetric(encodedSize(b, ask), "askBytes")
+			b.ReportMetric(encodedSize(b, proto.ClaimAnswer{Result: proto.ClaimGranted, Since: 4000, Roster: 4000}), "answerBytes")
+			b.ReportMetric(encodedSize(b, proto.Settle{Slot: 700, Key: benchKey(1, now), Claim: claim, Released: true}), "settleBytes")
 		})
 	}
 }
@@ -181,8 +181,8 @@
 		b.Run(fmt.Sprintf("keys=%d", n), func(b *testing.B) {
 			now := time.Unix(1_700_000_000, 0)
 			for b.Loop() {
-				b.ReportMetric(heapOf(func() any {
-					l := state.NewLedger(time.Hour, 1<<30)
+				b.ReportMetric(heapGrowth(func() any {
+					l := state.NewClaimStore(time.Hour, 1<<30)
 					for i := range n {
 						l.Claim(benchKey(i, now), 1, proto.ClaimID{Holder: "entry-1", Incarnation: 1})
 					}
@@ -197,7 +197,7 @@
 func BenchmarkUsageRow(b *testing.B) {
 	for _, n := range []int{5, 60, 600, 6600} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
-			u := NewUsageSums()
+			u := NewUsageTotals()
 			now := time.Unix(1_700_000_000, 0)
 			rows := make([]proto.UsageRow, n)
 			for i := range rows {
@@ -208,7 +208,7 @@
 				u.Add(now, "entry-1", rows[i%n:i%n+1])
 				i++
 			}
-			b.ReportMetric(encoded(b, proto.Usage{Rows: rows})/float64(n), "rowBytes")
+			b.ReportMetric(encodedSize(b, proto.Usage{Rows: rows})/float64(n), "rowBytes")
 		})
 	}
 }
@@ -227,7 +227,7 @@
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(encoded(b, loads)/float64(n), "rowBytes")
+			b.ReportMetric(encodedSize(b, loads)/float64(n), "rowBytes")
 		})
 	}
 }
@@ -236,7 +236,7 @@
 func BenchmarkOwner(b *testing.B) {
 	for _, n := range []int{8, 75, 300, 2000} {
 		b.Run(fmt.Sprintf("peers=%d", n), func(b *testing.B) {
-			m, _ := oneOf(n)
+			m, _ := newMembers(n)
 			b.ReportAllocs()
 			for b.Loop() {
 				m.Owner("batch/some-pool", func(proto.VM) bool { return false })
--- a/coord/claim.go
+++ b/coord/claim.go
@@ -29,11 +29,11 @@
 	return &Round{size: size, answers: map[proto.VM]proto.ClaimAnswer{}}
 }
 
-// Take counts an answer; a second one of the same replica replaces the first.
-func (r *Round) Take(from proto.VM, answer proto.ClaimAnswer) { r.answers[from] = answer }
+// AddAnswer counts an answer; a second one of the same replica replaces the first.
+func (r *Round) AddAnswer(from proto.VM, answer proto.ClaimAnswer) { r.answers[from] = answer }
 
-// Fail counts a replica that could not be asked.
-func (r *Round) Fail() { r.failures++ }
+// AddFailure counts a replica that could not be asked.
+func (r *Round) AddFailure() { r.failures++ }
 
 func (r *Round) count(result proto.ClaimResult) int {
 	n := 0
@@ -50,7 +50,7 @@
 
 // Decisions of a round.
 const (
-	DecisionOpen Decision = iota
+	DecisionPending Decision = iota
 	DecisionGranted
 	DecisionTaken
 	DecisionDone
@@ -76,7 +76,7 @@
 	case r.count(proto.ClaimTooNew) > 0:
 		return DecisionTooNew
 	case r.count(proto.ClaimGranted)+r.size-len(r.answers)-r.failures >= majority:
-		return DecisionOpen
+		return DecisionPending
 	case r.count(proto.ClaimStale) > 0:
 		return DecisionStale
 	case r.count(proto.ClaimTaken) > 0:
@@ -85,8 +85,8 @@
 	return DecisionUnreachable
 }
 
-// newer returns a replica that has a newer roster than the asker.
-func (r *Round) newer() (proto.VM, bool) {
+// newerReplica returns a replica that has a newer roster than the asker.
+func (r *Round) newerReplica() (proto.VM, bool) {
 	for from, answer := range r.answers {
 		if answer.Result == proto.ClaimStale {
 			return from, true
@@ -106,31 +106,31 @@
 }
 
 const (
-	claimRounds = 3
-	claimPause  = 30 * time.Millisecond
+	claimRounds     = 3
+	claimRetryDelay = 30 * time.Millisecond
 )
 
 // Claimer claims keys for the requests of one daemon.
 type Claimer struct {
-	self   proto.RosterMember
-	roster func() proto.Roster
-	local  *Replica
-	peers  Peers
-	clock  clockwork.Clock
-	timing ClaimTiming
+	self         proto.RosterMember
+	roster       func() proto.Roster
+	localReplica *Replica
+	peers        Peers
+	clock        clockwork.Clock
+	timing       ClaimTiming
 	// refresh gets a newer roster from a daemon that has one.
 	refresh func(ctx context.Context, from proto.VM)
 	// dead tells whether a run of a daemon looks dead.
 	dead func(proto.VM, proto.Incarnation) bool
 
-	mu     sync.Mutex
-	random *rand.Rand
-	tries  int
-	groups map[proto.RequestID]claimed
-	failed map[int]time.Time // when a slot's group last gave no answer
+	mu         sync.Mutex
+	random     *rand.Rand
+	attempts   int
+	heldClaims map[proto.RequestID]heldClaim
+	failedAt   map[int]time.Time // when a slot's group last gave no answer
 }
 
-type claimed struct {
+type heldClaim struct {
 	slot  int
 	group []proto.RosterMember
 	claim proto.ClaimID
@@ -139,9 +139,9 @@
 // NewClaimer returns a claimer that asks the groups of the replica's roster.
 func NewClaimer(self proto.RosterMember, local *Replica, peers Peers, clock clockwork.Clock, timing ClaimTiming, refresh func(context.Context, proto.VM), dead func(proto.VM, proto.Incarnation) bool) *Claimer {
 	return &Claimer{
-		self: self, roster: local.Roster, local: local, peers: peers, clock: clock, timing: timing, refresh: refresh, dead: dead,
-		random: rand.New(rand.NewPCG(xxhash.Sum64String(string(self.VM)), uint64(self.Incarnation))),
-		groups: map[proto.RequestID]claimed{}, failed: map[int]time.Time{},
+		self: self, roster: local.Roster, localReplica: local, peers: peers, clock: clock, timing: timing, refresh: refresh, dead: dead,
+		random:     rand.New(rand.NewPCG(xxhash.Sum64String(string(self.VM)), uint64(self.Incarnation))),
+		heldClaims: map[proto.RequestID]heldClaim{}, failedAt: map[int]time.Time{},
 	}
 }
 
@@ -157,19 +157,19 @@
 		select {
 		case <-ctx.Done():
 			return DecisionUnreachable, nil
-		case <-c.clock.After(c.pause()):
+		case <-c.clock.After(c.retryDelay()):
 		}
 	}
 	return DecisionUnreachable, nil
 }
 
-func (c *Claimer) pause() time.Duration {
+func (c *Claimer) retryDelay() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return claimPause/2 + time.Duration(c.random.Int64N(int64(claimPause)))
+	return claimRetryDelay/2 + time.Duration(c.random.Int64N(int64(claimRetryDelay)))
 }
 
-type reply struct {
+type groupReply struct {
 	from   proto.VM
 	answer proto.ClaimAnswer
 	err    error
@@ -183,34 +183,34 @@
 	index := SlotOf(key, len(roster.Slots))
 	slot := roster.Slots[index]
 	ask := proto.ClaimAsk{Slot: index, Since: slot.Since, Key: key, Fingerprint: fingerprint, Claim: c.claimID(request)}
-	ctx, cancel := context.WithTimeout(ctx, c.timing.Ask)
+	ctx, cancel := context.WithTimeout(ctx, c.timing.RoundTimeout)
 	defer cancel()
-	replies := make(chan reply, len(slot.Group))
+	replies := make(chan groupReply, len(slot.Group))
 	for _, member := range slot.Group {
 		go c.ask(ctx, member, ask, replies)
 	}
 	r := NewRound(len(slot.Group))
 	for range slot.Group {
-		got := <-replies
-		if got.err != nil {
-			r.Fail()
+		reply := <-replies
+		if reply.err != nil {
+			r.AddFailure()
 		} else {
-			r.Take(got.from, got.answer)
+			r.AddAnswer(reply.from, reply.answer)
 		}
-		if r.Decide() != DecisionOpen {
+		if r.Decide() != DecisionPending {
 			break
 		}
 	}
 	decision := r.Decide()
-	c.note(index, decision)
+	c.recordOutcome(index, decision)
 	if decision == DecisionGranted {
 		c.mu.Lock()
-		c.groups[request] = claimed{slot: index, group: slot.Group, claim: ask.Claim}
+		c.heldClaims[request] = heldClaim{slot: index, group: slot.Group, claim: ask.Claim}
 		c.mu.Unlock()
 		return decision, nil
 	}
 	c.release(index, slot.Group, key, ask.Claim)
-	if from, stale := r.newer(); stale && c.refresh != nil {
+	if from, stale := r.newerReplica(); stale && c.refresh != nil {
 		c.refresh(ctx, from)
 	}
 	return decision, r.Answer()
@@ -220,20 +220,20 @@
 func (c *Claimer) claimID(request proto.RequestID) proto.ClaimID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if held, ok := c.groups[request]; ok {
+	if held, ok := c.heldClaims[request]; ok {
 		return held.claim
 	}
-	c.tries++
-	return proto.ClaimID{Holder: c.self.VM, Incarnation: c.self.Incarnation, Request: request, Attempt: c.tries}
+	c.attempts++
+	return proto.ClaimID{Holder: c.self.VM, Incarnation: c.self.Incarnation, Request: request, Attempt: c.attempts}
 }
 
-func (c *Claimer) ask(ctx context.Context, member proto.RosterMember, ask proto.ClaimAsk, replies chan<- reply) {
+func (c *Claimer) ask(ctx context.Context, member proto.RosterMember, ask proto.ClaimAsk, replies chan<- groupReply) {
 	if member == c.self {
-		replies <- reply{from: member.VM, answer: c.local.Claim(timeOfDay(c.clock), ask)}
+		replies <- groupReply{from: member.VM, answer: c.localReplica.Claim(wallTime(c.clock), ask)}
 		return
 	}
 	if c.dead(member.VM, member.Incarnation) {
-		replies <- reply{from: member.VM, err: newError("claim", proto.KindUnavailable, "%s looks dead", member.VM)}
+		replies <- groupReply{from: member.VM, err: newError("claim", proto.KindUnavailable, "%s looks dead", member.VM)}
 		return
 	}
 	m, err := c.peers.Call(ctx, member.VM, ask)
@@ -241,41 +241,41 @@
 	if err == nil && !ok {
 		err = newError("claim", proto.KindInvalid, "%s answered with another message", member.VM)
 	}
-	replies <- reply{from: member.VM, answer: answer, err: err}
+	replies <- groupReply{from: member.VM, answer: answer, err: err}
 }
 
 // release gives back what was granted short of a majority; this daemon is certain not to have used it.
 func (c *Claimer) release(slot int, group []proto.RosterMember, key proto.Key, claim proto.ClaimID) {
-	c.tell(group, proto.Settle{Slot: slot, Key: key, Claim: claim, Released: true})
+	c.sendToGroup(group, proto.Settle{Slot: slot, Key: key, Claim: claim, Released: true})
 }
 
-func (c *Claimer) tell(group []proto.RosterMember, m proto.Settle) {
+func (c *Claimer) sendToGroup(group []proto.RosterMember, m proto.Settle) {
 	for _, member := range group {
 		if member == c.self {
-			c.local.Settle(m)
+			c.localReplica.Settle(m)
 			continue
 		}
 		c.peers.Send(member.VM, m)
 	}
 }
 
-// failedFor is how long a slot whose group gave no answer counts as unreachable before it is tried again.
-const failedFor = time.Second
+// unreachableFor is how long a slot whose group gave no answer counts as unreachable before it is tried again.
+const unreachableFor = time.Second
 
-func (c *Claimer) failedLately(slot int) bool {
+func (c *Claimer) failedRecently(slot int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.clock.Since(c.failed[slot]) < failedFor
+	return c.clock.Since(c.failedAt[slot]) < unreachableFor
 }
 
-func (c *Claimer) note(slot int, decision Decision) {
+func (c *Claimer) recordOutcome(slot int, decision Decision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if decision == DecisionUnreachable {
-		c.failed[slot] = c.clock.Now()
+		c.failedAt[slot] = c.clock.Now()
 		return
 	}
-	delete(c.failed, slot)
+	delete(c.failedAt, slot)
 }
 
 // Reachable tells whether, as far as this daemon sees, most of the key's group is live.
@@ -285,7 +285,7 @@
 		return false
 	}
 	index := SlotOf(key, len(roster.Slots))
-	if c.failedLately(index) {
+	if c.failedRecently(index) {
 		return false
 	}
 	group := roster.Slots[index].Group
@@ -301,11 +301,11 @@
 // Settle tells the key's group how its request ended: released if it certainly did not run, else done with its answer.
 func (c *Claimer) Settle(key proto.Key, request proto.RequestID, released bool, answer []byte) {
 	c.mu.Lock()
-	held, ok := c.groups[request]
-	delete(c.groups, request)
+	held, ok := c.heldClaims[request]
+	delete(c.heldClaims, request)
 	c.mu.Unlock()
 	if !ok || !released && answer == nil {
 		return
 	}
-	c.tell(held.group, proto.Settle{Slot: held.slot, Key: key, Claim: held.claim, Released: released, Answer: answer})
+	c.sendToGroup(held.group, proto.Settle{Slot: held.slot, Key: key, Claim: held.claim, Released: released, Answer: answer})
 }
--- a/coord/claims_test.go
+++ b/coord/claims_test.go
@@ -26,51 +26,51 @@
 	simSilent = 4 * time.Second
 )
 
-// without names the mechanism that a history runs without, to show that the property needs it.
-type without string
+// disabled names the mechanism that a history runs without, to show that the property needs it.
+type disabled string
 
 const (
-	withoutNothing  without = ""
-	withoutCertain  without = "certain end"
-	withoutMajority without = "majority"
-	withoutTransfer without = "transfer"
-	withoutForget   without = "forget"
+	disableNothing  disabled = ""
+	disableRunEnded disabled = "certain end"
+	disableMajority disabled = "majority"
+	disableTransfer disabled = "transfer"
+	disableForget   disabled = "forget"
 )
 
 type simVM struct {
 	sim       *claimSim
 	self      proto.RosterMember
 	replica   *Replica
-	keeper    *RosterKeeper
+	writer    *RosterWriter
 	paused    bool
 	destroyed bool // for good, and taken off the platform's list
-	side      int
-	heard     map[proto.VM]time.Time
-	seen      map[proto.VM]proto.Incarnation
+	partition int
+	lastHeard map[proto.VM]time.Time
+	seenRun   map[proto.VM]proto.Incarnation
 }
 
 func (v *simVM) Live() []proto.Alive {
 	var live []proto.Alive
 	for _, other := range v.sim.vms {
 		if !v.dead(other.self.VM) {
-			live = append(live, proto.Alive{VM: other.self.VM, Zone: other.self.Zone, Incarnation: v.seen[other.self.VM]})
+			live = append(live, proto.Alive{VM: other.self.VM, Zone: other.self.Zone, Incarnation: v.seenRun[other.self.VM]})
 		}
 	}
 	return live
 }
 
-func (v *simVM) dead(vm proto.VM) bool { return v.sim.now.Sub(v.heard[vm]) > simSilent }
+func (v *simVM) dead(vm proto.VM) bool { return v.sim.now.Sub(v.lastHeard[vm]) > simSilent }
 
 func (v *simVM) IsListed(proto.VM) bool { return true }
 
-func (v *simVM) Over(_ time.Time, vm proto.VM, incarnation proto.Incarnation) bool {
-	if v.seen[vm] > incarnation {
+func (v *simVM) RunEnded(_ time.Time, vm proto.VM, incarnation proto.Incarnation) bool {
+	if v.seenRun[vm] > incarnation {
 		return true
 	}
-	if v.sim.without == withoutCertain {
+	if v.sim.disabled == disableRunEnded {
 		return v.dead(vm)
 	}
-	other := v.sim.byName(vm)
+	other := v.sim.vmNamed(vm)
 	return other.destroyed && other.self.Incarnation == incarnation
 }
 
@@ -85,21 +85,21 @@
 }
 
 type claimSim struct {
-	without without
-	random  *rand.Rand
-	now     time.Time
-	store   *fakes.Store
-	vms     []*simVM
-	keys    []proto.Key
-	net     []func()
-	uses    map[proto.Key]int
-	granted int
-	request int
+	disabled disabled
+	random   *rand.Rand
+	now      time.Time
+	store    *fakes.Store
+	vms      []*simVM
+	keys     []proto.Key
+	inFlight []func()
+	uses     map[proto.Key]int
+	granted  int
+	request  int
 }
 
-func newClaimSim(seed uint64, w without) *claimSim {
+func newClaimSim(seed uint64, w disabled) *claimSim {
 	s := &claimSim{
-		without: w, random: rand.New(rand.NewPCG(seed, 3)), now: time.Unix(1_700_000_000, 0),
+		disabled: w, random: rand.New(rand.NewPCG(seed, 3)), now: time.Unix(1_700_000_000, 0),
 		store: fakes.NewStore(), uses: map[proto.Key]int{},
 	}
 	for i := range simVMs {
@@ -112,12 +112,12 @@
 	s.beat()
 	s.keys = make([]proto.Key, simKeys)
 	for i := range s.keys {
-		s.freshKey(i)
+		s.newKey(i)
 	}
 	return s
 }
 
-func (s *claimSim) freshKey(i int) {
+func (s *claimSim) newKey(i int) {
 	var bits [10]byte
 	for j := range bits {
 		bits[j] = byte(s.random.Uint32())
@@ -130,19 +130,19 @@
 	v.self.Incarnation++
 	v.paused, v.destroyed = false, false
 	v.replica = NewReplica(v.self, DefaultClaimTiming())
-	v.heard, v.seen = map[proto.VM]time.Time{}, map[proto.VM]proto.Incarnation{}
+	v.lastHeard, v.seenRun = map[proto.VM]time.Time{}, map[proto.VM]proto.Incarnation{}
 	for _, other := range s.vms {
-		v.heard[other.self.VM], v.seen[other.self.VM] = s.now, other.self.Incarnation
+		v.lastHeard[other.self.VM], v.seenRun[other.self.VM] = s.now, other.self.Incarnation
 	}
 	timing := DefaultClaimTiming()
-	if s.without == withoutForget {
-		timing.Skew = -time.Hour // the time up to which keys are refused then lies before them all
+	if s.disabled == disableForget {
+		timing.MaxSkew = -time.Hour // the time up to which keys are refused then lies before them all
 	}
 	plan := RosterPlan{Slots: 2, Replicas: 3, Members: 8, Moves: 1}
-	v.keeper = NewRosterKeeper(s.store.For(string(v.self.VM)), plan, timing, v, v.replica)
+	v.writer = NewRosterWriter(s.store.For(string(v.self.VM)), plan, timing, v, v.replica)
 }
 
-func (s *claimSim) connected(a, b *simVM) bool { return a.side == b.side }
+func (s *claimSim) connected(a, b *simVM) bool { return a.partition == b.partition }
 
 // beat is an exchange of heartbeats between all that run and are connected.
 func (s *claimSim) beat() {
@@ -150,12 +150,12 @@
 		if v.paused {
 			continue
 		}
-		v.heard[v.self.VM], v.seen[v.self.VM] = s.now, v.self.Incarnation
+		v.lastHeard[v.self.VM], v.seenRun[v.self.VM] = s.now, v.self.Incarnation
 		for _, other := range s.vms {
 			if other == v || other.paused || !s.connected(v, other) {
 				continue
 			}
-			v.heard[other.self.VM], v.seen[other.self.VM] = s.now, other.self.Incarnation
+			v.lastHeard[other.self.VM], v.seenRun[other.self.VM] = s.now, other.self.Incarnation
 			if other.replica.Epoch() > v.replica.Epoch() && s.random.IntN(2) == 0 {
 				v.replica.Adopt(other.replica.Roster())
 			}
@@ -163,9 +163,9 @@
 	}
 }
 
-func (s *claimSim) vm() *simVM { return s.vms[s.random.IntN(len(s.vms))] }
+func (s *claimSim) randomVM() *simVM { return s.vms[s.random.IntN(len(s.vms))] }
 
-func (s *claimSim) byName(vm proto.VM) *simVM {
+func (s *claimSim) vmNamed(vm proto.VM) *simVM {
 	for _, v := range s.vms {
 		if v.self.VM == vm {
 			return v
@@ -176,36 +176,36 @@
 
 // send delivers a message at some later step; while a daemon is paused its messages wait.
 func (s *claimSim) send(from *simVM, to proto.VM, fn func(*simVM)) {
-	v := s.byName(to)
+	v := s.vmNamed(to)
 	run := v.self.Incarnation
 	var deliver func()
 	deliver = func() {
 		switch {
 		case v.self.Incarnation != run || !s.connected(from, v):
 		case v.paused:
-			s.net = append(s.net, deliver)
+			s.inFlight = append(s.inFlight, deliver)
 		default:
 			fn(v)
 		}
 	}
-	s.net = append(s.net, deliver)
+	s.inFlight = append(s.inFlight, deliver)
 }
 
 func (s *claimSim) deliver() {
-	if len(s.net) == 0 {
+	if len(s.inFlight) == 0 {
 		return
 	}
-	i := s.random.IntN(len(s.net))
-	message := s.net[i]
-	s.net[i] = s.net[len(s.net)-1]
-	s.net = s.net[:len(s.net)-1]
+	i := s.random.IntN(len(s.inFlight))
+	message := s.inFlight[i]
+	s.inFlight[i] = s.inFlight[len(s.inFlight)-1]
+	s.inFlight = s.inFlight[:len(s.inFlight)-1]
 	if s.random.IntN(20) > 0 {
 		message()
 	}
 }
 
 func (s *claimSim) claim() {
-	v := s.vm()
+	v := s.randomVM()
 	roster := v.replica.Roster()
 	if v.paused || len(roster.Slots) == 0 {
 		return
@@ -216,7 +216,7 @@
 	c := &simClaim{holder: v, key: key, index: index, slot: roster.Slots[index]}
 	c.id = proto.ClaimID{Holder: v.self.VM, Incarnation: v.self.Incarnation, Attempt: s.request}
 	c.round = NewRound(len(c.slot.Group))
-	if s.without == withoutMajority {
+	if s.disabled == disableMajority {
 		c.round = NewRound(1)
 	}
 	ask := proto.ClaimAsk{Slot: index, Since: c.slot.Since, Key: key, Fingerprint: 1, Claim: c.id}
@@ -226,31 +226,31 @@
 				return
 			}
 			answer := to.replica.Claim(s.now, ask)
-			s.send(to, v.self.VM, func(*simVM) { s.answered(c, member.VM, answer) })
+			s.send(to, v.self.VM, func(*simVM) { s.handleAnswer(c, member.VM, answer) })
 		})
 	}
 }
 
-func (s *claimSim) answered(c *simClaim, from proto.VM, answer proto.ClaimAnswer) {
+func (s *claimSim) handleAnswer(c *simClaim, from proto.VM, answer proto.ClaimAnswer) {
 	if c.over {
 		return
 	}
-	c.round.Take(from, answer)
+	c.round.AddAnswer(from, answer)
 	switch c.round.Decide() {
-	case DecisionOpen:
+	case DecisionPending:
 	case DecisionGranted:
 		c.over = true
 		s.uses[c.key]++
 		s.granted++
-		s.settle(c, s.random.IntN(4) == 0 && s.forgive(c), []byte(`"answer"`))
+		s.settle(c, s.random.IntN(4) == 0 && s.undoUse(c), []byte(`"answer"`))
 	default:
 		c.over = true
 		s.settle(c, true, nil)
 	}
 }
 
-// forgive takes a use back: the attempt was certainly not started, so that the key may be granted again.
-func (s *claimSim) forgive(c *simClaim) bool {
+// undoUse takes a use back: the attempt was certainly not started, so that the key may be granted again.
+func (s *claimSim) undoUse(c *simClaim) bool {
 	s.uses[c.key]--
 	return true
 }
@@ -267,7 +267,7 @@
 }
 
 func (s *claimSim) transfer() {
-	v := s.vm()
+	v := s.randomVM()
 	if v.paused {
 		return
 	}
@@ -277,36 +277,36 @@
 				if to.self != member {
 					return
 				}
-				answer := s.handOver(to, pending.Ask)
+				answer := s.transferFrom(to, pending.Ask)
 				s.send(to, v.self.VM, func(*simVM) { v.replica.TakeTransfer(pending.Ask, member, answer) })
 			})
 		}
 	}
 	for _, ready := range v.replica.ReadySlots() {
 		for _, other := range s.vms {
-			s.send(v, other.self.VM, func(to *simVM) { to.keeper.Report(v.self.VM, ready) })
+			s.send(v, other.self.VM, func(to *simVM) { to.writer.Report(v.self.VM, ready) })
 		}
 	}
 }
 
-func (s *claimSim) handOver(to *simVM, ask proto.TransferAsk) proto.TransferAnswer {
+func (s *claimSim) transferFrom(to *simVM, ask proto.TransferAsk) proto.TransferAnswer {
 	answer := to.replica.Transfer(ask)
-	if s.without == withoutTransfer {
+	if s.disabled == disableTransfer {
 		answer.Records = nil
 	}
 	return answer
 }
 
 func (s *claimSim) revise() {
-	v := s.vm()
-	if v.paused || v.side != 0 {
+	v := s.randomVM()
+	if v.paused || v.partition != 0 {
 		return
 	}
 	if s.random.IntN(10) == 0 {
 		s.store.LoseAnswers(1)
 	}
 	s.store.SetDown(s.random.IntN(10) == 0)
-	_ = v.keeper.Revise(context.Background(), s.now)
+	_ = v.writer.ReviseRoster(context.Background(), s.now)
 	s.store.SetDown(false)
 	s.store.LoseAnswers(0)
 }
@@ -327,31 +327,31 @@
 	case n < 930:
 		s.revise()
 	case n < 945:
-		s.vm().paused = true
+		s.randomVM().paused = true
 	case n < 965:
-		if v := s.vm(); !v.destroyed {
+		if v := s.randomVM(); !v.destroyed {
 			v.paused = false
 		}
 	case n < 967:
-		v := s.vm()
+		v := s.randomVM()
 		v.paused, v.destroyed = true, true
 	case n < 970:
-		s.restart(s.vm())
+		s.restart(s.randomVM())
 	case n < 976:
 		for _, v := range s.vms {
-			v.side = s.random.IntN(2)
+			v.partition = s.random.IntN(2)
 		}
 	case n < 988:
 		for _, v := range s.vms {
-			v.side = 0
+			v.partition = 0
 		}
 	default:
-		s.freshKey(s.random.IntN(len(s.keys)))
+		s.newKey(s.random.IntN(len(s.keys)))
 	}
 }
 
-// calm lets everything come to rest, so that a history starts from a roster whose slots are ready.
-func (s *claimSim) calm() {
+// stabilize lets everything come to rest, so that a history starts from a roster whose slots are ready.
+func (s *claimSim) stabilize() {
 	for range 12 {
 		s.now = s.now.Add(500 * time.Millisecond)
 		s.beat()
@@ -374,9 +374,9 @@
 	return bad
 }
 
-func runClaims(seed uint64, w without) *claimSim {
+func runClaims(seed uint64, w disabled) *claimSim {
 	s := newClaimSim(seed, w)
-	s.calm()
+	s.stabilize()
 	for range simSteps {
 		s.step()
 	}
@@ -389,7 +389,7 @@
 	properties := gopter.NewProperties(parameters)
 	granted := 0
 	properties.Property("no key is used twice", prop.ForAll(func(seed uint64) string {
-		s := runClaims(seed, withoutNothing)
+		s := runClaims(seed, disableNothing)
 		granted += s.granted
 		if bad := s.violations(); len(bad) > 0 {
 			return fmt.Sprint(bad)
@@ -403,20 +403,20 @@
 }
 
 // Each mechanism is needed: without it some history runs a key twice. The search starts where one was found.
-func TestKeysRunTwiceWithout(t *testing.T) {
+func TestEachMechanismIsNeeded(t *testing.T) {
 	scenarios := []struct {
-		without without
-		from    uint64
+		disabled disabled
+		from     uint64
 	}{
-		{withoutMajority, 0},
-		{withoutCertain, 3700},
-		{withoutTransfer, 150},
-		{withoutForget, 0},
+		{disableMajority, 0},
+		{disableRunEnded, 3700},
+		{disableTransfer, 150},
+		{disableForget, 0},
 	}
 	for _, scenario := range scenarios {
-		t.Run(string(scenario.without), func(t *testing.T) {
+		t.Run(string(scenario.disabled), func(t *testing.T) {
 			for seed := scenario.from; seed < scenario.from+2000; seed++ {
-				if len(runClaims(seed, scenario.without).violations()) > 0 {
+				if len(runClaims(seed, scenario.disabled).violations()) > 0 {
 					t.Logf("seed %d runs a key twice", seed)
 					return
 				}
@@ -427,7 +427,7 @@
 }
 
 // A replica that has handed over a slot must not grant for the old group, even before it learns of the new roster.
-func TestHandedOverSlotGrantsNoMore(t *testing.T) {
+func TestTransferredSlotStopsGranting(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	member := func(vm proto.VM) proto.RosterMember { return proto.RosterMember{VM: vm, Incarnation: 1} }
 	a := NewReplica(member("a"), DefaultClaimTiming())
@@ -439,9 +439,9 @@
 	if got := a.Claim(now, ask(1)).Result; got != proto.ClaimGranted {
 		t.Fatalf("before: %d", got)
 	}
-	handed := a.Transfer(proto.TransferAsk{Since: 2, PreviousSince: 1})
-	if !handed.Ready || len(handed.Records) != 1 {
-		t.Fatalf("handed over %+v", handed)
+	transferred := a.Transfer(proto.TransferAsk{Since: 2, PreviousSince: 1})
+	if !transferred.Ready || len(transferred.Records) != 1 {
+		t.Fatalf("handed over %+v", transferred)
 	}
 	if got := a.Claim(now, ask(2)).Result; got != proto.ClaimStale {
 		t.Fatalf("after: %d, want stale", got)
@@ -449,7 +449,7 @@
 }
 
 // A replica that has not read its slot yet must neither count its own claims for the next group nor hand them over.
-func TestUnreadSlotVouchesForNothing(t *testing.T) {
+func TestUnreadSlotIsNotTransferred(t *testing.T) {
 	member := func(vm proto.VM) proto.RosterMember { return proto.RosterMember{VM: vm, Incarnation: 1} }
 	group := []proto.RosterMember{member("a"), member("b"), member("c")}
 	before := []proto.RosterMember{member("x"), member("y"), member("z")}
--- a/coord/collect.go
+++ b/coord/collect.go
@@ -25,13 +25,13 @@
 
 // LoadCollector returns the daemon that reads a target's load: one of its zone, else of its region, else any.
 func LoadCollector(target *proto.Target, live []proto.Alive) (proto.VM, bool) {
-	near := []func(proto.Alive) bool{
+	scopes := []func(proto.Alive) bool{
 		func(a proto.Alive) bool { return a.Zone == target.Zone },
 		func(a proto.Alive) bool { return a.Zone.Region() == target.Zone.Region() },
 		func(proto.Alive) bool { return true },
 	}
-	for _, pick := range near {
-		if vm, ok := first("load/"+target.Name, vmsOf(live, pick)); ok {
+	for _, pick := range scopes {
+		if vm, ok := firstRanked("load/"+target.Name, vmsOf(live, pick)); ok {
 			return vm, true
 		}
 	}
@@ -43,20 +43,20 @@
 	if size <= 0 || len(targets) <= size {
 		return targets
 	}
-	type placed struct {
+	type ranked struct {
 		distance int
 		hash     uint64
 		index    int
 	}
-	order := make([]placed, len(targets))
+	order := make([]ranked, len(targets))
 	seed := xxhash.Sum64String(string(vm))
 	for i := range targets {
 		hash := xxhash.Sum64String(targets[i].Name) ^ seed
 		hash ^= hash >> 33
 		hash *= 0xff51afd7ed558ccd
-		order[i] = placed{distance(zone, targets[i].Zone), hash ^ hash>>33, i}
+		order[i] = ranked{distance(zone, targets[i].Zone), hash ^ hash>>33, i}
 	}
-	slices.SortFunc(order, func(a, b placed) int {
+	slices.SortFunc(order, func(a, b ranked) int {
 		return cmp.Or(cmp.Compare(a.distance, b.distance), cmp.Compare(a.hash, b.hash))
 	})
 	subset := make([]proto.Target, size)
@@ -81,7 +81,7 @@
 	vms := vmsOf(live, func(a proto.Alive) bool { return a.Zone.Region() == region })
 	buckets := max(1, len(vms)/2)
 	bucket := xxhash.Sum64String(workspace) % uint64(buckets)
-	return first("usage/"+strconv.FormatUint(bucket, 10), vms)
+	return firstRanked("usage/"+strconv.FormatUint(bucket, 10), vms)
 }
 
 type usageKey struct {
@@ -89,30 +89,30 @@
 	workspace string
 }
 
-type usageSum struct {
+type usageTotal struct {
 	total time.Duration
-	by    map[proto.VM]*usagePart
+	byVM  map[proto.VM]*daemonUsage
 	last  time.Time
 }
 
-type usagePart struct {
-	spent time.Duration
-	told  time.Duration
+type daemonUsage struct {
+	spent    time.Duration
+	reported time.Duration
 }
 
-const usageIdle = 30 * time.Second
+const usageIdleTimeout = 30 * time.Second
 
-// UsageSums adds up what all daemons of a region spend, and tells each what the others spent.
-type UsageSums struct {
-	mu   sync.Mutex
-	sums map[usageKey]*usageSum
+// UsageTotals adds up what all daemons of a region spend, and tells each what the others spent.
+type UsageTotals struct {
+	mu     sync.Mutex
+	totals map[usageKey]*usageTotal
 }
 
-// NewUsageSums returns empty sums.
-func NewUsageSums() *UsageSums { return &UsageSums{sums: map[usageKey]*usageSum{}} }
+// NewUsageTotals returns empty sums.
+func NewUsageTotals() *UsageTotals { return &UsageTotals{totals: map[usageKey]*usageTotal{}} }
 
 // Add takes in what a daemon spent and returns what the others spent for the same workspaces since it was last told.
-func (u *UsageSums) Add(now time.Time, from proto.VM, rows []proto.UsageRow) []proto.UsageRow {
+func (u *UsageTotals) Add(now time.Time, from proto.VM, rows []proto.UsageRow) []proto.UsageRow {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	var others []proto.UsageRow
@@ -124,35 +124,35 @@
 	return others
 }
 
-func (u *UsageSums) addRow(now time.Time, from proto.VM, row proto.UsageRow) time.Duration {
+func (u *UsageTotals) addRow(now time.Time, from proto.VM, row proto.UsageRow) time.Duration {
 	key := usageKey{row.Pool, row.Workspace}
-	sum := u.sums[key]
+	sum := u.totals[key]
 	if sum == nil {
-		sum = &usageSum{by: map[proto.VM]*usagePart{}}
-		u.sums[key] = sum
+		sum = &usageTotal{byVM: map[proto.VM]*daemonUsage{}}
+		u.totals[key] = sum
 	}
-	part := sum.by[from]
-	if part == nil {
+	usage := sum.byVM[from]
+	if usage == nil {
 		// A daemon that is new here is not told of what was spent before it came.
-		part = &usagePart{told: sum.total}
-		sum.by[from] = part
+		usage = &daemonUsage{reported: sum.total}
+		sum.byVM[from] = usage
 	}
 	sum.last = now
 	sum.total += row.Spent
-	part.spent += row.Spent
-	part.told += row.Spent
-	fresh := sum.total - part.told
-	part.told = sum.total
-	return fresh
+	usage.spent += row.Spent
+	usage.reported += row.Spent
+	unreported := sum.total - usage.reported
+	usage.reported = sum.total
+	return unreported
 }
 
 // Sweep forgets workspaces that spent nothing lately.
-func (u *UsageSums) Sweep(now time.Time) {
+func (u *UsageTotals) Sweep(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for key, sum := range u.sums {
-		if now.Sub(sum.last) > usageIdle {
-			delete(u.sums, key)
+	for key, sum := range u.totals {
+		if now.Sub(sum.last) > usageIdleTimeout {
+			delete(u.totals, key)
 		}
 	}
 }
--- a/coord/changes.go
+++ b/coord/config.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	keptChanges = 512
+	maxRecentChanges = 512
 	// MaxAnswerChanges bounds the changes in one message.
 	MaxAnswerChanges = 128
 )
@@ -22,23 +22,23 @@
 
 // ConfigState is one daemon's copy of the accepted configuration. Its generation never goes down.
 type ConfigState struct {
-	mu       sync.Mutex
-	snapshot *proto.Snapshot
-	files    map[string]proto.Change // the newest change of each file, with its body
-	stops    map[proto.VM]proto.Change
-	recent   []proto.Change // the last ones in order, without gaps
-	known    bool
-	adopted  func(*proto.Snapshot)
-	refused  int64
+	mu         sync.Mutex
+	snapshot   *proto.Snapshot
+	files      map[string]proto.Change // the newest change of each file, with its body
+	stops      map[proto.VM]proto.Change
+	recent     []proto.Change // the last ones in order, without gaps
+	synced     bool
+	onSnapshot func(*proto.Snapshot)
+	refused    int64
 }
 
 // NewConfigState returns a copy of generation 0 that does not know yet what was accepted.
-func NewConfigState(adopted func(*proto.Snapshot)) *ConfigState {
+func NewConfigState(onSnapshot func(*proto.Snapshot)) *ConfigState {
 	return &ConfigState{
-		snapshot: proto.EmptySnapshot(),
-		files:    map[string]proto.Change{},
-		stops:    map[proto.VM]proto.Change{},
-		adopted:  adopted,
+		snapshot:   proto.EmptySnapshot(),
+		files:      map[string]proto.Change{},
+		stops:      map[proto.VM]proto.Change{},
+		onSnapshot: onSnapshot,
 	}
 }
 
@@ -56,15 +56,15 @@
 func (c *ConfigState) Synced() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.known
+	return c.synced
 }
 
-// Learnt marks that the store or a peer has told this daemon the accepted generation and it has it.
-func (c *ConfigState) Learnt(generation proto.Generation) {
+// MarkSynced marks that the store or a peer has told this daemon the accepted generation and it has it.
+func (c *ConfigState) MarkSynced(generation proto.Generation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.snapshot.Generation >= generation {
-		c.known = true
+		c.synced = true
 	}
 }
 
@@ -87,8 +87,8 @@
 	return copied
 }
 
-// Take adopts the changes that follow the own generation in order; it returns false if one is missing or does not match its hash.
-func (c *ConfigState) Take(changes []proto.Change) bool {
+// ApplyChanges adopts the changes that follow the own generation in order; it returns false if one is missing or does not match its hash.
+func (c *ConfigState) ApplyChanges(changes []proto.Change) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	next := c.snapshot
@@ -101,13 +101,13 @@
 			c.publish(next)
 			return false
 		}
-		stepped, ok := c.step(next, change)
+		applied, ok := c.applyChange(next, change)
 		if !ok {
 			c.refused++
 			c.publish(next)
 			return false
 		}
-		next = stepped
+		next = applied
 	}
 	c.publish(next)
 	return true
@@ -118,12 +118,12 @@
 		return
 	}
 	c.snapshot = next
-	if c.adopted != nil {
-		c.adopted(next)
+	if c.onSnapshot != nil {
+		c.onSnapshot(next)
 	}
 }
 
-func (c *ConfigState) step(from *proto.Snapshot, change proto.Change) (*proto.Snapshot, bool) {
+func (c *ConfigState) applyChange(from *proto.Snapshot, change proto.Change) (*proto.Snapshot, bool) {
 	switch change.Kind {
 	case proto.ChangeFile:
 		if HashOf(change.Body) != change.Hash {
@@ -134,20 +134,20 @@
 			return nil, false
 		}
 		c.files[change.Name] = change
-		c.remember(change)
+		c.addRecent(change)
 		return from.WithFile(change.Generation, file), true
 	case proto.ChangeStop:
 		if change.Stop == nil {
 			return nil, false
 		}
-		c.noteStop(change)
-		c.remember(change)
+		c.recordStop(change)
+		c.addRecent(change)
 		return from.WithStop(change.Generation, *change.Stop), true
 	}
 	return nil, false
 }
 
-func (c *ConfigState) noteStop(change proto.Change) {
+func (c *ConfigState) recordStop(change proto.Change) {
 	if change.Stop.At.IsZero() {
 		delete(c.stops, change.Stop.VM)
 		return
@@ -155,34 +155,34 @@
 	c.stops[change.Stop.VM] = change
 }
 
-func (c *ConfigState) remember(change proto.Change) {
+func (c *ConfigState) addRecent(change proto.Change) {
 	c.recent = append(c.recent, change)
-	if len(c.recent) > keptChanges {
-		c.recent = append([]proto.Change(nil), c.recent[len(c.recent)-keptChanges/2:]...)
+	if len(c.recent) > maxRecentChanges {
+		c.recent = append([]proto.Change(nil), c.recent[len(c.recent)-maxRecentChanges/2:]...)
 	}
 }
 
-// TakeWhole adopts a whole state; one that is not newer is ignored.
-func (c *ConfigState) TakeWhole(generation proto.Generation, changes []proto.Change) bool {
+// ApplyFull adopts a whole state; one that is not newer is ignored.
+func (c *ConfigState) ApplyFull(generation proto.Generation, changes []proto.Change) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if generation <= c.snapshot.Generation {
 		return true
 	}
 	snapshot := proto.EmptySnapshot()
-	fresh := &ConfigState{files: map[string]proto.Change{}, stops: map[proto.VM]proto.Change{}}
+	rebuilt := &ConfigState{files: map[string]proto.Change{}, stops: map[proto.VM]proto.Change{}}
 	for _, change := range changes {
-		stepped, ok := fresh.step(snapshot, change)
+		applied, ok := rebuilt.applyChange(snapshot, change)
 		if !ok {
 			c.refused++
 			return false
 		}
-		snapshot = stepped
+		snapshot = applied
 	}
-	whole := *snapshot
-	whole.Generation = generation
-	c.files, c.stops, c.recent = fresh.files, fresh.stops, nil
-	c.publish(&whole)
+	full := *snapshot
+	full.Generation = generation
+	c.files, c.stops, c.recent = rebuilt.files, rebuilt.stops, nil
+	c.publish(&full)
 	return true
 }
 
--- a/coord/changes_test.go
+++ b/coord/config_test.go
@@ -26,22 +26,22 @@
 
 // configSim has daemons that apply files at once, a store that is out or loses answers, and copies that hear of changes late.
 type configSim struct {
-	random   *rand.Rand
-	clock    *clockwork.FakeClock
-	fake     *fakes.Store
-	stores   []*ConfigStore
-	copies   []*ConfigState
-	highest  []proto.Generation
-	accepted map[proto.Generation]string // by apply id
-	content  map[string]string           // hash by file, as of the last accepted change
-	contentG map[string]proto.Generation
-	bad      []string
+	random             *rand.Rand
+	clock              *clockwork.FakeClock
+	fake               *fakes.Store
+	stores             []*ConfigStore
+	copies             []*ConfigState
+	highest            []proto.Generation
+	accepted           map[proto.Generation]string // by apply id
+	acceptedHash       map[string]string           // hash by file, as of the last accepted change
+	acceptedGeneration map[string]proto.Generation
+	violations         []string
 }
 
 func newConfigSim(seed uint64) *configSim {
 	s := &configSim{
 		random: rand.New(rand.NewPCG(seed, 4)), clock: clockwork.NewFakeClockAt(time.Unix(1_700_000_000, 0)), fake: fakes.NewStore(),
-		accepted: map[proto.Generation]string{}, content: map[string]string{}, contentG: map[string]proto.Generation{},
+		accepted: map[proto.Generation]string{}, acceptedHash: map[string]string{}, acceptedGeneration: map[string]proto.Generation{},
 	}
 	for i := range 3 {
 		s.stores = append(s.stores, NewConfigStore(s.fake.For(fmt.Sprint(i)), s.clock))
@@ -56,7 +56,7 @@
 	s.highest[i] = 0
 	s.copies[i] = NewConfigState(func(snapshot *proto.Snapshot) {
 		if snapshot.Generation <= s.highest[i] {
-			s.bad = append(s.bad, fmt.Sprintf("generation %d came into force after %d", snapshot.Generation, s.highest[i]))
+			s.violations = append(s.violations, fmt.Sprintf("generation %d came into force after %d", snapshot.Generation, s.highest[i]))
 		}
 		s.highest[i] = snapshot.Generation
 	})
@@ -68,7 +68,7 @@
 	body := fileBody(name, s.random.IntN(50))
 	req := ApplyRequest{Body: body, ApplyID: fmt.Sprint(s.random.Uint64())}
 	if s.random.IntN(2) == 0 {
-		known := s.contentG[name]
+		known := s.acceptedGeneration[name]
 		req.Base = &known
 	}
 	if s.random.IntN(3) == 0 {
@@ -82,24 +82,24 @@
 		s.fake.SetDown(false)
 		applied, err = s.stores[i].Apply(context.Background(), s.copies[i], ApplyRequest{Body: body, ApplyID: req.ApplyID})
 		if err != nil {
-			s.bad = append(s.bad, "asking again: "+err.Error())
+			s.violations = append(s.violations, "asking again: "+err.Error())
 			return
 		}
 	case err != nil:
 		return
 	}
 	if len(applied.Faults) > 0 {
-		s.bad = append(s.bad, fmt.Sprint(applied.Faults))
+		s.violations = append(s.violations, fmt.Sprint(applied.Faults))
 	}
 	if applied.Conflict != nil || applied.Unchanged {
 		return
 	}
 	if other, ok := s.accepted[applied.Generation]; ok && other != applied.ApplyID {
-		s.bad = append(s.bad, fmt.Sprintf("generation %d was accepted twice", applied.Generation))
+		s.violations = append(s.violations, fmt.Sprintf("generation %d was accepted twice", applied.Generation))
 	}
 	s.accepted[applied.Generation] = applied.ApplyID
-	if applied.Generation > s.contentG[name] {
-		s.content[name], s.contentG[name] = HashOf(body), applied.Generation
+	if applied.Generation > s.acceptedGeneration[name] {
+		s.acceptedHash[name], s.acceptedGeneration[name] = HashOf(body), applied.Generation
 	}
 }
 
@@ -114,9 +114,9 @@
 		// A peer's answer, sometimes of long ago.
 		answer := s.copies[j].After(s.copies[i].Generation() / proto.Generation(1+s.random.IntN(2)))
 		if answer.Full {
-			s.copies[i].TakeWhole(answer.Generation, answer.Changes)
+			s.copies[i].ApplyFull(answer.Generation, answer.Changes)
 		} else {
-			s.copies[i].Take(answer.Changes)
+			s.copies[i].ApplyChanges(answer.Changes)
 		}
 	case 7:
 		s.fake.SetDown(s.random.IntN(2) == 0)
@@ -129,17 +129,17 @@
 	}
 }
 
-// end lets every copy catch up, and compares them with what was accepted.
-func (s *configSim) end() {
+// finish lets every copy catch up, and compares them with what was accepted.
+func (s *configSim) finish() {
 	s.fake.SetDown(false)
 	for i := range s.copies {
 		s.fake.Cut(fmt.Sprint(i), false)
 		if err := s.stores[i].CatchUp(context.Background(), s.copies[i]); err != nil {
-			s.bad = append(s.bad, err.Error())
+			s.violations = append(s.violations, err.Error())
 		}
-		for name, hash := range s.content {
+		for name, hash := range s.acceptedHash {
 			if change, _ := s.copies[i].File(name); change.Hash != hash {
-				s.bad = append(s.bad, fmt.Sprintf("copy %d has %s at generation %d, not at %d", i, name, change.Generation, s.contentG[name]))
+				s.violations = append(s.violations, fmt.Sprintf("copy %d has %s at generation %d, not at %d", i, name, change.Generation, s.acceptedGeneration[name]))
 			}
 		}
 	}
@@ -155,10 +155,10 @@
 		for range 150 {
 			s.step()
 		}
-		s.end()
+		s.finish()
 		accepted += len(s.accepted)
-		if len(s.bad) > 0 {
-			return s.bad[0]
+		if len(s.violations) > 0 {
+			return s.violations[0]
 		}
 		return ""
 	}, gen.UInt64()))
@@ -168,7 +168,7 @@
 	}
 }
 
-func TestConflictNamesTheDifference(t *testing.T) {
+func TestConflictReportsDiff(t *testing.T) {
 	fake := fakes.NewStore()
 	clock := clockwork.NewFakeClock()
 	one, two := NewConfigStore(fake.For("1"), clock), NewConfigStore(fake.For("2"), clock)
@@ -227,15 +227,15 @@
 		return proto.Change{Generation: g, Kind: proto.ChangeFile, Name: "a", Hash: HashOf(body), Body: body}
 	}
 	c := NewConfigState(nil)
-	if c.Take([]proto.Change{change(2)}) || c.Generation() != 0 {
+	if c.ApplyChanges([]proto.Change{change(2)}) || c.Generation() != 0 {
 		t.Fatalf("generation %d after a gap", c.Generation())
 	}
-	spoilt := change(1)
-	spoilt.Body = append(spoilt.Body, ' ')
-	if c.Take([]proto.Change{spoilt}) || c.Generation() != 0 {
+	corrupted := change(1)
+	corrupted.Body = append(corrupted.Body, ' ')
+	if c.ApplyChanges([]proto.Change{corrupted}) || c.Generation() != 0 {
 		t.Fatal("a body that does not match its hash was adopted")
 	}
-	if !c.Take([]proto.Change{change(1), change(2)}) || c.Generation() != 2 {
+	if !c.ApplyChanges([]proto.Change{change(1), change(2)}) || c.Generation() != 2 {
 		t.Fatalf("generation %d, want 2", c.Generation())
 	}
 }
--- /dev/null
+++ b/coord/gossip.go
@@ -0,0 +1,80 @@
+package coord
+
+import (
+	"time"
+
+	"emberlead/proto"
+)
+
+// batchesPerHeartbeat is the part of a heartbeat's interval for which news is gathered after some was passed on. Single news goes
+// on at once; when many daemons start or die together, each message costs more than what is in it.
+const batchesPerHeartbeat = 3
+
+// updateBatch holds what is to be passed on over the links.
+type updateBatch struct {
+	alive  []receivedAlive
+	alarms []receivedAlarm
+	last   time.Time
+}
+
+type receivedAlive struct {
+	alive proto.Alive
+	from  proto.VM
+}
+
+type receivedAlarm struct {
+	alarm proto.Alarm
+	from  proto.VM
+}
+
+func (m *Members) forwardAlive(now time.Time, a proto.Alive, from proto.VM) {
+	m.updates.alive = append(m.updates.alive, receivedAlive{a, from})
+	m.flushUpdates(now)
+}
+
+func (m *Members) forwardAlarm(now time.Time, a proto.Alarm, from proto.VM) {
+	m.updates.alarms = append(m.updates.alarms, receivedAlarm{a, from})
+	m.flushUpdates(now)
+}
+
+// flushUpdates sends the links what was gathered, unless that was done a moment ago; Tick comes back to it.
+func (m *Members) flushUpdates(now time.Time) {
+	pending := &m.updates
+	if len(pending.alive)+len(pending.alarms) == 0 || now.Sub(pending.last) < m.timing.HeartbeatInterval/batchesPerHeartbeat {
+		return
+	}
+	for _, vm := range m.links() {
+		if updates := pending.newsFor(vm); len(updates.Alive)+len(updates.Alarms) > 0 {
+			m.peers.Send(vm, updates)
+		}
+	}
+	*pending = updateBatch{last: now}
+}
+
+// newsFor leaves out what a daemon said, and what is about itself.
+func (s *updateBatch) newsFor(vm proto.VM) proto.News {
+	var news proto.News
+	for _, h := range s.alive {
+		if h.from != vm && h.alive.VM != vm {
+			news.Alive = append(news.Alive, h.alive)
+		}
+	}
+	for _, h := range s.alarms {
+		if h.from != vm && h.alarm.Reporter != vm {
+			news.Alarms = append(news.Alarms, h.alarm)
+		}
+	}
+	return news
+}
+
+// HandleNews takes in what another daemon passed on, and passes on what is news here.
+func (m *Members) HandleNews(now time.Time, news proto.News, from proto.VM) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, a := range news.Alive {
+		m.handleAlive(now, a, from)
+	}
+	for _, a := range news.Alarms {
+		m.handleAlarm(now, a, from)
+	}
+}
--- a/coord/beats.go
+++ b/coord/heartbeats.go
@@ -16,39 +16,39 @@
 		return
 	}
 	if beat.Incarnation < mem.alive.Incarnation {
-		m.correct(mem, beat.Incarnation, from)
+		m.sendCorrection(mem, beat.Incarnation, from)
 		return
 	}
 	if beat.Incarnation > mem.alive.Incarnation {
 		// The announcement was lost, or went out before this daemon listened.
-		fresh := mem.alive
-		fresh.Incarnation, fresh.Sequence, fresh.Stopping = beat.Incarnation, 0, beat.Stopping
-		m.alive(now, fresh, from)
+		announcement := mem.alive
+		announcement.Incarnation, announcement.Sequence, announcement.Stopping = beat.Incarnation, 0, beat.Stopping
+		m.handleAlive(now, announcement, from)
 	}
 	mem.lastSeen = now
 	if mem.alarming {
 		mem.alarming = false
-		m.raise(now, mem, false)
+		m.raiseAlarm(now, mem, false)
 	}
-	m.compare(now, mem, beat.DeadDigest)
+	m.compareDeaths(now, mem, beat.DeadDigest)
 }
 
 func (m *Members) links() []proto.VM {
-	return m.ring().links(m.self.VM)
+	return m.linkGraph().links(m.self.VM)
 }
 
-func (m *Members) sendBeats(now time.Time) {
-	m.lastBeat = now
-	beat := m.beat()
-	beat.Incarnation = m.self.Incarnation
-	beat.DeadDigest = m.digest
-	m.beats++
-	if m.beats%probeEvery == 0 {
+func (m *Members) sendHeartbeats(now time.Time) {
+	m.lastHeartbeat = now
+	heartbeat := m.heartbeat()
+	heartbeat.Incarnation = m.self.Incarnation
+	heartbeat.DeadDigest = m.deadDigestSent
+	m.heartbeatCount++
+	if m.heartbeatCount%probeEvery == 0 {
 		m.probe()
 	}
 	for _, vm := range m.links() {
-		m.peers.Send(vm, beat)
-		if m.beats%announceEvery == 0 {
+		m.peers.Send(vm, heartbeat)
+		if m.heartbeatCount%announceEvery == 0 {
 			m.peers.Send(vm, m.self)
 		}
 	}
@@ -58,7 +58,7 @@
 func (m *Members) SendHeartbeats(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.sendBeats(now)
+	m.sendHeartbeats(now)
 }
 
 // Tick sends heartbeats and raises alarms; it comes several times a second.
@@ -69,77 +69,77 @@
 		m.started = now
 	}
 	if !m.lastTick.IsZero() && now.Sub(m.lastTick) > m.timing.PauseThreshold {
-		m.forgive(now)
+		m.resetSilence(now)
 	}
 	m.lastTick = now
-	if now.Sub(m.lastBeat) >= m.timing.HeartbeatInterval {
-		m.sendBeats(now)
+	if now.Sub(m.lastHeartbeat) >= m.timing.HeartbeatInterval {
+		m.sendHeartbeats(now)
 	}
 	m.viewChanged(now)
 	for _, vm := range m.links() {
 		m.checkLink(now, m.members[vm])
 	}
-	m.forget(now)
-	m.passOn(now)
+	m.forgetDead(now)
+	m.flushUpdates(now)
 }
 
 // viewChanged follows the last changes of the view: a daemon whose monitors died with it is judged by those it has now.
 func (m *Members) viewChanged(now time.Time) {
-	if m.linkedOf == m.version {
+	if m.linkedVersion == m.version {
 		return
 	}
-	for _, vm := range m.alarmedAbout() {
+	for _, vm := range m.vmsWithAlarms() {
 		m.judge(now, m.members[vm])
 	}
-	m.linkedOf = m.version
-	m.digest = m.deadDigest()
+	m.linkedVersion = m.version
+	m.deadDigestSent = m.deadDigest()
 	m.relink(now)
 }
 
-// alarmedAbout lists in order those about whom there are alarms: to hold one to be dead changes who judges the next, and
+// vmsWithAlarms lists in order those about whom there are alarms: to hold one to be dead changes who judges the next, and
 // daemons with the same alarms are to come to the same view.
-func (m *Members) alarmedAbout() []proto.VM {
-	var about []proto.VM
+func (m *Members) vmsWithAlarms() []proto.VM {
+	var vms []proto.VM
 	for vm, mem := range m.members {
 		if len(mem.alarms) > 0 {
-			about = append(about, vm)
+			vms = append(vms, vm)
 		}
 	}
-	slices.Sort(about)
-	return about
+	slices.Sort(vms)
+	return vms
 }
 
 // relink notes which links are new since the view changed, and announces this daemon over them: the other end may not
 // know it yet, and would send it nothing.
 func (m *Members) relink(now time.Time) {
 	links := m.links()
-	linked := make(map[proto.VM]time.Time, len(links))
+	linkedSince := make(map[proto.VM]time.Time, len(links))
 	for _, vm := range links {
-		since, ok := m.linked[vm]
+		since, ok := m.linkedSince[vm]
 		if !ok {
 			since = now
 			m.peers.Send(vm, m.self)
 		}
-		linked[vm] = since
+		linkedSince[vm] = since
 	}
-	m.linked = linked
+	m.linkedSince = linkedSince
 }
 
-// expectedSince is from when on silence of a daemon counts: it was heard then, or came to have a link to this one,
+// silentSince is from when on silence of a daemon counts: it was heard then, or came to have a link to this one,
 // before which it owed no heartbeat.
-func (m *Members) expectedSince(mem *member) time.Time {
-	if since := m.linked[mem.alive.VM]; since.After(mem.lastSeen) {
+func (m *Members) silentSince(mem *member) time.Time {
+	if since := m.linkedSince[mem.alive.VM]; since.After(mem.lastSeen) {
 		return since
 	}
 	return mem.lastSeen
 }
 
-func (m *Members) forget(now time.Time) {
+func (m *Members) forgetDead(now time.Time) {
 	for vm, mem := range m.members {
 		if _, listed := m.entries[vm]; mem.dead && !listed && now.Sub(mem.deadAt) > m.timing.ForgetAfter {
 			delete(m.members, vm)
-			m.changed()
-			delete(m.lastListed, vm)
+			m.invalidateGraph()
+			delete(m.lastListedAt, vm)
 		}
 	}
 }
--- a/coord/lease.go
+++ b/coord/lease.go
@@ -35,33 +35,33 @@
 // Lease is one daemon's part in one lease. Nobody compares clocks of two daemons: the holder counts from
 // before its write was sent, and a challenger from when it first saw the row unchanged.
 type Lease struct {
-	mu      sync.Mutex
-	table   Table
-	name    string
-	self    proto.VM
-	run     proto.Incarnation
-	timing  LeaseTiming
-	value   leaseValue
-	version uint64
-	seen    time.Time // when this version was first seen
-	until   time.Time // how long the lease is held by this run
-	sent    map[uint64]time.Time
+	mu          sync.Mutex
+	table       Table
+	name        string
+	self        proto.VM
+	incarnation proto.Incarnation
+	timing      LeaseTiming
+	value       leaseValue
+	version     uint64
+	seenAt      time.Time // when this version was first seen
+	heldUntil   time.Time // how long the lease is held by this run
+	sentAt      map[uint64]time.Time
 }
 
 // NewLease returns a lease that this daemon does not hold.
-func NewLease(table Table, name string, self proto.VM, run proto.Incarnation, timing LeaseTiming) *Lease {
-	return &Lease{table: table, name: name, self: self, run: run, timing: timing, sent: map[uint64]time.Time{}}
+func NewLease(table Table, name string, self proto.VM, incarnation proto.Incarnation, timing LeaseTiming) *Lease {
+	return &Lease{table: table, name: name, self: self, incarnation: incarnation, timing: timing, sentAt: map[uint64]time.Time{}}
 }
 
 // Held returns the epoch if the lease is held for at least the given time from now; it is asked right before each order.
 func (l *Lease) Held(clock func() time.Time, atLeast time.Duration) (proto.Epoch, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.value.Epoch, l.mine() && clock().Add(atLeast).Before(l.until)
+	return l.value.Epoch, l.isHolder() && clock().Add(atLeast).Before(l.heldUntil)
 }
 
-func (l *Lease) mine() bool {
-	return l.value.Holder == l.self && l.value.Incarnation == l.run && !l.value.Released
+func (l *Lease) isHolder() bool {
+	return l.value.Holder == l.self && l.value.Incarnation == l.incarnation && !l.value.Released
 }
 
 // Step takes, renews or watches the lease; it fails with KindUnavailable, and the lease then runs out by itself.
@@ -69,23 +69,23 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := clock()
-	if l.mine() && now.Before(l.until.Add(-2*l.timing.TTL/3)) && want {
+	if l.isHolder() && now.Before(l.heldUntil.Add(-2*l.timing.TTL/3)) && want {
 		return nil
 	}
 	if err := l.read(ctx, now); err != nil {
 		return err
 	}
 	switch {
-	case l.mine() && !want:
-		return l.write(ctx, clock, leaseValue{Epoch: l.value.Epoch, Released: true, Holder: l.self, Incarnation: l.run})
+	case l.isHolder() && !want:
+		return l.write(ctx, clock, leaseValue{Epoch: l.value.Epoch, Released: true, Holder: l.self, Incarnation: l.incarnation})
 	case !want:
 		return nil
-	case l.mine():
+	case l.isHolder():
 		next := l.value
 		next.Renewal++
 		return l.write(ctx, clock, next)
-	case l.version == 0, l.value.Released, clock().Sub(l.seen) > l.timing.TTL+l.timing.Margin:
-		return l.write(ctx, clock, leaseValue{Holder: l.self, Incarnation: l.run, Epoch: l.value.Epoch + 1})
+	case l.version == 0, l.value.Released, clock().Sub(l.seenAt) > l.timing.TTL+l.timing.Margin:
+		return l.write(ctx, clock, leaseValue{Holder: l.self, Incarnation: l.incarnation, Epoch: l.value.Epoch + 1})
 	}
 	return nil
 }
@@ -102,29 +102,29 @@
 	if err := json.Unmarshal(row.Value, &value); err != nil {
 		return &Error{Op: "read lease", Kind: proto.KindInvalid, Err: err}
 	}
-	l.value, l.version, l.seen = value, row.Version, now
+	l.value, l.version, l.seenAt = value, row.Version, now
 	l.extend()
 	return nil
 }
 
 // extend counts a write whose answer was lost from when it was sent, once the row shows it.
 func (l *Lease) extend() {
-	sent, ok := l.sent[l.stamp(l.value)]
-	if l.mine() && ok {
-		l.until = sent.Add(l.timing.TTL - l.timing.Margin)
+	sentAt, ok := l.sentAt[l.writeID(l.value)]
+	if l.isHolder() && ok {
+		l.heldUntil = sentAt.Add(l.timing.TTL - l.timing.Margin)
 	}
-	clear(l.sent)
+	clear(l.sentAt)
 }
 
-// stamp tells the writes of one run apart.
-func (l *Lease) stamp(v leaseValue) uint64 { return uint64(v.Epoch)<<32 | v.Renewal }
+// writeID tells the writes of one run apart.
+func (l *Lease) writeID(v leaseValue) uint64 { return uint64(v.Epoch)<<32 | v.Renewal }
 
 func (l *Lease) write(ctx context.Context, clock func() time.Time, value leaseValue) error {
 	data, err := json.Marshal(value)
 	if err != nil {
 		return &Error{Op: "write lease", Kind: proto.KindInvalid, Err: err}
 	}
-	l.sent[l.stamp(value)] = clock()
+	l.sentAt[l.writeID(value)] = clock()
 	err = l.table.Transact(ctx, proto.Transaction{
 		Conditions: []proto.Condition{{Key: rowLease + l.name, Version: l.version}},
 		Writes:     []proto.Write{{Key: rowLease + l.name, Value: data}},
--- a/coord/lease_test.go
+++ b/coord/lease_test.go
@@ -23,10 +23,10 @@
 	leases  []*Lease
 	offsets []time.Duration
 	// epochs are the highest that a checking target has seen; orders is how many it took.
-	epoch   proto.Epoch
-	holders map[proto.Epoch]int
-	orders  int
-	bad     []string
+	epoch      proto.Epoch
+	holders    map[proto.Epoch]int
+	orders     int
+	violations []string
 }
 
 // slowTable makes every call take time, in which the caller may be paused.
@@ -36,18 +36,18 @@
 }
 
 func (t slowTable) Read(ctx context.Context, key string) (proto.Row, error) {
-	t.sim.pass()
-	defer t.sim.pass()
+	t.sim.passTime()
+	defer t.sim.passTime()
 	return t.Table.Read(ctx, key)
 }
 
 func (t slowTable) Transact(ctx context.Context, tx proto.Transaction) error {
-	t.sim.pass()
-	defer t.sim.pass()
+	t.sim.passTime()
+	defer t.sim.passTime()
 	return t.Table.Transact(ctx, tx)
 }
 
-func (s *leaseSim) pass() {
+func (s *leaseSim) passTime() {
 	d := time.Duration(s.random.IntN(200)) * time.Millisecond
 	if s.random.IntN(40) == 0 {
 		d = time.Duration(s.random.IntN(40)) * time.Second
@@ -79,7 +79,7 @@
 	s.store.LoseAnswers(0)
 	s.check()
 	s.order(i)
-	s.pass()
+	s.passTime()
 }
 
 // check asks all at one instant: at most one may hold the lease.
@@ -91,28 +91,28 @@
 		}
 	}
 	if holders > 1 {
-		s.bad = append(s.bad, fmt.Sprintf("%d daemons hold the lease", holders))
+		s.violations = append(s.violations, fmt.Sprintf("%d daemons hold the lease", holders))
 	}
 }
 
 // order sends one that may arrive late; a target that checks must never go back to an older epoch.
 func (s *leaseSim) order(i int) {
-	epoch, held := s.leases[i].Held(s.clock(i), OrderWait)
+	epoch, held := s.leases[i].Held(s.clock(i), OrderTimeout)
 	if !held {
 		return
 	}
 	if epoch < s.epoch {
-		s.bad = append(s.bad, fmt.Sprintf("an order of epoch %d after one of %d", epoch, s.epoch))
+		s.violations = append(s.violations, fmt.Sprintf("an order of epoch %d after one of %d", epoch, s.epoch))
 	}
 	if other, ok := s.holders[epoch]; ok && other != i {
-		s.bad = append(s.bad, fmt.Sprintf("epoch %d has two holders", epoch))
+		s.violations = append(s.violations, fmt.Sprintf("epoch %d has two holders", epoch))
 	}
 	s.holders[epoch] = i
 	s.epoch = epoch
 	s.orders++
 }
 
-func TestOneHolderAtATime(t *testing.T) {
+func TestLeaseHasOneHolder(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(5)
 	parameters.MinSuccessfulTests = histories(300)
 	orders := 0
@@ -123,8 +123,8 @@
 			s.step()
 		}
 		orders += s.orders
-		if len(s.bad) > 0 {
-			return s.bad[0]
+		if len(s.violations) > 0 {
+			return s.violations[0]
 		}
 		return ""
 	}, gen.UInt64()))
--- a/coord/main_test.go
+++ b/coord/main_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// many multiplies the number of random histories, for long runs by hand.
-var many = flag.Int("many", 1, "factor on the number of random histories")
+// historyFactor multiplies the number of random histories, for long runs by hand.
+var historyFactor = flag.Int("many", 1, "factor on the number of random histories")
 
-func histories(n int) int { return n * *many }
+func histories(n int) int { return n * *historyFactor }
 
 func TestMain(m *testing.M) {
 	flag.Parse()
--- a/coord/members.go
+++ b/coord/members.go
@@ -11,13 +11,13 @@
 // MemberTiming holds the intervals of membership.
 type MemberTiming struct {
 	HeartbeatInterval time.Duration
-	// Silence is how long a link may be silent before its daemon raises an alarm.
+	// SilenceTimeout is how long a link may be silent before its daemon raises an alarm.
 	SilenceTimeout time.Duration
-	// Pause is how late its own tick may be before a daemon takes itself to have been paused.
+	// PauseThreshold is how late its own tick may be before a daemon takes itself to have been paused.
 	PauseThreshold time.Duration
-	// Lag bounds how late the platform's list is: a VM that no list has shown for so long is gone.
+	// MaxListLag bounds how late the platform's list is: a VM that no list has shown for so long is gone.
 	MaxListLag time.Duration
-	// Forget is how long a dead daemon stays known once the platform no longer lists it.
+	// ForgetAfter is how long a dead daemon stays known once the platform no longer lists it.
 	ForgetAfter time.Duration
 }
 
@@ -30,49 +30,49 @@
 const announceEvery = 5
 
 type member struct {
-	alive    proto.Alive
-	known    bool // announced by itself, not only listed
-	dead     bool
-	deadAt   time.Time
-	alarms   map[proto.VM]proto.Alarm
-	lastSeen time.Time
-	alarming bool
+	alive     proto.Alive
+	announced bool // announced by itself, not only listed
+	dead      bool
+	deadAt    time.Time
+	alarms    map[proto.VM]proto.Alarm
+	lastSeen  time.Time
+	alarming  bool
 	// agreement compares its view of who is dead with the own one.
 	agreement agreement
 }
 
 // Members is one daemon's view of the others. Safety never rests on it: views may differ.
 type Members struct {
-	mu         sync.Mutex
-	self       proto.Alive
-	timing     MemberTiming
-	rings      Rings
-	peers      Peers
-	members    map[proto.VM]*member
-	graph      *graph
-	linked     map[proto.VM]time.Time // since when this daemon links to another
-	linkedOf   uint64                 // the version of the view that linked is of
-	digest     uint64                 // of those that are dead in that view
-	news       gathered
-	orders     orders
-	renumbers  bool
-	started    time.Time
-	lastTick   time.Time
-	lastBeat   time.Time
-	pausedAt   time.Time
-	counts     uint64
-	leaving    map[proto.VM]bool
-	version    uint64
-	beat       func() proto.Heartbeat
-	firstList  time.Time
-	lastList   time.Time
-	lastListed map[proto.VM]time.Time // by own reads
-	entries    map[proto.VM]proto.VMEntry
-	entered    map[proto.VM]time.Time
-	beats      uint64
-	alarms     int64
-	deathCount int64
-	deniedAt   time.Time
+	mu                sync.Mutex
+	self              proto.Alive
+	timing            MemberTiming
+	rings             Rings
+	peers             Peers
+	members           map[proto.VM]*member
+	graph             *graph
+	linkedSince       map[proto.VM]time.Time // since when this daemon links to another
+	linkedVersion     uint64                 // the version of the view that linked is of
+	deadDigestSent    uint64                 // of those that are dead in that view
+	updates           updateBatch
+	orderCache        orderCache
+	raisesIncarnation bool
+	started           time.Time
+	lastTick          time.Time
+	lastHeartbeat     time.Time
+	pausedAt          time.Time
+	alarmSequence     uint64
+	leaving           map[proto.VM]bool
+	version           uint64
+	heartbeat         func() proto.Heartbeat
+	firstListAt       time.Time
+	lastListAt        time.Time
+	lastListedAt      map[proto.VM]time.Time // by own reads
+	entries           map[proto.VM]proto.VMEntry
+	enteredAt         map[proto.VM]time.Time
+	heartbeatCount    uint64
+	alarmCount        int64
+	deathCount        int64
+	deniedAt          time.Time
 }
 
 // MembersOption changes a view at construction.
@@ -80,43 +80,43 @@
 
 // WithIncarnationBump lets a daemon take a higher number for its run when others know of one that is not below its own, as
 // they do after its clock went back. Nothing else may rest on the number of the run then.
-func WithIncarnationBump() MembersOption { return func(m *Members) { m.renumbers = true } }
+func WithIncarnationBump() MembersOption { return func(m *Members) { m.raisesIncarnation = true } }
 
 // NewMembers returns a view that holds only the daemon itself; beat supplies what heartbeats say.
-func NewMembers(self proto.Alive, timing MemberTiming, rings Rings, peers Peers, beat func() proto.Heartbeat, options ...MembersOption) *Members {
+func NewMembers(self proto.Alive, timing MemberTiming, rings Rings, peers Peers, heartbeat func() proto.Heartbeat, options ...MembersOption) *Members {
 	m := &Members{
-		self: self, timing: timing, rings: rings, peers: peers, beat: beat,
-		members: map[proto.VM]*member{}, linked: map[proto.VM]time.Time{}, orders: orders{first: map[string][]proto.VM{}}, leaving: map[proto.VM]bool{}, lastListed: map[proto.VM]time.Time{},
-		entries: map[proto.VM]proto.VMEntry{}, entered: map[proto.VM]time.Time{},
+		self: self, timing: timing, rings: rings, peers: peers, heartbeat: heartbeat,
+		members: map[proto.VM]*member{}, linkedSince: map[proto.VM]time.Time{}, orderCache: orderCache{candidates: map[string][]proto.VM{}}, leaving: map[proto.VM]bool{}, lastListedAt: map[proto.VM]time.Time{},
+		entries: map[proto.VM]proto.VMEntry{}, enteredAt: map[proto.VM]time.Time{},
 	}
 	for _, option := range options {
 		option(m)
 	}
-	m.members[self.VM] = &member{alive: self, known: true, alarms: map[proto.VM]proto.Alarm{}}
+	m.members[self.VM] = &member{alive: self, announced: true, alarms: map[proto.VM]proto.Alarm{}}
 	return m
 }
 
-// changed marks the links as to be worked out anew, which is done when they are next asked for.
-func (m *Members) changed() {
+// invalidateGraph marks the links as to be worked out anew, which is done when they are next asked for.
+func (m *Members) invalidateGraph() {
 	m.graph = nil
 	m.version++
 }
 
-func (m *Members) ring() *graph {
+func (m *Members) linkGraph() *graph {
 	if m.graph == nil {
-		m.graph = m.rings.graph(m.seats())
+		m.graph = m.rings.graph(m.nodes())
 	}
 	return m.graph
 }
 
-func (m *Members) seats() []seat {
-	seats := make([]seat, 0, len(m.members))
+func (m *Members) nodes() []ringNode {
+	nodes := make([]ringNode, 0, len(m.members))
 	for vm, mem := range m.members {
 		if !mem.dead {
-			seats = append(seats, seat{vm: vm, region: mem.alive.Zone.Region()})
+			nodes = append(nodes, ringNode{vm: vm, region: mem.alive.Zone.Region()})
 		}
 	}
-	return seats
+	return nodes
 }
 
 // Version changes whenever the view does.
@@ -171,7 +171,7 @@
 	if mem == nil || mem.dead {
 		return true
 	}
-	return slices.Contains(m.links(), vm) && now.Sub(m.expectedSince(mem)) > since
+	return slices.Contains(m.links(), vm) && now.Sub(m.silentSince(mem)) > since
 }
 
 // AllSilent tells whether there are other live daemons and none has been heard for a time.
@@ -180,7 +180,7 @@
 	defer m.mu.Unlock()
 	others := false
 	for vm, mem := range m.members {
-		if vm == m.self.VM || !mem.known {
+		if vm == m.self.VM || !mem.announced {
 			continue
 		}
 		others = true
@@ -226,12 +226,12 @@
 func (m *Members) HandleAlive(now time.Time, a proto.Alive, from proto.VM) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.alive(now, a, from)
+	m.handleAlive(now, a, from)
 }
 
-func (m *Members) alive(now time.Time, a proto.Alive, from proto.VM) {
+func (m *Members) handleAlive(now time.Time, a proto.Alive, from proto.VM) {
 	if a.VM == m.self.VM {
-		m.renumber(a.Incarnation)
+		m.raiseIncarnation(a.Incarnation)
 		return
 	}
 	mem := m.members[a.VM]
@@ -241,37 +241,37 @@
 		m.members[a.VM] = mem
 	}
 	if !isNew && (a.Incarnation < mem.alive.Incarnation || a.Incarnation == mem.alive.Incarnation && a.Sequence <= mem.alive.Sequence) {
-		m.correct(mem, a.Incarnation, from)
+		m.sendCorrection(mem, a.Incarnation, from)
 		return
 	}
 	restarted := a.Incarnation != mem.alive.Incarnation
 	if isNew || mem.dead || a.Zone != mem.alive.Zone {
-		m.changed()
+		m.invalidateGraph()
 	}
 	mem.alive = a
-	mem.known = true
+	mem.announced = true
 	if restarted || mem.dead {
 		mem.dead = false
 		mem.alarming = false
 		mem.lastSeen = now
 		mem.alarms = map[proto.VM]proto.Alarm{}
 	}
-	m.passAlive(now, a, from)
+	m.forwardAlive(now, a, from)
 	if restarted && from == a.VM {
 		m.introduce(a.VM)
 	}
 }
 
-// correct tells a daemon that speaks for an earlier run than the last one known what is known of it.
-func (m *Members) correct(mem *member, spoken proto.Incarnation, from proto.VM) {
+// sendCorrection tells a daemon that speaks for an earlier run than the last one known what is known of it.
+func (m *Members) sendCorrection(mem *member, spoken proto.Incarnation, from proto.VM) {
 	if from == mem.alive.VM && spoken < mem.alive.Incarnation {
 		m.peers.Send(from, mem.alive)
 	}
 }
 
-// renumber takes a number above that of a run of this daemon that others know.
-func (m *Members) renumber(known proto.Incarnation) {
-	if !m.renumbers || known <= m.self.Incarnation {
+// raiseIncarnation takes a number above that of a run of this daemon that others know.
+func (m *Members) raiseIncarnation(known proto.Incarnation) {
+	if !m.raisesIncarnation || known <= m.self.Incarnation {
 		return
 	}
 	m.self.Incarnation = known + 1
@@ -281,16 +281,16 @@
 // introduce tells a daemon that has just started what this one knows.
 func (m *Members) introduce(vm proto.VM) {
 	m.peers.Send(vm, m.self)
-	var known proto.News
+	var announced proto.News
 	for other, mem := range m.members {
-		if other != vm && other != m.self.VM && mem.known && !mem.dead {
-			known.Alive = append(known.Alive, mem.alive)
+		if other != vm && other != m.self.VM && mem.announced && !mem.dead {
+			announced.Alive = append(announced.Alive, mem.alive)
 		}
 	}
-	if len(known.Alive) > 0 {
-		m.peers.Send(vm, known)
+	if len(announced.Alive) > 0 {
+		m.peers.Send(vm, announced)
 	}
-	m.peers.Send(vm, m.listed())
+	m.peers.Send(vm, m.allEntries())
 }
 
 // MemberCounts are the totals since the start.
@@ -306,7 +306,7 @@
 func (m *Members) Counts() MemberCounts {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c := MemberCounts{Known: len(m.members), Links: len(m.links()), Alarms: m.alarms, Deaths: m.deathCount}
+	c := MemberCounts{Known: len(m.members), Links: len(m.links()), Alarms: m.alarmCount, Deaths: m.deathCount}
 	for _, mem := range m.members {
 		if mem.dead {
 			c.Dead++
--- a/coord/members_test.go
+++ b/coord/members_test.go
@@ -14,17 +14,17 @@
 type meshSim struct {
 	now     time.Time
 	members map[proto.VM]*Members
-	order   []proto.VM
+	vms     []proto.VM
 	zone    map[proto.VM]proto.Zone
 	queue   []meshMessage
 	dead    map[proto.VM]bool
 	paused  map[proto.VM]bool
-	cut     func(a, b proto.VM) bool
+	isCut   func(a, b proto.VM) bool
 	timing  MemberTiming
 	sent    int
 	// bytes are those of all messages that were sent, counted if weigh is set.
-	bytes int
-	weigh bool
+	bytes      int
+	countBytes bool
 }
 
 type meshMessage struct {
@@ -39,7 +39,7 @@
 
 func (p meshPeers) Send(to proto.VM, m proto.Message) {
 	p.sim.sent++
-	if p.sim.weigh {
+	if p.sim.countBytes {
 		data, err := proto.Encode(m, 0, false, "")
 		if err != nil {
 			panic(err)
@@ -56,24 +56,24 @@
 func newMesh(n, regions, zones int, timing MemberTiming) *meshSim {
 	s := &meshSim{
 		now: time.Unix(1_700_000_000, 0), members: map[proto.VM]*Members{}, zone: map[proto.VM]proto.Zone{},
-		dead: map[proto.VM]bool{}, paused: map[proto.VM]bool{}, cut: func(proto.VM, proto.VM) bool { return false },
+		dead: map[proto.VM]bool{}, paused: map[proto.VM]bool{}, isCut: func(proto.VM, proto.VM) bool { return false },
 		timing: timing,
 	}
 	list := proto.VMList{}
 	for i := range n {
 		vm := proto.VM(fmt.Sprintf("vm-%d", i))
-		s.order = append(s.order, vm)
+		s.vms = append(s.vms, vm)
 		s.zone[vm] = proto.Zone(fmt.Sprintf("region-%d/zone-%d", i%regions, i/regions%zones))
 		list.VMs = append(list.VMs, proto.VMEntry{VM: vm, Zone: s.zone[vm], Entry: true})
 	}
-	for _, vm := range s.order {
+	for _, vm := range s.vms {
 		s.start(vm, 1)
 		// The list is taken in before anyone listens, as a daemon that starts does.
 		s.members[vm].HandleVMList(s.now, list)
 	}
 	s.queue = nil
-	for _, vm := range s.order {
-		for _, other := range s.order {
+	for _, vm := range s.vms {
+		for _, other := range s.vms {
 			s.members[vm].HandleAlive(s.now, proto.Alive{VM: other, Zone: s.zone[other], Incarnation: 1, Sequence: 9}, vm)
 		}
 	}
@@ -88,14 +88,14 @@
 	}, WithIncarnationBump())
 }
 
-func (s *meshSim) gone(vm proto.VM) bool { return s.dead[vm] || s.paused[vm] }
+func (s *meshSim) isDown(vm proto.VM) bool { return s.dead[vm] || s.paused[vm] }
 
 func (s *meshSim) tick(d time.Duration) {
 	s.now = s.now.Add(d)
 	batch := s.queue
 	s.queue = nil
 	for _, msg := range batch {
-		if s.gone(msg.to) || s.gone(msg.from) || s.cut(msg.from, msg.to) {
+		if s.isDown(msg.to) || s.isDown(msg.from) || s.isCut(msg.from, msg.to) {
 			continue
 		}
 		to := s.members[msg.to]
@@ -114,8 +114,8 @@
 			to.HandleListed(s.now, m, msg.from)
 		}
 	}
-	for _, vm := range s.order {
-		if !s.gone(vm) {
+	for _, vm := range s.vms {
+		if !s.isDown(vm) {
 			s.members[vm].Tick(s.now)
 		}
 	}
@@ -126,16 +126,16 @@
 	return min(200*time.Millisecond, s.timing.HeartbeatInterval/3)
 }
 
-func (s *meshSim) run(length time.Duration) {
-	for end := s.now.Add(length); s.now.Before(end); {
+func (s *meshSim) run(duration time.Duration) {
+	for end := s.now.Add(duration); s.now.Before(end); {
 		s.tick(s.step())
 	}
 }
 
-// holdDead returns how many of the live daemons hold one to be dead.
-func (s *meshSim) holdDead(vm proto.VM) (dead, live int) {
-	for _, other := range s.order {
-		if s.gone(other) || other == vm {
+// countDead returns how many of the live daemons hold one to be dead.
+func (s *meshSim) countDead(vm proto.VM) (dead, live int) {
+	for _, other := range s.vms {
+		if s.isDown(other) || other == vm {
 			continue
 		}
 		live++
@@ -161,8 +161,8 @@
 		t.Run(scenario.name, func(t *testing.T) {
 			s := newMesh(scenario.daemons, scenario.regions, scenario.z, DefaultMemberTiming())
 			s.run(10 * time.Second)
-			for _, vm := range s.order {
-				if dead, _ := s.holdDead(vm); dead > 0 {
+			for _, vm := range s.vms {
+				if dead, _ := s.countDead(vm); dead > 0 {
 					t.Fatalf("%s is held dead by %d and is not", vm, dead)
 				}
 				if links := len(s.members[vm].Links()); links > 10 {
@@ -170,12 +170,12 @@
 				}
 			}
 			for i := range scenario.kill {
-				s.dead[s.order[i*7%scenario.daemons]] = true
+				s.dead[s.vms[i*7%scenario.daemons]] = true
 			}
 			s.run(6 * time.Second)
 			for vm := range s.dead {
 				// Only its own region judges a daemon, but the word goes everywhere.
-				if dead, live := s.holdDead(vm); dead < live {
+				if dead, live := s.countDead(vm); dead < live {
 					t.Errorf("%s is dead, and %d of %d know", vm, dead, live)
 				}
 			}
@@ -183,26 +183,26 @@
 	}
 }
 
-func TestPauseIsForgiven(t *testing.T) {
+func TestShortPauseIsTolerated(t *testing.T) {
 	s := newMesh(8, 1, 4, DefaultMemberTiming())
 	s.run(5 * time.Second)
 	s.paused["vm-3"] = true
 	s.run(2 * time.Second)
 	s.paused["vm-3"] = false
 	s.run(10 * time.Second)
-	for _, vm := range s.order {
+	for _, vm := range s.vms {
 		if counts := s.members[vm].Counts(); counts.Deaths > 0 {
 			t.Fatalf("a pause of 2 s made %s hold %d daemons dead", vm, counts.Deaths)
 		}
 	}
 	s.paused["vm-3"] = true
 	s.run(20 * time.Second)
-	if dead, live := s.holdDead("vm-3"); dead < live {
+	if dead, live := s.countDead("vm-3"); dead < live {
 		t.Fatalf("%d of %d know of a pause of 20 s", dead, live)
 	}
 	s.paused["vm-3"] = false
 	s.run(5 * time.Second)
-	if dead, _ := s.holdDead("vm-3"); dead > 0 {
+	if dead, _ := s.countDead("vm-3"); dead > 0 {
 		t.Fatalf("%d still hold the daemon dead that woke", dead)
 	}
 	if counts := s.members["vm-3"].Counts(); counts.Deaths > 0 || counts.Alarms > 0 {
@@ -210,12 +210,12 @@
 	}
 }
 
-func TestRegionsLoseEachOther(t *testing.T) {
+func TestRegionPartition(t *testing.T) {
 	s := newMesh(60, 2, 4, DefaultMemberTiming())
 	s.run(5 * time.Second)
-	s.cut = func(a, b proto.VM) bool { return s.zone[a].Region() != s.zone[b].Region() }
+	s.isCut = func(a, b proto.VM) bool { return s.zone[a].Region() != s.zone[b].Region() }
 	s.run(60 * time.Second)
-	for _, vm := range s.order {
+	for _, vm := range s.vms {
 		if counts := s.members[vm].Counts(); counts.Deaths > 0 {
 			t.Fatalf("%s holds %d daemons dead while regions are apart", vm, counts.Deaths)
 		}
@@ -223,26 +223,26 @@
 	// A death inside a region is noticed there all the same, and elsewhere once the regions are joined again.
 	s.dead["vm-10"] = true
 	s.run(6 * time.Second)
-	dead, _ := s.holdDead("vm-10")
+	dead, _ := s.countDead("vm-10")
 	if dead != 29 {
 		t.Fatalf("%d of its own region's 29 know", dead)
 	}
 }
 
-func TestRingsLinkAll(t *testing.T) {
+func TestRingsConnectAllDaemons(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	for _, n := range []int{1, 2, 9, 10, 100, 2000} {
-		seats := make([]seat, n)
-		for i := range seats {
-			seats[i] = seat{vm: proto.VM(fmt.Sprintf("vm-%d-%d", i, random.IntN(1e6))), region: fmt.Sprint(i % 4)}
+		nodes := make([]ringNode, n)
+		for i := range nodes {
+			nodes[i] = ringNode{vm: proto.VM(fmt.Sprintf("vm-%d-%d", i, random.IntN(1e6))), region: fmt.Sprint(i % 4)}
 		}
-		g := DefaultRings().graph(seats)
-		reached := map[proto.VM]bool{seats[0].vm: true}
-		front := []proto.VM{seats[0].vm}
+		g := DefaultRings().graph(nodes)
+		reached := map[proto.VM]bool{nodes[0].vm: true}
+		frontier := []proto.VM{nodes[0].vm}
 		hops := 0
-		for len(front) > 0 {
+		for len(frontier) > 0 {
 			var next []proto.VM
-			for _, vm := range front {
+			for _, vm := range frontier {
 				for _, other := range g.links(vm) {
 					if !reached[other] {
 						reached[other] = true
@@ -250,7 +250,7 @@
 					}
 				}
 			}
-			front = next
+			frontier = next
 			hops++
 		}
 		if len(reached) != n {
@@ -263,17 +263,17 @@
 }
 
 // A daemon whose announcement was lost is known by its heartbeats.
-func TestLostAnnouncementIsMadeUpFor(t *testing.T) {
+func TestLostAnnouncementIsRecovered(t *testing.T) {
 	s := newMesh(3, 1, 3, DefaultMemberTiming())
 	s.start("vm-1", 2)
 	list := proto.VMList{}
-	for _, vm := range s.order {
+	for _, vm := range s.vms {
 		list.VMs = append(list.VMs, proto.VMEntry{VM: vm, Zone: s.zone[vm], Entry: true})
 	}
 	s.members["vm-1"].HandleVMList(s.now, list)
 	s.queue = nil
 	s.run(3 * time.Second)
-	for _, vm := range s.order {
+	for _, vm := range s.vms {
 		for _, alive := range s.members[vm].Live() {
 			want := proto.Incarnation(1)
 			if alive.VM == "vm-1" {
@@ -287,19 +287,19 @@
 }
 
 // The list goes from daemon to daemon by change, and a reader that lags does not contradict the others.
-func TestListIsPassedOnByChange(t *testing.T) {
+func TestListUpdatesAreForwarded(t *testing.T) {
 	s := newMesh(60, 2, 4, DefaultMemberTiming())
 	s.run(15 * time.Second)
 	list := func(leaving bool) proto.VMList {
 		l := proto.VMList{VMs: []proto.VMEntry{{VM: "target", Leaving: leaving}}}
-		for _, vm := range s.order {
+		for _, vm := range s.vms {
 			l.VMs = append(l.VMs, proto.VMEntry{VM: vm, Zone: s.zone[vm], Entry: true})
 		}
 		return l
 	}
 	s.members["vm-0"].HandleVMList(s.now, list(true))
 	s.run(2 * time.Second)
-	for _, vm := range s.order {
+	for _, vm := range s.vms {
 		if !s.members[vm].Leaving()["target"] {
 			t.Fatalf("%s does not know that the target leaves", vm)
 		}
@@ -318,35 +318,35 @@
 	}
 }
 
-func TestOverNeedsAnOwnRead(t *testing.T) {
+func TestRunEndedNeedsOwnRead(t *testing.T) {
 	s := newMesh(3, 1, 3, DefaultMemberTiming())
 	m := s.members["vm-0"]
 	without := proto.VMList{VMs: []proto.VMEntry{{VM: "vm-0", Entry: true}, {VM: "vm-2", Entry: true}}}
-	if m.Over(s.now.Add(time.Hour), "vm-1", 1) {
+	if m.RunEnded(s.now.Add(time.Hour), "vm-1", 1) {
 		t.Fatal("over without a read for an hour")
 	}
 	for range 20 {
 		s.now = s.now.Add(2 * time.Second)
 		m.HandleVMList(s.now, without)
 	}
-	if !m.Over(s.now, "vm-1", 1) || m.Over(s.now, "vm-2", 1) {
+	if !m.RunEnded(s.now, "vm-1", 1) || m.RunEnded(s.now, "vm-2", 1) {
 		t.Fatal("a VM that left the list 40 s ago must be over, and one on it not")
 	}
 }
 
-// TestADaemonWhoseClockWentBackIsHeard starts a daemon anew with a lower number than its last run had: others would
+// TestRestartWithLowerIncarnation starts a daemon anew with a lower number than its last run had: others would
 // hold all that it says to be that run's.
-func TestADaemonWhoseClockWentBackIsHeard(t *testing.T) {
+func TestRestartWithLowerIncarnation(t *testing.T) {
 	s := newMesh(8, 1, 4, quickTiming())
 	s.start("vm-3", 5)
-	for _, vm := range s.order {
+	for _, vm := range s.vms {
 		s.members["vm-3"].HandleAlive(s.now, proto.Alive{VM: vm, Zone: s.zone[vm], Incarnation: 1, Sequence: 9}, "")
 	}
 	s.run(2 * time.Second)
 	s.start("vm-3", 2)
 	s.members["vm-3"].HandleAlive(s.now, proto.Alive{VM: "vm-0", Zone: s.zone["vm-0"], Incarnation: 1, Sequence: 9}, "")
 	s.run(3 * time.Second)
-	for _, vm := range s.order {
+	for _, vm := range s.vms {
 		live := s.members[vm].Live()
 		if len(live) != 8 {
 			t.Errorf("%s knows %d of 8 daemons", vm, len(live))
--- a/coord/node.go
+++ b/coord/node.go
@@ -20,9 +20,9 @@
 	ListInterval   time.Duration // of the VM list
 	RosterInterval time.Duration // of the roster
 	SweepInterval  time.Duration
-	// Alone is how long a daemon serves on that can reach neither the store nor another daemon.
+	// IsolationTimeout is how long a daemon serves on that can reach neither the store nor another daemon.
 	IsolationTimeout time.Duration
-	// Pollers is the number of daemons in a zone that read the store.
+	// PollersPerZone is the number of daemons in a zone that read the store.
 	PollersPerZone int
 }
 
@@ -52,14 +52,14 @@
 	ConfigStore *ConfigStore
 	Replica     *Replica
 	Claimer     *Claimer
-	Roster      *RosterKeeper
-	Sums        *UsageSums
+	Roster      *RosterWriter
+	UsageTotals *UsageTotals
 
-	started   time.Time
-	storeSeen atomic.Int64 // unix nanoseconds
-	pulling   atomic.Bool
-	rostering atomic.Bool
-	stopping  atomic.Bool
+	started        time.Time
+	lastStoreRead  atomic.Int64 // unix nanoseconds
+	pullingChanges atomic.Bool
+	pullingRoster  atomic.Bool
+	stopping       atomic.Bool
 
 	mu        sync.Mutex
 	nextList  time.Time
@@ -73,32 +73,32 @@
 type NodeOption func(*nodeConfig)
 
 type nodeConfig struct {
-	node    NodeTiming
-	member  MemberTiming
-	claim   ClaimTiming
-	rings   Rings
-	roster  RosterPlan
-	adopted func(*proto.Snapshot)
-	usage   func([]proto.UsageRow)
-	loads   func(proto.Loads)
-	demand  func([]proto.DemandRow)
+	nodeTiming   NodeTiming
+	memberTiming MemberTiming
+	claimTiming  ClaimTiming
+	rings        Rings
+	rosterPlan   RosterPlan
+	onSnapshot   func(*proto.Snapshot)
+	usage        func([]proto.UsageRow)
+	loads        func(proto.Loads)
+	demand       func([]proto.DemandRow)
 }
 
 // WithNodeTiming sets the intervals of the node's own work.
-func WithNodeTiming(t NodeTiming) NodeOption { return func(c *nodeConfig) { c.node = t } }
+func WithNodeTiming(t NodeTiming) NodeOption { return func(c *nodeConfig) { c.nodeTiming = t } }
 
 // WithMemberTiming sets the intervals of membership.
-func WithMemberTiming(t MemberTiming) NodeOption { return func(c *nodeConfig) { c.member = t } }
+func WithMemberTiming(t MemberTiming) NodeOption { return func(c *nodeConfig) { c.memberTiming = t } }
 
 // WithClaimTiming sets the intervals of claims.
-func WithClaimTiming(t ClaimTiming) NodeOption { return func(c *nodeConfig) { c.claim = t } }
+func WithClaimTiming(t ClaimTiming) NodeOption { return func(c *nodeConfig) { c.claimTiming = t } }
 
 // WithRosterPlan sets the sizes of the roster.
-func WithRosterPlan(p RosterPlan) NodeOption { return func(c *nodeConfig) { c.roster = p } }
+func WithRosterPlan(p RosterPlan) NodeOption { return func(c *nodeConfig) { c.rosterPlan = p } }
 
 // WithSnapshotHandler sets what is told of each snapshot that comes into force.
 func WithSnapshotHandler(fn func(*proto.Snapshot)) NodeOption {
-	return func(c *nodeConfig) { c.adopted = fn }
+	return func(c *nodeConfig) { c.onSnapshot = fn }
 }
 
 // WithReportHandlers sets what is told of other daemons' usage and of targets' loads.
@@ -114,27 +114,27 @@
 // NewNode returns a node that knows only itself.
 func NewNode(deps Deps, options ...NodeOption) *Node {
 	c := nodeConfig{
-		node: DefaultNodeTiming(), member: DefaultMemberTiming(), claim: DefaultClaimTiming(),
-		rings: DefaultRings(), roster: DefaultRosterPlan(),
+		nodeTiming: DefaultNodeTiming(), memberTiming: DefaultMemberTiming(), claimTiming: DefaultClaimTiming(),
+		rings: DefaultRings(), rosterPlan: DefaultRosterPlan(),
 		usage: func([]proto.UsageRow) {}, loads: func(proto.Loads) {}, demand: func([]proto.DemandRow) {},
 	}
 	for _, option := range options {
 		option(&c)
 	}
-	n := &Node{deps: deps, started: deps.Clock.Now(), timing: c.node, onUsage: c.usage, onLoads: c.loads, onDemand: c.demand, Sums: NewUsageSums()}
+	n := &Node{deps: deps, started: deps.Clock.Now(), timing: c.nodeTiming, onUsage: c.usage, onLoads: c.loads, onDemand: c.demand, UsageTotals: NewUsageTotals()}
 	self := proto.RosterMember{VM: deps.Self.VM, Zone: deps.Self.Zone, Incarnation: deps.Self.Incarnation}
 	n.Config = NewConfigState(func(s *proto.Snapshot) {
-		if c.adopted != nil {
-			c.adopted(s)
+		if c.onSnapshot != nil {
+			c.onSnapshot(s)
 		}
 		// The news goes out at once; the lock of the changes is held here.
 		go n.Members.SendHeartbeats(deps.Clock.Now())
 	})
 	n.ConfigStore = NewConfigStore(deps.Platform, deps.Clock)
-	n.Members = NewMembers(deps.Self, c.member, c.rings, deps.Peers, n.heartbeat)
-	n.Replica = NewReplica(self, c.claim)
-	n.Roster = NewRosterKeeper(deps.Platform, c.roster, c.claim, n.Members, n.Replica, WithDates(func(time.Time) time.Time { return timeOfDay(deps.Clock) }))
-	n.Claimer = NewClaimer(self, n.Replica, deps.Peers, deps.Clock, c.claim, n.pullRoster, n.Members.Dead)
+	n.Members = NewMembers(deps.Self, c.memberTiming, c.rings, deps.Peers, n.heartbeat)
+	n.Replica = NewReplica(self, c.claimTiming)
+	n.Roster = NewRosterWriter(deps.Platform, c.rosterPlan, c.claimTiming, n.Members, n.Replica, WithWallTime(func(time.Time) time.Time { return wallTime(deps.Clock) }))
+	n.Claimer = NewClaimer(self, n.Replica, deps.Peers, deps.Clock, c.claimTiming, n.pullRoster, n.Members.Dead)
 	return n
 }
 
@@ -172,7 +172,7 @@
 	now := n.deps.Clock.Now()
 	switch msg := m.(type) {
 	case proto.Heartbeat:
-		n.takeHeartbeat(now, from, msg)
+		n.handleHeartbeat(now, from, msg)
 	case proto.Alive:
 		n.Members.HandleAlive(now, msg, from)
 	case proto.Alarm:
@@ -188,7 +188,7 @@
 	case proto.RosterAsk:
 		return proto.RosterAnswer{Roster: n.Replica.Roster()}
 	case proto.ClaimAsk:
-		return n.Replica.Claim(timeOfDay(n.deps.Clock), msg)
+		return n.Replica.Claim(wallTime(n.deps.Clock), msg)
 	case proto.Settle:
 		n.Replica.Settle(msg)
 	case proto.TransferAsk:
@@ -198,34 +198,34 @@
 	case proto.Demand:
 		n.onDemand(msg.Rows)
 	case proto.Usage:
-		n.takeUsage(now, from, msg)
+		n.handleUsage(now, from, msg)
 	case proto.Loads:
 		n.onLoads(msg)
 	}
 	return proto.Done{}
 }
 
-func (n *Node) takeHeartbeat(now time.Time, from proto.VM, beat proto.Heartbeat) {
+func (n *Node) handleHeartbeat(now time.Time, from proto.VM, beat proto.Heartbeat) {
 	n.Members.HandleHeartbeat(now, from, beat)
-	if beat.Generation > n.Config.Generation() && n.pulling.CompareAndSwap(false, true) {
+	if beat.Generation > n.Config.Generation() && n.pullingChanges.CompareAndSwap(false, true) {
 		go n.pullChanges(from)
 	} else if beat.Generation > 0 {
-		n.Config.Learnt(beat.Generation)
+		n.Config.MarkSynced(beat.Generation)
 	}
-	if beat.Roster > n.Replica.Epoch() && n.rostering.CompareAndSwap(false, true) {
+	if beat.Roster > n.Replica.Epoch() && n.pullingRoster.CompareAndSwap(false, true) {
 		go func() {
-			defer n.rostering.Store(false)
+			defer n.pullingRoster.Store(false)
 			n.pullRoster(context.Background(), from)
 		}()
 	}
 }
 
-func (n *Node) takeUsage(now time.Time, from proto.VM, msg proto.Usage) {
+func (n *Node) handleUsage(now time.Time, from proto.VM, msg proto.Usage) {
 	if msg.Totals {
 		n.onUsage(msg.Rows)
 		return
 	}
-	if others := n.Sums.Add(now, from, msg.Rows); len(others) > 0 {
+	if others := n.UsageTotals.Add(now, from, msg.Rows); len(others) > 0 {
 		n.deps.Peers.Send(from, proto.Usage{Rows: others, Totals: true})
 	}
 }
@@ -242,7 +242,7 @@
 	}
 	for vm, batch := range batches {
 		if vm == n.deps.Self.VM {
-			n.onUsage(n.Sums.Add(n.deps.Clock.Now(), vm, batch))
+			n.onUsage(n.UsageTotals.Add(n.deps.Clock.Now(), vm, batch))
 			continue
 		}
 		n.deps.Peers.Send(vm, proto.Usage{Rows: batch})
@@ -263,7 +263,7 @@
 	n.mu.Unlock()
 	if sweep {
 		n.Replica.Sweep(now)
-		n.Sums.Sweep(now)
+		n.UsageTotals.Sweep(now)
 	}
 }
 
--- a/coord/owner_test.go
+++ b/coord/owner_test.go
@@ -9,18 +9,18 @@
 	"emberlead/proto"
 )
 
-func nobody(proto.VM) bool { return false }
+func skipNone(proto.VM) bool { return false }
 
-func TestADaemonAloneOwnsAll(t *testing.T) {
+func TestSingleDaemonOwnsEverything(t *testing.T) {
 	m := NewMembers(proto.Alive{VM: "one", Zone: "r/z"}, quickTiming(), DefaultRings(), meshPeers{}, func() proto.Heartbeat { return proto.Heartbeat{} })
-	if got := m.Owner("task", nobody); got != "one" || !m.IsAmongFirst("task", 2, nobody) {
+	if got := m.Owner("task", skipNone); got != "one" || !m.IsAmongFirst("task", 2, skipNone) {
 		t.Errorf("owner %q", got)
 	}
 }
 
-// TestOwnersFollowTheView compares the kept orders with ones worked out anew, while daemons come, die, stop and are
+// TestOwnersFollowView compares the kept orders with ones worked out anew, while daemons come, die, stop and are
 // left out.
-func TestOwnersFollowTheView(t *testing.T) {
+func TestOwnersFollowView(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	s := newMesh(40, 1, 4, quickTiming())
 	m := s.members["vm-0"]
@@ -34,35 +34,35 @@
 		case 1:
 			m.HandleDeaths(s.now.Add(quickTiming().SilenceTimeout), proto.Deaths{Runs: []proto.DaemonRun{{VM: vm, Incarnation: 2}}}, "vm-1")
 		}
-		out := map[proto.VM]bool{vm: true}
+		skipped := map[proto.VM]bool{vm: true}
 		if random.IntN(20) == 0 {
 			for _, a := range m.Live() {
-				out[a.VM] = random.IntN(10) > 0
+				skipped[a.VM] = random.IntN(10) > 0
 			}
 		}
 		task := fmt.Sprint("task-", random.IntN(3))
-		want, _ := first(task, vmsOf(m.Live(), func(a proto.Alive) bool { return !out[a.VM] }))
-		if got := m.Owner(task, func(vm proto.VM) bool { return out[vm] }); got != want {
+		want, _ := firstRanked(task, vmsOf(m.Live(), func(a proto.Alive) bool { return !skipped[a.VM] }))
+		if got := m.Owner(task, func(vm proto.VM) bool { return skipped[vm] }); got != want {
 			t.Fatalf("step %d: owner %q, want %q", step, got, want)
 		}
-		zone := vmsOf(m.Live(), func(a proto.Alive) bool { return a.Zone == m.self.Zone && !out[a.VM] })
+		zone := vmsOf(m.Live(), func(a proto.Alive) bool { return a.Zone == m.self.Zone && !skipped[a.VM] })
 		among := len(zone) <= 2
-		for _, vm := range rank(task, zone)[:min(2, len(zone))] {
+		for _, vm := range rankVMs(task, zone)[:min(2, len(zone))] {
 			among = among || vm == m.self.VM
 		}
-		if got := m.IsAmongFirst(task, 2, func(vm proto.VM) bool { return out[vm] }); got != among {
+		if got := m.IsAmongFirst(task, 2, func(vm proto.VM) bool { return skipped[vm] }); got != among {
 			t.Fatalf("step %d: among the first of its zone: %v, want %v", step, got, among)
 		}
 	}
 }
 
-// TestTheFirstOfEachZoneAreThoseWhoHoldThemselvesToBe compares what one daemon says of all zones with what each daemon
+// TestFirstPerZoneMatchesIsAmongFirst compares what one daemon says of all zones with what each daemon
 // says of itself.
-func TestTheFirstOfEachZoneAreThoseWhoHoldThemselvesToBe(t *testing.T) {
+func TestFirstPerZoneMatchesIsAmongFirst(t *testing.T) {
 	s := newMesh(40, 2, 3, quickTiming())
 	var want []proto.VM
 	for vm, m := range s.members {
-		if m.IsAmongFirst("task", 2, nobody) {
+		if m.IsAmongFirst("task", 2, skipNone) {
 			want = append(want, vm)
 		}
 	}
--- a/coord/orders_test.go
+++ b/coord/placement_test.go
@@ -30,10 +30,10 @@
 	return m.targets[address].Load(m.clock.Now()), nil
 }
 
-// always gives every target the first model.
-type always struct{}
+// firstModelPlacer gives every target the first model.
+type firstModelPlacer struct{}
 
-func (always) Place(_ time.Time, pool *proto.Pool, _ map[string]time.Duration, current map[string][]string) map[string][]string {
+func (firstModelPlacer) Place(_ time.Time, pool *proto.Pool, _ map[string]time.Duration, current map[string][]string) map[string][]string {
 	changes := map[string][]string{}
 	for target := range current {
 		changes[target] = pool.Models[:1]
@@ -52,7 +52,7 @@
 	targets := memoryTargets{targets: map[netip.AddrPort]*fakes.Target{spec.Address: target}, clock: clock}
 	holder := func(vm proto.VM) (*PlacementController, *Lease) {
 		deps := Deps{Self: proto.Alive{VM: vm, Zone: "r/a", Incarnation: 1}, Clock: clock, Log: hclog.NewNullLogger(), Platform: store.For(string(vm)), Peers: meshPeers{sim: &meshSim{}, self: vm}}
-		o := NewPlacementController(deps, NewNode(deps), targets, always{}, DefaultLeaseTiming())
+		o := NewPlacementController(deps, NewNode(deps), targets, firstModelPlacer{}, DefaultLeaseTiming())
 		return o, o.leases[0]
 	}
 	ctx := context.Background()
@@ -64,7 +64,7 @@
 		}
 	}
 	step(firstLease)
-	first.send(ctx, firstLease, 0, &spec, []string{"small"})
+	first.sendOrder(ctx, firstLease, 0, &spec, []string{"small"})
 	if got := first.Counts(); got.Sent != 1 || got.Held != 1 {
 		t.Fatalf("first %+v", got)
 	}
@@ -77,12 +77,12 @@
 	}
 	clock.Advance(10 * time.Second)
 	step(secondLease)
-	second.send(ctx, secondLease, 0, &spec, []string{"large"})
+	second.sendOrder(ctx, secondLease, 0, &spec, []string{"large"})
 	if got := second.Counts(); got.Sent != 1 {
 		t.Fatalf("second %+v", got)
 	}
 	// The first wakes. Its lease is over, so it sends nothing; what it had under way is refused by the target.
-	first.send(ctx, firstLease, 0, &spec, []string{"small"})
+	first.sendOrder(ctx, firstLease, 0, &spec, []string{"small"})
 	if got := first.Counts(); got.Sent != 1 || got.Skipped != 1 {
 		t.Fatalf("first after its pause %+v", got)
 	}
--- a/coord/poll.go
+++ b/coord/poll.go
@@ -10,9 +10,9 @@
 // Poll reads the store if this daemon is one of its zone's pollers, or knows nothing yet.
 func (n *Node) Poll(ctx context.Context) {
 	now := n.deps.Clock.Now()
-	if !n.polls() && n.Config.Synced() {
+	if !n.isPoller() && n.Config.Synced() {
 		// News of the list can be lost on the way, so everyone reads it now and then.
-		if now.Sub(n.nextList) > rareList {
+		if now.Sub(n.nextList) > rareListInterval {
 			n.pollList(ctx, now)
 		}
 		return
@@ -21,7 +21,7 @@
 		n.deps.Log.Debug("the store did not answer", "error", err)
 		return
 	}
-	n.storeSeen.Store(now.UnixNano())
+	n.lastStoreRead.Store(now.UnixNano())
 	n.pollList(ctx, now)
 }
 
@@ -38,16 +38,16 @@
 	n.Members.HandleVMList(now, list)
 }
 
-// rareList is how often a daemon reads the VM list that need not.
-const rareList = time.Minute
+// rareListInterval is how often a daemon reads the VM list that need not.
+const rareListInterval = time.Minute
 
-// polls tells whether this daemon is one that reads the store for its zone, or that writes the roster.
-func (n *Node) polls() bool {
-	if keeper, ok := first("roster", vmsOf(n.Members.Live(), anyDaemon)); ok && keeper == n.deps.Self.VM {
+// isPoller tells whether this daemon is one that reads the store for its zone, or that writes the roster.
+func (n *Node) isPoller() bool {
+	if writer, ok := firstRanked("roster", vmsOf(n.Members.Live(), anyDaemon)); ok && writer == n.deps.Self.VM {
 		return true
 	}
 	zone := n.deps.Self.Zone
-	vms := rank("poll", vmsOf(n.Members.Live(), func(a proto.Alive) bool { return a.Zone == zone }))
+	vms := rankVMs("poll", vmsOf(n.Members.Live(), func(a proto.Alive) bool { return a.Zone == zone }))
 	for i, vm := range vms {
 		if vm == n.deps.Self.VM {
 			return i < n.timing.PollersPerZone
@@ -56,18 +56,18 @@
 	return true
 }
 
-// settleTime is how long a new daemon looks around before it writes the first roster.
-const settleTime = 1500 * time.Millisecond
+// startupDelay is how long a new daemon looks around before it writes the first roster.
+const startupDelay = 1500 * time.Millisecond
 
 // ReviseRoster changes the roster if this daemon is the one to do so, and otherwise reads it while it has none.
 func (n *Node) ReviseRoster(ctx context.Context) {
-	keeper, ok := first("roster", vmsOf(n.Members.Live(), anyDaemon))
+	writer, ok := firstRanked("roster", vmsOf(n.Members.Live(), anyDaemon))
 	var err error
 	switch {
-	case n.Replica.Epoch() == 0 && n.deps.Clock.Since(n.started) < settleTime:
+	case n.Replica.Epoch() == 0 && n.deps.Clock.Since(n.started) < startupDelay:
 		return
-	case ok && keeper == n.deps.Self.VM && !n.stopping.Load():
-		err = n.Roster.Revise(ctx, n.deps.Clock.Now())
+	case ok && writer == n.deps.Self.VM && !n.stopping.Load():
+		err = n.Roster.ReviseRoster(ctx, n.deps.Clock.Now())
 	case n.Replica.Epoch() == 0:
 		_, err = n.Roster.Read(ctx)
 	}
@@ -77,7 +77,7 @@
 }
 
 // LastStoreRead returns when this daemon last read the store.
-func (n *Node) LastStoreRead() time.Time { return time.Unix(0, n.storeSeen.Load()) }
+func (n *Node) LastStoreRead() time.Time { return time.Unix(0, n.lastStoreRead.Load()) }
 
 // Isolated tells whether the daemon can reach neither the store nor any other daemon, so that it cannot know what is in force.
 func (n *Node) Isolated(now time.Time) bool {
--- a/coord/pull.go
+++ b/coord/pull.go
@@ -11,7 +11,7 @@
 
 // pullChanges asks a daemon with a higher generation until there is nothing newer, and passes the news on at once.
 func (n *Node) pullChanges(from proto.VM) {
-	defer n.pulling.Store(false)
+	defer n.pullingChanges.Store(false)
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), pullTimeout)
 		m, err := n.deps.Peers.Call(ctx, from, proto.ChangesAsk{After: n.Config.Generation()})
@@ -20,19 +20,19 @@
 		if err != nil || !ok || answer.Generation <= n.Config.Generation() {
 			break
 		}
-		if !n.take(answer) {
+		if !n.applyAnswer(answer) {
 			n.deps.Log.Warn("changes of a peer do not fit", "from", from, "generation", answer.Generation)
 			break
 		}
-		n.Config.Learnt(answer.Generation)
+		n.Config.MarkSynced(answer.Generation)
 	}
 }
 
-func (n *Node) take(answer proto.ChangesAnswer) bool {
+func (n *Node) applyAnswer(answer proto.ChangesAnswer) bool {
 	if answer.Full {
-		return n.Config.TakeWhole(answer.Generation, answer.Changes)
+		return n.Config.ApplyFull(answer.Generation, answer.Changes)
 	}
-	return n.Config.Take(answer.Changes)
+	return n.Config.ApplyChanges(answer.Changes)
 }
 
 func (n *Node) pullRoster(ctx context.Context, from proto.VM) {
@@ -61,16 +61,16 @@
 	if len(ready) == 0 {
 		return
 	}
-	keeper, ok := first("roster", vmsOf(n.Members.Live(), anyDaemon))
+	writer, ok := firstRanked("roster", vmsOf(n.Members.Live(), anyDaemon))
 	if !ok {
 		return
 	}
 	for _, m := range ready {
-		if keeper == n.deps.Self.VM {
-			n.Roster.Report(keeper, m)
+		if writer == n.deps.Self.VM {
+			n.Roster.Report(writer, m)
 			continue
 		}
-		n.deps.Peers.Send(keeper, m)
+		n.deps.Peers.Send(writer, m)
 	}
 }
 
--- a/coord/ready.go
+++ b/coord/ready.go
@@ -19,7 +19,7 @@
 
 func newReadyReports() *readyReports { return &readyReports{slots: map[int]*readySlot{}} }
 
-func (r *readyReports) take(from proto.VM, m proto.SlotReady) {
+func (r *readyReports) record(from proto.VM, m proto.SlotReady) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	slot := r.slots[m.Slot]
@@ -32,7 +32,7 @@
 	}
 }
 
-func (r *readyReports) of(index int, since proto.Epoch) map[proto.VM]bool {
+func (r *readyReports) readyVMs(index int, since proto.Epoch) map[proto.VM]bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	slot := r.slots[index]
--- a/coord/replica.go
+++ b/coord/replica.go
@@ -13,18 +13,18 @@
 type ClaimTiming struct {
 	// Retention is how long a key is remembered, counted from the time that it carries.
 	Retention time.Duration
-	// Skew is how far ahead a caller's clock, and how far apart the daemons' clocks may be.
-	Skew time.Duration
-	// Ask is how long one round of asking replicas takes at most.
-	Ask time.Duration
-	// AnswerBytes bounds the answers kept with the claims of one slot.
-	AnswerBytes int
+	// MaxSkew is how far ahead a caller's clock, and how far apart the daemons' clocks may be.
+	MaxSkew time.Duration
+	// RoundTimeout is how long one round of asking replicas takes at most.
+	RoundTimeout time.Duration
+	// MaxAnswerBytes bounds the answers kept with the claims of one slot.
+	MaxAnswerBytes int
 }
 
 // DefaultClaimTiming returns the timing that daemons run with.
 func DefaultClaimTiming() ClaimTiming {
 	return ClaimTiming{
-		Retention: time.Hour, Skew: 5 * time.Second, Ask: time.Second, AnswerBytes: 2 << 20,
+		Retention: time.Hour, MaxSkew: 5 * time.Second, RoundTimeout: time.Second, MaxAnswerBytes: 2 << 20,
 	}
 }
 
@@ -36,10 +36,10 @@
 	since  proto.Epoch // of the group that this replica serves; 0 if none
 	ready  bool
 	sealed proto.Epoch // newest group that asked to take over
-	// vouched is the previous group whose claims this replica held in full when it moved on.
-	vouched proto.Epoch
-	ledger  *state.Ledger
-	read    map[proto.VM]bool // members of the previous group whose claims were read
+	// completeFor is the previous group whose claims this replica held in full when it moved on.
+	completeFor proto.Epoch
+	claims      *state.ClaimStore
+	readFrom    map[proto.VM]bool // members of the previous group whose claims were read
 }
 
 // Replica keeps the claims of the slots whose groups this run of the daemon belongs to.
@@ -89,7 +89,7 @@
 	}
 	r.roster = roster
 	for len(r.slots) < len(roster.Slots) {
-		r.slots = append(r.slots, &slotState{ledger: state.NewLedger(r.timing.Retention, r.timing.AnswerBytes)})
+		r.slots = append(r.slots, &slotState{claims: state.NewClaimStore(r.timing.Retention, r.timing.MaxAnswerBytes)})
 	}
 	for i := range roster.Slots {
 		r.adoptSlot(r.slots[i], &roster.Slots[i])
@@ -109,28 +109,28 @@
 	wasReady := s.ready && s.since == slot.PreviousSince
 	s.since = slot.Since
 	s.ready = false
-	s.read = map[proto.VM]bool{}
+	s.readFrom = map[proto.VM]bool{}
 	if wasReady {
-		s.vouched = slot.PreviousSince
-		s.read[r.self.VM] = true
+		s.completeFor = slot.PreviousSince
+		s.readFrom[r.self.VM] = true
 	}
-	s.settleReady(slot)
+	s.updateReady(slot)
 }
 
-// settleReady makes the slot ready once the claims of most of the previous group are here.
-func (s *slotState) settleReady(slot *proto.Slot) {
+// updateReady makes the slot ready once the claims of most of the previous group are here.
+func (s *slotState) updateReady(slot *proto.Slot) {
 	if slot.Forced {
-		s.ledger.Forget(slot.ForgottenBefore)
+		s.claims.Forget(slot.ForgottenBefore)
 		s.ready = true
 		return
 	}
-	s.ready = 2*len(s.read) > len(slot.Previous)
+	s.ready = 2*len(s.readFrom) > len(slot.Previous)
 }
 
 // sources are the members to read from. Once the previous group is done with, any ready
 // member of the own group has its claims, and one is enough: claims granted since then are
 // held by most of the group without this replica.
-func (r *Replica) sources(slot *proto.Slot) (members []proto.RosterMember, old proto.Epoch) {
+func (r *Replica) sources(slot *proto.Slot) (members []proto.RosterMember, previousSince proto.Epoch) {
 	if len(slot.Previous) == 0 {
 		return slot.Group, slot.Since
 	}
@@ -153,10 +153,10 @@
 		slot := &r.roster.Slots[i]
 		s.mu.Lock()
 		if s.since == slot.Since && !s.ready {
-			members, old := r.sources(slot)
-			p := Pending{Slot: i, Ask: proto.TransferAsk{Slot: i, Since: slot.Since, PreviousSince: old}}
+			members, previousSince := r.sources(slot)
+			p := Pending{Slot: i, Ask: proto.TransferAsk{Slot: i, Since: slot.Since, PreviousSince: previousSince}}
 			for _, member := range members {
-				if !s.read[member.VM] && member != r.self {
+				if !s.readFrom[member.VM] && member != r.self {
 					p.From = append(p.From, member)
 				}
 			}
@@ -174,7 +174,7 @@
 	if s == nil {
 		return answer
 	}
-	if proto.KeyTime(ask.Key).After(now.Add(r.timing.Skew)) {
+	if proto.KeyTime(ask.Key).After(now.Add(r.timing.MaxSkew)) {
 		answer.Result = proto.ClaimTooNew
 		return answer
 	}
@@ -186,8 +186,8 @@
 		answer.Result = proto.ClaimStale
 	case s.since < ask.Since || !s.ready:
 	default:
-		s.ledger.Sweep(now)
-		answer.Result, answer.Answer = s.ledger.Claim(ask.Key, ask.Fingerprint, ask.Claim)
+		s.claims.Sweep(now)
+		answer.Result, answer.Answer = s.claims.Claim(ask.Key, ask.Fingerprint, ask.Claim)
 	}
 	return answer
 }
@@ -200,7 +200,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ledger.Settle(m.Key, m.Claim, m.Released, m.Answer)
+	s.claims.Settle(m.Key, m.Claim, m.Released, m.Answer)
 }
 
 // Transfer stops granting for the group that is being replaced, and hands over a page of its claims.
@@ -212,12 +212,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	// A replica that was never ready in the previous group has nothing to vouch for.
-	if vouches := s.since == ask.PreviousSince && s.ready || s.vouched == ask.PreviousSince && s.vouched != 0; !vouches {
+	if complete := s.since == ask.PreviousSince && s.ready || s.completeFor == ask.PreviousSince && s.completeFor != 0; !complete {
 		return proto.TransferAnswer{}
 	}
 	s.sealed = max(s.sealed, ask.Since)
-	records, more := s.ledger.Page(ask.After, transferPage)
-	return proto.TransferAnswer{Ready: true, Records: records, More: more, ForgottenBefore: s.ledger.Forgotten()}
+	records, more := s.claims.Page(ask.After, transferPage)
+	return proto.TransferAnswer{Ready: true, Records: records, More: more, ForgottenBefore: s.claims.Forgotten()}
 }
 
 // TakeTransfer merges a page; after the last page of a member it returns whether the slot became ready.
@@ -234,13 +234,13 @@
 	if s.since != ask.Since || s.ready || slot.Since != ask.Since {
 		return false
 	}
-	s.ledger.Forget(answer.ForgottenBefore)
-	s.ledger.Merge(answer.Records)
+	s.claims.Forget(answer.ForgottenBefore)
+	s.claims.Merge(answer.Records)
 	if answer.More {
 		return false
 	}
-	s.read[from.VM] = true
-	s.settleReady(slot)
+	s.readFrom[from.VM] = true
+	s.updateReady(slot)
 	return s.ready
 }
 
@@ -267,7 +267,7 @@
 	for _, s := range r.slots {
 		s.mu.Lock()
 		if s.since != 0 {
-			s.ledger.Sweep(now)
+			s.claims.Sweep(now)
 		}
 		s.mu.Unlock()
 	}
@@ -293,7 +293,7 @@
 			if s.ready {
 				c.Ready++
 			}
-			c.Claims += s.ledger.Len()
+			c.Claims += s.claims.Len()
 		}
 		s.mu.Unlock()
 	}
--- a/coord/settle.go
+++ b/coord/resolve.go
@@ -7,16 +7,16 @@
 	"emberlead/proto"
 )
 
-// settle finds out by the apply id whether a write whose answer was lost took effect.
+// resolveUnknown finds out by the apply id whether a write whose answer was lost took effect.
 // If it did not, the head row is rewritten first, so that the write cannot take effect later.
-func (s *ConfigStore) settle(ctx context.Context, c *ConfigState, change proto.Change, headVersion uint64) (ApplyResult, error) {
-	for range applyTries {
-		row, _, err := s.changeAt(ctx, logRow(change.Generation))
+func (s *ConfigStore) resolveUnknown(ctx context.Context, c *ConfigState, change proto.Change, headVersion uint64) (ApplyResult, error) {
+	for range maxApplyAttempts {
+		row, _, err := s.readChange(ctx, logRow(change.Generation))
 		if err != nil {
 			return ApplyResult{ApplyID: change.ApplyID}, &Error{Op: "apply", Kind: proto.KindUnknown, Err: err}
 		}
 		if row != nil && row.ApplyID == change.ApplyID {
-			c.Take([]proto.Change{change})
+			c.ApplyChanges([]proto.Change{change})
 			return ApplyResult{Generation: change.Generation, ApplyID: change.ApplyID}, nil
 		}
 		head, version, err := s.Head(ctx)
@@ -24,22 +24,22 @@
 			return ApplyResult{ApplyID: change.ApplyID}, &Error{Op: "apply", Kind: proto.KindUnknown, Err: err}
 		}
 		if version != headVersion || s.touchHead(ctx, head, version) == nil {
-			return s.settled(ctx, c, change)
+			return s.confirmOutcome(ctx, c, change)
 		}
 	}
 	return ApplyResult{ApplyID: change.ApplyID}, newError("apply", proto.KindUnknown, "the answer to the write was lost")
 }
 
-// settled reads once more after the head has moved on, when the write can no longer take effect.
-func (s *ConfigStore) settled(ctx context.Context, c *ConfigState, change proto.Change) (ApplyResult, error) {
-	row, _, err := s.changeAt(ctx, logRow(change.Generation))
+// confirmOutcome reads once more after the head has moved on, when the write can no longer take effect.
+func (s *ConfigStore) confirmOutcome(ctx context.Context, c *ConfigState, change proto.Change) (ApplyResult, error) {
+	row, _, err := s.readChange(ctx, logRow(change.Generation))
 	if err != nil {
 		return ApplyResult{ApplyID: change.ApplyID}, &Error{Op: "apply", Kind: proto.KindUnknown, Err: err}
 	}
 	if row == nil || row.ApplyID != change.ApplyID {
 		return ApplyResult{}, newError("apply", proto.KindUnavailable, "the write did not take effect; apply again")
 	}
-	c.Take([]proto.Change{change})
+	c.ApplyChanges([]proto.Change{change})
 	return ApplyResult{Generation: change.Generation, ApplyID: change.ApplyID}, nil
 }
 
--- a/coord/ring.go
+++ b/coord/ring.go
@@ -22,8 +22,8 @@
 // DefaultRings returns four rings in each region and one over all.
 func DefaultRings() Rings { return Rings{Region: 4, Global: 1} }
 
-// seat is a daemon's place for the rings.
-type seat struct {
+// ringNode is a daemon's place for the rings.
+type ringNode struct {
 	vm     proto.VM
 	region string
 }
@@ -32,16 +32,16 @@
 	return xxhash.Sum64String(ring + "/" + string(vm))
 }
 
-func ringOrder(ring string, seats []seat) []proto.VM {
-	type placed struct {
+func ringOrder(ring string, nodes []ringNode) []proto.VM {
+	type hashedVM struct {
 		hash uint64
 		vm   proto.VM
 	}
-	order := make([]placed, 0, len(seats))
-	for _, s := range seats {
-		order = append(order, placed{ringHash(ring, s.vm), s.vm})
+	order := make([]hashedVM, 0, len(nodes))
+	for _, s := range nodes {
+		order = append(order, hashedVM{ringHash(ring, s.vm), s.vm})
 	}
-	slices.SortFunc(order, func(a, b placed) int {
+	slices.SortFunc(order, func(a, b hashedVM) int {
 		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.vm, b.vm))
 	})
 	vms := make([]proto.VM, len(order))
@@ -57,32 +57,32 @@
 	global   map[proto.VM][]proto.VM
 }
 
-func (r Rings) graph(seats []seat) *graph {
+func (r Rings) graph(nodes []ringNode) *graph {
 	g := &graph{regional: map[proto.VM][]proto.VM{}, global: map[proto.VM][]proto.VM{}}
-	regions := map[string][]seat{}
-	for _, s := range seats {
+	regions := map[string][]ringNode{}
+	for _, s := range nodes {
 		regions[s.region] = append(regions[s.region], s)
 	}
 	for region, members := range regions {
 		if len(members) <= 2*r.Region+1 {
-			mesh(g.regional, members)
+			linkAll(g.regional, members)
 			continue
 		}
 		for i := range r.Region {
-			link(g.regional, ringOrder(region+"/"+strconv.Itoa(i), members))
+			linkRing(g.regional, ringOrder(region+"/"+strconv.Itoa(i), members))
 		}
 	}
 	if len(regions) > 1 {
 		for i := range r.Global {
-			link(g.global, ringOrder("global/"+strconv.Itoa(i), seats))
+			linkRing(g.global, ringOrder("global/"+strconv.Itoa(i), nodes))
 		}
 	}
 	return g
 }
 
-func mesh(links map[proto.VM][]proto.VM, seats []seat) {
-	for _, a := range seats {
-		for _, b := range seats {
+func linkAll(links map[proto.VM][]proto.VM, nodes []ringNode) {
+	for _, a := range nodes {
+		for _, b := range nodes {
 			if a.vm != b.vm {
 				links[a.vm] = append(links[a.vm], b.vm)
 			}
@@ -90,7 +90,7 @@
 	}
 }
 
-func link(links map[proto.VM][]proto.VM, order []proto.VM) {
+func linkRing(links map[proto.VM][]proto.VM, order []proto.VM) {
 	n := len(order)
 	for i, vm := range order {
 		for _, other := range []proto.VM{order[(i+1)%n], order[(i+n-1)%n]} {
@@ -112,23 +112,23 @@
 	return all
 }
 
-// rank orders VMs by rendezvous hashing for a purpose, so that all daemons with one view pick the same.
-func rank(purpose string, vms []proto.VM) []proto.VM {
-	seats := make([]seat, len(vms))
+// rankVMs orders VMs by rendezvous hashing for a purpose, so that all daemons with one view pick the same.
+func rankVMs(purpose string, vms []proto.VM) []proto.VM {
+	nodes := make([]ringNode, len(vms))
 	for i, vm := range vms {
-		seats[i] = seat{vm: vm}
+		nodes[i] = ringNode{vm: vm}
 	}
-	return ringOrder(purpose, seats)
+	return ringOrder(purpose, nodes)
 }
 
-// first returns the VM that rendezvous hashing picks for a purpose.
-func first(purpose string, vms []proto.VM) (proto.VM, bool) {
+// firstRanked returns the VM that rendezvous hashing picks for a purpose.
+func firstRanked(purpose string, vms []proto.VM) (proto.VM, bool) {
 	var best proto.VM
-	var least uint64
+	var lowest uint64
 	found := false
 	for _, vm := range vms {
-		if h := ringHash(purpose, vm); !found || h < least || h == least && vm < best {
-			best, least, found = vm, h, true
+		if h := ringHash(purpose, vm); !found || h < lowest || h == lowest && vm < best {
+			best, lowest, found = vm, h, true
 		}
 	}
 	return best, found
--- a/coord/roster.go
+++ b/coord/roster.go
@@ -16,8 +16,8 @@
 type View interface {
 	// Live returns the daemons that are not dead.
 	Live() []proto.Alive
-	// Over tells whether a run of a daemon is certainly over, so that it can never grant again.
-	Over(now time.Time, vm proto.VM, incarnation proto.Incarnation) bool
+	// RunEnded tells whether a run of a daemon is certainly over, so that it can never grant again.
+	RunEnded(now time.Time, vm proto.VM, incarnation proto.Incarnation) bool
 	// IsListed tells whether the platform lists the VM.
 	IsListed(vm proto.VM) bool
 }
@@ -44,30 +44,30 @@
 	plan   RosterPlan
 	timing ClaimTiming
 	now    time.Time
-	// today is the time of day, by which callers date keys.
-	today   time.Time
+	// wallNow is the time of day, by which callers date keys.
+	wallNow time.Time
 	members View
 	live    []proto.RosterMember
 	load    map[proto.VM]int
 	ready   func(slot int, since proto.Epoch) map[proto.VM]bool
-	first   bool
+	initial bool
 }
 
 // next returns the roster that should follow, and whether it differs.
 func (p *planner) next(old proto.Roster) (proto.Roster, bool) {
-	fresh := proto.Roster{Epoch: old.Epoch + 1, Slots: slices.Clone(old.Slots)}
-	if len(fresh.Slots) == 0 {
-		p.first = true
-		fresh.Slots = make([]proto.Slot, p.plan.Slots)
+	updated := proto.Roster{Epoch: old.Epoch + 1, Slots: slices.Clone(old.Slots)}
+	if len(updated.Slots) == 0 {
+		p.initial = true
+		updated.Slots = make([]proto.Slot, p.plan.Slots)
 	}
-	p.countLoad(fresh.Slots)
+	p.countLoad(updated.Slots)
 	changed := false
-	for i := range fresh.Slots {
-		if p.slot(i, &fresh.Slots[i], fresh.Epoch) {
+	for i := range updated.Slots {
+		if p.reviseSlot(i, &updated.Slots[i], updated.Epoch) {
 			changed = true
 		}
 	}
-	return fresh, p.balance(fresh.Slots, fresh.Epoch) || changed
+	return updated, p.balance(updated.Slots, updated.Epoch) || changed
 }
 
 func (p *planner) countLoad(slots []proto.Slot) {
@@ -79,44 +79,44 @@
 	}
 }
 
-func (p *planner) slot(index int, slot *proto.Slot, epoch proto.Epoch) bool {
-	if p.first {
-		return p.replace(slot, p.fill(nil), epoch, true)
+func (p *planner) reviseSlot(index int, slot *proto.Slot, epoch proto.Epoch) bool {
+	if p.initial {
+		return p.replaceGroup(slot, p.fill(nil), epoch, true)
 	}
-	if p.lost(p.readFrom(slot)) || p.lost(slot.Group) {
-		return p.replace(slot, p.fill(p.present(slot.Group)), epoch, true)
+	if p.isLost(p.sourceGroup(slot)) || p.isLost(slot.Group) {
+		return p.replaceGroup(slot, p.fill(p.liveMembers(slot.Group)), epoch, true)
 	}
 	if len(slot.Previous) > 0 {
-		return p.finish(index, slot)
+		return p.dropPrevious(index, slot)
 	}
-	group := p.fill(p.present(slot.Group))
+	group := p.fill(p.liveMembers(slot.Group))
 	if len(group) < len(slot.Group) || slices.Equal(group, slot.Group) {
 		return false
 	}
-	return p.replace(slot, group, epoch, false)
+	return p.replaceGroup(slot, group, epoch, false)
 }
 
-func (p *planner) readFrom(slot *proto.Slot) []proto.RosterMember {
+func (p *planner) sourceGroup(slot *proto.Slot) []proto.RosterMember {
 	if len(slot.Previous) == 0 {
 		return slot.Group
 	}
 	return slot.Previous
 }
 
-// lost tells whether so many of a group are certainly over that most of it can never be read. Members that
+// isLost tells whether so many of a group are certainly over that most of it can never be read. Members that
 // only look dead may be paused and grant once they wake, so a group is never given up for those.
-func (p *planner) lost(group []proto.RosterMember) bool {
-	gone := 0
+func (p *planner) isLost(group []proto.RosterMember) bool {
+	ended := 0
 	for _, member := range group {
-		if p.members.Over(p.now, member.VM, member.Incarnation) {
-			gone++
+		if p.members.RunEnded(p.now, member.VM, member.Incarnation) {
+			ended++
 		}
 	}
-	return len(group) > 0 && 2*(len(group)-gone) <= len(group)
+	return len(group) > 0 && 2*(len(group)-ended) <= len(group)
 }
 
-// present keeps the members that are live and not stopping.
-func (p *planner) present(group []proto.RosterMember) []proto.RosterMember {
+// liveMembers keeps the members that are live and not stopping.
+func (p *planner) liveMembers(group []proto.RosterMember) []proto.RosterMember {
 	var kept []proto.RosterMember
 	for _, member := range group {
 		if slices.Contains(p.live, member) {
@@ -130,7 +130,7 @@
 func (p *planner) fill(group []proto.RosterMember) []proto.RosterMember {
 	group = slices.Clone(group)
 	for len(group) < p.plan.Replicas {
-		next, ok := p.candidate(group)
+		next, ok := p.nextMember(group)
 		if !ok {
 			break
 		}
@@ -140,50 +140,50 @@
 	return group
 }
 
-func (p *planner) candidate(group []proto.RosterMember) (proto.RosterMember, bool) {
+func (p *planner) nextMember(group []proto.RosterMember) (proto.RosterMember, bool) {
 	var best proto.RosterMember
 	found := false
 	for _, member := range p.live {
 		if slices.Contains(group, member) {
 			continue
 		}
-		if !found || p.better(member, best, group) {
+		if !found || p.isBetter(member, best, group) {
 			best, found = member, true
 		}
 	}
 	return best, found
 }
 
-func (p *planner) better(a, b proto.RosterMember, group []proto.RosterMember) bool {
-	if x, y := zoneTaken(a.Zone, group), zoneTaken(b.Zone, group); x != y {
+func (p *planner) isBetter(a, b proto.RosterMember, group []proto.RosterMember) bool {
+	if x, y := zoneCovered(a.Zone, group), zoneCovered(b.Zone, group); x != y {
 		return y
 	}
 	return cmp.Or(cmp.Compare(p.load[a.VM], p.load[b.VM]), cmp.Compare(a.VM, b.VM)) < 0
 }
 
-func zoneTaken(zone proto.Zone, group []proto.RosterMember) bool {
+func zoneCovered(zone proto.Zone, group []proto.RosterMember) bool {
 	return slices.ContainsFunc(group, func(m proto.RosterMember) bool { return m.Zone == zone })
 }
 
-func (p *planner) replace(slot *proto.Slot, group []proto.RosterMember, epoch proto.Epoch, forced bool) bool {
+func (p *planner) replaceGroup(slot *proto.Slot, group []proto.RosterMember, epoch proto.Epoch, forced bool) bool {
 	if len(group) == 0 {
 		return false
 	}
-	fresh := proto.Slot{Group: group, Since: epoch, Forced: forced}
-	if forced && !p.first {
-		fresh.ForgottenBefore = p.today.Add(2 * p.timing.Skew)
+	updated := proto.Slot{Group: group, Since: epoch, Forced: forced}
+	if forced && !p.initial {
+		updated.ForgottenBefore = p.wallNow.Add(2 * p.timing.MaxSkew)
 	}
 	if !forced {
-		fresh.Previous, fresh.PreviousSince = slot.Group, slot.Since
+		updated.Previous, updated.PreviousSince = slot.Group, slot.Since
 	}
-	*slot = fresh
+	*slot = updated
 	return true
 }
 
-// finish drops the previous group once every live member of the group has read its claims.
-func (p *planner) finish(index int, slot *proto.Slot) bool {
+// dropPrevious drops the previous group once every live member of the group has read its claims.
+func (p *planner) dropPrevious(index int, slot *proto.Slot) bool {
 	ready := p.ready(index, slot.Since)
-	for _, member := range p.present(slot.Group) {
+	for _, member := range p.liveMembers(slot.Group) {
 		if !ready[member.VM] {
 			return false
 		}
@@ -197,73 +197,73 @@
 
 // balance gives a few slots to a live member that has less than half of its part, so that new VMs take their share.
 func (p *planner) balance(slots []proto.Slot, epoch proto.Epoch) bool {
-	if p.first || len(p.live) <= p.plan.Replicas {
+	if p.initial || len(p.live) <= p.plan.Replicas {
 		return false
 	}
-	part := len(slots) * p.plan.Replicas / len(p.live)
+	fairShare := len(slots) * p.plan.Replicas / len(p.live)
 	moved := 0
 	for i := range slots {
 		if moved == p.plan.Moves {
 			break
 		}
-		if len(slots[i].Previous) == 0 && slots[i].Since != epoch && p.relieve(&slots[i], part, epoch) {
+		if len(slots[i].Previous) == 0 && slots[i].Since != epoch && p.rebalanceSlot(&slots[i], fairShare, epoch) {
 			moved++
 		}
 	}
 	return moved > 0
 }
 
-func (p *planner) relieve(slot *proto.Slot, part int, epoch proto.Epoch) bool {
-	for _, fresh := range p.live {
-		if 2*p.load[fresh.VM] >= part || slices.Contains(slot.Group, fresh) {
+func (p *planner) rebalanceSlot(slot *proto.Slot, fairShare int, epoch proto.Epoch) bool {
+	for _, candidate := range p.live {
+		if 2*p.load[candidate.VM] >= fairShare || slices.Contains(slot.Group, candidate) {
 			continue
 		}
 		for i, member := range slot.Group {
 			others := slices.Delete(slices.Clone(slot.Group), i, i+1)
-			if p.load[member.VM] <= part || zoneTaken(fresh.Zone, others) {
+			if p.load[member.VM] <= fairShare || zoneCovered(candidate.Zone, others) {
 				continue
 			}
 			p.load[member.VM]--
-			p.load[fresh.VM]++
-			return p.replace(slot, append(others, fresh), epoch, false)
+			p.load[candidate.VM]++
+			return p.replaceGroup(slot, append(others, candidate), epoch, false)
 		}
 	}
 	return false
 }
 
-// RosterKeeper writes the roster's row when the roster has to change.
-type RosterKeeper struct {
+// RosterWriter writes the roster's row when the roster has to change.
+type RosterWriter struct {
 	table   Table
 	plan    RosterPlan
 	timing  ClaimTiming
 	members View
 	replica *Replica
 	reports *readyReports
-	// dates returns the time of day at a moment.
-	dates func(now time.Time) time.Time
+	// wallTime returns the time of day at a moment.
+	wallTime func(now time.Time) time.Time
 }
 
 // RosterOption changes a RosterKeeper at construction.
-type RosterOption func(*RosterKeeper)
+type RosterOption func(*RosterWriter)
 
-// WithDates has the keeper date what it forgets by a time of day that differs from its clock's time.
-func WithDates(dates func(now time.Time) time.Time) RosterOption {
-	return func(k *RosterKeeper) { k.dates = dates }
+// WithWallTime has the keeper date what it forgets by a time of day that differs from its clock's time.
+func WithWallTime(wallTime func(now time.Time) time.Time) RosterOption {
+	return func(w *RosterWriter) { w.wallTime = wallTime }
 }
 
-// NewRosterKeeper returns a keeper of the roster's row.
-func NewRosterKeeper(table Table, plan RosterPlan, timing ClaimTiming, members View, replica *Replica, options ...RosterOption) *RosterKeeper {
-	k := &RosterKeeper{table: table, plan: plan, timing: timing, members: members, replica: replica, reports: newReadyReports()}
-	k.dates = func(now time.Time) time.Time { return now }
+// NewRosterWriter returns a keeper of the roster's row.
+func NewRosterWriter(table Table, plan RosterPlan, timing ClaimTiming, members View, replica *Replica, options ...RosterOption) *RosterWriter {
+	w := &RosterWriter{table: table, plan: plan, timing: timing, members: members, replica: replica, reports: newReadyReports()}
+	w.wallTime = func(now time.Time) time.Time { return now }
 	for _, option := range options {
-		option(k)
+		option(w)
 	}
-	return k
+	return w
 }
 
 // Read adopts the roster in the table; it fails with KindUnavailable.
-func (k *RosterKeeper) Read(ctx context.Context) (uint64, error) {
-	row, err := k.table.Read(ctx, rowRoster)
+func (w *RosterWriter) Read(ctx context.Context) (uint64, error) {
+	row, err := w.table.Read(ctx, rowRoster)
 	if err != nil || row.Version == 0 {
 		return 0, err
 	}
@@ -271,17 +271,17 @@
 	if err := json.Unmarshal(row.Value, &roster); err != nil {
 		return 0, &Error{Op: "read roster", Kind: proto.KindInvalid, Err: err}
 	}
-	k.replica.Adopt(roster)
+	w.replica.Adopt(roster)
 	return row.Version, nil
 }
 
-// Revise writes the next roster if the last one has to change. Whatever the answer says, the roster is taken from a read.
-func (k *RosterKeeper) Revise(ctx context.Context, now time.Time) error {
-	version, err := k.Read(ctx)
+// ReviseRoster writes the next roster if the last one has to change. Whatever the answer says, the roster is taken from a read.
+func (w *RosterWriter) ReviseRoster(ctx context.Context, now time.Time) error {
+	version, err := w.Read(ctx)
 	if err != nil {
 		return err
 	}
-	next, changed := k.Next(now)
+	next, changed := w.Next(now)
 	if !changed {
 		return nil
 	}
@@ -289,11 +289,11 @@
 	if err != nil {
 		return &Error{Op: "write roster", Kind: proto.KindInvalid, Err: err}
 	}
-	err = k.table.Transact(ctx, proto.Transaction{
+	err = w.table.Transact(ctx, proto.Transaction{
 		Conditions: []proto.Condition{{Key: rowRoster, Version: version}},
 		Writes:     []proto.Write{{Key: rowRoster, Value: value}},
 	})
-	if _, readErr := k.Read(ctx); readErr != nil {
+	if _, readErr := w.Read(ctx); readErr != nil {
 		return readErr
 	}
 	if proto.KindOf(err) == proto.KindConflict {
@@ -303,46 +303,46 @@
 }
 
 // Next returns the roster that should follow the one that the replica has.
-func (k *RosterKeeper) Next(now time.Time) (proto.Roster, bool) {
-	p := &planner{plan: k.plan, timing: k.timing, now: now, today: k.dates(now), members: k.members, ready: k.reports.of}
-	for _, alive := range k.members.Live() {
-		if !alive.Stopping && alive.Incarnation != 0 && k.members.IsListed(alive.VM) {
+func (w *RosterWriter) Next(now time.Time) (proto.Roster, bool) {
+	p := &planner{plan: w.plan, timing: w.timing, now: now, wallNow: w.wallTime(now), members: w.members, ready: w.reports.readyVMs}
+	for _, alive := range w.members.Live() {
+		if !alive.Stopping && alive.Incarnation != 0 && w.members.IsListed(alive.VM) {
 			p.live = append(p.live, proto.RosterMember{VM: alive.VM, Zone: alive.Zone, Incarnation: alive.Incarnation})
 		}
 	}
-	if len(p.live) > k.plan.Members {
-		p.live = spread(p.live, k.plan.Members)
+	if len(p.live) > w.plan.Members {
+		p.live = spreadOverZones(p.live, w.plan.Members)
 	}
-	return p.next(k.replica.Roster())
+	return p.next(w.replica.Roster())
 }
 
-// spread picks members zone by zone in turn, in the order of rendezvous hashing.
-func spread(live []proto.RosterMember, most int) []proto.RosterMember {
+// spreadOverZones picks members zone by zone in turn, in the order of rendezvous hashing.
+func spreadOverZones(live []proto.RosterMember, limit int) []proto.RosterMember {
 	byVM := map[proto.VM]proto.RosterMember{}
 	vms := make([]proto.VM, len(live))
 	for i, member := range live {
 		byVM[member.VM] = member
 		vms[i] = member.VM
 	}
-	taken := map[proto.Zone]int{}
-	ordered := rank("roster member", vms)
-	type seated struct {
+	countByZone := map[proto.Zone]int{}
+	ordered := rankVMs("roster member", vms)
+	type candidate struct {
 		member proto.RosterMember
 		turn   int
 	}
-	seats := make([]seated, 0, len(ordered))
+	candidates := make([]candidate, 0, len(ordered))
 	for _, vm := range ordered {
 		member := byVM[vm]
-		seats = append(seats, seated{member, taken[member.Zone]})
-		taken[member.Zone]++
+		candidates = append(candidates, candidate{member, countByZone[member.Zone]})
+		countByZone[member.Zone]++
 	}
-	slices.SortStableFunc(seats, func(a, b seated) int { return cmp.Compare(a.turn, b.turn) })
-	picked := make([]proto.RosterMember, 0, most)
-	for _, s := range seats[:most] {
+	slices.SortStableFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.turn, b.turn) })
+	picked := make([]proto.RosterMember, 0, limit)
+	for _, s := range candidates[:limit] {
 		picked = append(picked, s.member)
 	}
 	return picked
 }
 
 // Report takes in that a replica has read a slot.
-func (k *RosterKeeper) Report(from proto.VM, m proto.SlotReady) { k.reports.take(from, m) }
+func (w *RosterWriter) Report(from proto.VM, m proto.SlotReady) { w.reports.record(from, m) }
--- a/coord/listed.go
+++ b/coord/vmlist.go
@@ -6,18 +6,18 @@
 	"emberlead/proto"
 )
 
-// Over tells whether a run of a daemon is certainly over: a later run has announced itself, or the platform no longer lists the VM.
-func (m *Members) Over(now time.Time, vm proto.VM, incarnation proto.Incarnation) bool {
+// RunEnded tells whether a run of a daemon is certainly over: a later run has announced itself, or the platform no longer lists the VM.
+func (m *Members) RunEnded(now time.Time, vm proto.VM, incarnation proto.Incarnation) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if mem := m.members[vm]; mem != nil && mem.alive.Incarnation > incarnation {
 		return true
 	}
-	if m.firstList.IsZero() || now.Sub(m.lastList) > m.timing.MaxListLag {
+	if m.firstListAt.IsZero() || now.Sub(m.lastListAt) > m.timing.MaxListLag {
 		return false
 	}
-	since := m.firstList
-	if seen := m.lastListed[vm]; seen.After(since) {
+	since := m.firstListAt
+	if seen := m.lastListedAt[vm]; seen.After(since) {
 		since = seen
 	}
 	return now.Sub(since) > m.timing.MaxListLag
@@ -38,62 +38,62 @@
 	return m.leaving
 }
 
-// holdFor is how long what was heard of the list is kept against an own read that does not show it: reads lag, some
+// keepReceivedFor is how long what was heard of the list is kept against an own read that does not show it: reads lag, some
 // more than others, and their readers must not contradict each other in turn.
-const holdFor = 10 * time.Second
+const keepReceivedFor = 10 * time.Second
 
 // HandleVMList takes in an own read of the platform's list, and passes on what changed.
 func (m *Members) HandleVMList(now time.Time, list proto.VMList) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.lastList = now
-	if m.firstList.IsZero() {
-		m.firstList = now
+	m.lastListAt = now
+	if m.firstListAt.IsZero() {
+		m.firstListAt = now
 	}
 	seen := make(map[proto.VM]bool, len(list.VMs))
 	for _, entry := range list.VMs {
 		seen[entry.VM] = true
-		m.lastListed[entry.VM] = now
+		m.lastListedAt[entry.VM] = now
 	}
 	change := proto.Listed{VMs: list.VMs}
 	for vm := range m.entries {
-		if !seen[vm] && now.Sub(m.entered[vm]) > holdFor && now.Sub(m.lastListed[vm]) > holdFor {
+		if !seen[vm] && now.Sub(m.enteredAt[vm]) > keepReceivedFor && now.Sub(m.lastListedAt[vm]) > keepReceivedFor {
 			change.Removed = append(change.Removed, vm)
 		}
 	}
-	m.takeListed(now, change, m.self.VM, true)
+	m.applyListed(now, change, m.self.VM, true)
 }
 
 // HandleListed takes in what another daemon read, and passes on what was news here.
 func (m *Members) HandleListed(now time.Time, change proto.Listed, from proto.VM) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.takeListed(now, change, from, false)
+	m.applyListed(now, change, from, false)
 }
 
-func (m *Members) takeListed(now time.Time, change proto.Listed, from proto.VM, own bool) {
+func (m *Members) applyListed(now time.Time, change proto.Listed, from proto.VM, own bool) {
 	var news proto.Listed
 	for _, entry := range change.VMs {
 		old, known := m.entries[entry.VM]
 		// A VM that is leaving does not come back, so a late read that does not show it yet is not believed.
-		if known && (old == entry || own && old.Leaving && now.Sub(m.entered[entry.VM]) < holdFor) {
+		if known && (old == entry || own && old.Leaving && now.Sub(m.enteredAt[entry.VM]) < keepReceivedFor) {
 			continue
 		}
 		m.entries[entry.VM] = entry
-		m.entered[entry.VM] = now
+		m.enteredAt[entry.VM] = now
 		news.VMs = append(news.VMs, entry)
 	}
 	for _, vm := range change.Removed {
 		if _, known := m.entries[vm]; known {
 			delete(m.entries, vm)
-			delete(m.entered, vm)
+			delete(m.enteredAt, vm)
 			news.Removed = append(news.Removed, vm)
 		}
 	}
 	if len(news.VMs) == 0 && len(news.Removed) == 0 {
 		return
 	}
-	m.adoptList(now, news)
+	m.adoptEntries(now, news)
 	for _, vm := range m.links() {
 		if vm != from {
 			m.peers.Send(vm, news)
@@ -101,7 +101,7 @@
 	}
 }
 
-func (m *Members) adoptList(now time.Time, news proto.Listed) {
+func (m *Members) adoptEntries(now time.Time, news proto.Listed) {
 	joined := false
 	for _, entry := range news.VMs {
 		if !entry.Entry || m.members[entry.VM] != nil {
@@ -120,13 +120,13 @@
 	}
 	m.leaving = leaving
 	if joined {
-		m.changed()
+		m.invalidateGraph()
 		m.announce()
 	}
 }
 
-// listed returns all that is known of the platform's list.
-func (m *Members) listed() proto.Listed {
+// allEntries returns all that is known of the platform's list.
+func (m *Members) allEntries() proto.Listed {
 	all := proto.Listed{VMs: make([]proto.VMEntry, 0, len(m.entries))}
 	for _, entry := range m.entries {
 		all.VMs = append(all.VMs, entry)
--- /dev/null
+++ b/coord/wallclock_test.go
@@ -0,0 +1,30 @@
+package coord
+
+import (
+	"testing"
+	"time"
+
+	"github.com/jonboulle/clockwork"
+)
+
+// fakeWallClock is a clock beside a time of day that was set.
+type fakeWallClock struct {
+	*clockwork.FakeClock
+	offset time.Duration
+}
+
+func (c fakeWallClock) WallTime() time.Time { return c.Now().Add(c.offset) }
+
+// TestKeysAreDatedByWallClock has the time of day of a VM be set after its daemon started: keys of callers whose clocks are
+// right are neither from the future nor too old.
+func TestKeysAreDatedByWallClock(t *testing.T) {
+	fake := clockwork.NewFakeClock()
+	for _, set := range []time.Duration{0, time.Hour, -time.Hour} {
+		if got, want := wallTime(fakeWallClock{fake, set}), fake.Now().Add(set); !got.Equal(want) {
+			t.Errorf("set by %v: dated %v, want %v", set, got, want)
+		}
+	}
+	if got := wallTime(fake); !got.Equal(fake.Now()) {
+		t.Errorf("a clock without a time of day dates %v", got)
+	}
+}
--- a/state/ledger_test.go
+++ b/state/claimstore_test.go
@@ -7,25 +7,25 @@
 	"emberlead/proto"
 )
 
-func TestLedger(t *testing.T) {
+func TestClaimStore(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	key := func(n byte, at time.Time) proto.Key { return proto.KeyAt(at, [10]byte{9: n}) }
 	claim := func(n int) proto.ClaimID { return proto.ClaimID{Holder: "e", Attempt: n} }
-	expect := func(t *testing.T, l *Ledger, k proto.Key, fingerprint uint64, try int, want proto.ClaimResult) {
+	expect := func(t *testing.T, l *ClaimStore, k proto.Key, fingerprint uint64, try int, want proto.ClaimResult) {
 		t.Helper()
 		if got, _ := l.Claim(k, fingerprint, claim(try)); got != want {
 			t.Fatalf("result %d, want %d", got, want)
 		}
 	}
-	scenarios := map[string]func(t *testing.T, l *Ledger){
-		"held keys are taken, and granted again to their own claim": func(t *testing.T, l *Ledger) {
+	scenarios := map[string]func(t *testing.T, l *ClaimStore){
+		"held keys are taken, and granted again to their own claim": func(t *testing.T, l *ClaimStore) {
 			k := key(1, now)
 			expect(t, l, k, 7, 1, proto.ClaimGranted)
 			expect(t, l, k, 7, 1, proto.ClaimGranted)
 			expect(t, l, k, 7, 2, proto.ClaimTaken)
 			expect(t, l, k, 8, 2, proto.ClaimMismatch)
 		},
-		"a released key is granted to others with any input, and not to its own claim": func(t *testing.T, l *Ledger) {
+		"a released key is granted to others with any input, and not to its own claim": func(t *testing.T, l *ClaimStore) {
 			k := key(1, now)
 			l.Settle(k, claim(1), true, nil)
 			expect(t, l, k, 7, 1, proto.ClaimTaken)
@@ -33,7 +33,7 @@
 			l.Settle(k, claim(1), true, nil)
 			expect(t, l, k, 7, 3, proto.ClaimTaken)
 		},
-		"a done key gives its answer": func(t *testing.T, l *Ledger) {
+		"a done key gives its answer": func(t *testing.T, l *ClaimStore) {
 			k := key(1, now)
 			expect(t, l, k, 7, 1, proto.ClaimGranted)
 			l.Settle(k, claim(1), false, []byte("x"))
@@ -41,7 +41,7 @@
 				t.Fatalf("%d %s", got, answer)
 			}
 		},
-		"what was forgotten stays so when the clock jumps back": func(t *testing.T, l *Ledger) {
+		"what was forgotten stays so when the clock jumps back": func(t *testing.T, l *ClaimStore) {
 			k := key(1, now)
 			expect(t, l, k, 7, 1, proto.ClaimGranted)
 			l.Sweep(now.Add(2 * time.Hour))
@@ -53,6 +53,6 @@
 		},
 	}
 	for name, scenario := range scenarios {
-		t.Run(name, func(t *testing.T) { scenario(t, NewLedger(time.Hour, 1<<20)) })
+		t.Run(name, func(t *testing.T) { scenario(t, NewClaimStore(time.Hour, 1<<20)) })
 	}
 }
--- a/state/clock.go
+++ b/state/clock.go
@@ -8,10 +8,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// driftLeast is by how much the time of day must have moved against the steady clock before the clock looks whether the VM
+// minDrift is by how much the time of day must have moved against the steady clock before the clock looks whether the VM
 // was suspended. The look is a call to the kernel, which each reading of the clock is spared; a suspension that is shorter
 // leaves leases and windows off by less than this.
-const driftLeast = 10 * time.Millisecond
+const minDrift = 10 * time.Millisecond
 
 // Clock is the clock of a daemon. Its time goes on while the VM is suspended, when the steady clock that Go measures times by stands
 // still, and no change of the time of day moves it. So leases, ages and windows, on which other daemons count, are as old as they are
@@ -26,13 +26,13 @@
 	// drift is how much the time of day has gained on the steady clock, from a moment on that stays the same.
 	drift func() time.Duration
 
-	// start is the time of day at the clock's start, without a reading of the steady clock, and began that reading.
-	start, began  time.Time
-	uptimeAtStart time.Duration
-	driftAtStart  time.Duration
+	// wallStart is the time of day at the clock's start, without a reading of the steady clock, and began that reading.
+	wallStart, monoStart time.Time
+	uptimeAtStart        time.Duration
+	driftAtStart         time.Duration
 
 	mu        sync.Mutex
-	seen      time.Duration
+	lastDrift time.Duration
 	suspended time.Duration
 	timers    map[*clockTimer]bool
 }
@@ -41,27 +41,27 @@
 type ClockOption func(*Clock)
 
 // WithSources has the clock measure by another steady clock, uptime and drift than those of the VM; tests use it.
-func WithSources(steady clockwork.Clock, uptime func() (time.Duration, error), drift func() time.Duration) ClockOption {
-	return func(c *Clock) { c.Clock, c.uptime, c.drift = steady, uptime, drift }
+func WithSources(monotonic clockwork.Clock, uptime func() (time.Duration, error), drift func() time.Duration) ClockOption {
+	return func(c *Clock) { c.Clock, c.uptime, c.drift = monotonic, uptime, drift }
 }
 
 // NewClock returns the clock of this process.
 func NewClock(options ...ClockOption) *Clock {
-	began := time.Now()
+	monoStart := time.Now()
 	c := &Clock{
 		Clock: clockwork.NewRealClock(), uptime: readUptime, timers: map[*clockTimer]bool{},
 		drift: func() time.Duration {
 			now := time.Now()
-			return now.Round(0).Sub(began.Round(0)) - now.Sub(began)
+			return now.Round(0).Sub(monoStart.Round(0)) - now.Sub(monoStart)
 		},
 	}
 	for _, option := range options {
 		option(c)
 	}
-	c.began = c.Clock.Now()
-	c.start = c.began.Round(0)
+	c.monoStart = c.Clock.Now()
+	c.wallStart = c.monoStart.Round(0)
 	c.driftAtStart = c.drift()
-	c.seen = c.driftAtStart
+	c.lastDrift = c.driftAtStart
 	// Without an uptime the clock is the steady one.
 	if uptime, err := c.uptime(); err == nil {
 		c.uptimeAtStart = uptime
@@ -81,7 +81,7 @@
 // Now returns the time, which goes on while the VM is suspended.
 func (c *Clock) Now() time.Time {
 	c.mu.Lock()
-	resumed := c.look()
+	resumed := c.checkSuspension()
 	now := c.now()
 	c.mu.Unlock()
 	if resumed {
@@ -92,35 +92,35 @@
 
 // now is the time as far as suspensions are known; the lock is held.
 func (c *Clock) now() time.Time {
-	return c.start.Add(c.Clock.Now().Sub(c.began) + c.suspended)
+	return c.wallStart.Add(c.Clock.Now().Sub(c.monoStart) + c.suspended)
 }
 
-// look finds out whether the VM was suspended since it last looked, and tells whether it was; the lock is held.
-func (c *Clock) look() bool {
+// checkSuspension finds out whether the VM was suspended since it last looked, and tells whether it was; the lock is held.
+func (c *Clock) checkSuspension() bool {
 	drift := c.drift()
-	if (drift - c.seen).Abs() < driftLeast {
+	if (drift - c.lastDrift).Abs() < minDrift {
 		return false
 	}
-	c.seen = drift
+	c.lastDrift = drift
 	uptime, err := c.uptime()
 	if err != nil {
 		return false
 	}
 	// The steady clock is read last, so that a delay between the two readings does not count as a suspension.
-	suspended := uptime - c.uptimeAtStart - c.Clock.Now().Sub(c.began)
-	if suspended-c.suspended < driftLeast/2 {
+	suspended := uptime - c.uptimeAtStart - c.Clock.Now().Sub(c.monoStart)
+	if suspended-c.suspended < minDrift/2 {
 		return false
 	}
 	c.suspended = suspended
 	return true
 }
 
-// TimeOfDay returns the time of day, by which others date what they send. It follows changes of that, and is no measure of how
+// WallTime returns the time of day, by which others date what they send. It follows changes of that, and is no measure of how
 // much time has passed.
-func (c *Clock) TimeOfDay() time.Time {
+func (c *Clock) WallTime() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.start.Add(c.Clock.Now().Sub(c.began) + c.drift() - c.driftAtStart)
+	return c.wallStart.Add(c.Clock.Now().Sub(c.monoStart) + c.drift() - c.driftAtStart)
 }
 
 // Suspended returns for how long the VM was suspended since the clock's start, as far as that was noticed.
@@ -148,7 +148,7 @@
 
 // AfterFunc calls a function after a time, which may be in a goroutine that must not wait.
 func (c *Clock) AfterFunc(d time.Duration, fn func()) clockwork.Timer {
-	return c.begin(d, &clockTimer{clock: c, fire: fn})
+	return c.startTimer(d, &clockTimer{clock: c, fire: fn})
 }
 
 // NewTimer returns a timer that sends the time after a time.
@@ -160,7 +160,7 @@
 		default:
 		}
 	}
-	return c.begin(d, t)
+	return c.startTimer(d, t)
 }
 
 // After returns a channel that gets the time after a time.
@@ -169,7 +169,7 @@
 // Sleep waits for a time.
 func (c *Clock) Sleep(d time.Duration) { <-c.After(d) }
 
-func (c *Clock) begin(d time.Duration, t *clockTimer) clockwork.Timer {
+func (c *Clock) startTimer(d time.Duration, t *clockTimer) clockwork.Timer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t.due = c.now().Add(d)
@@ -183,16 +183,16 @@
 	c := t.clock
 	c.mu.Lock()
 	left := t.due.Sub(c.now())
-	set := c.timers[t]
+	pending := c.timers[t]
 	switch {
-	case !set:
+	case !pending:
 	case left > 0:
 		t.inner.Reset(left)
 	default:
 		delete(c.timers, t)
 	}
 	c.mu.Unlock()
-	if set && left <= 0 {
+	if pending && left <= 0 {
 		t.fire()
 	}
 }
@@ -214,19 +214,19 @@
 func (t *clockTimer) Stop() bool {
 	t.clock.mu.Lock()
 	defer t.clock.mu.Unlock()
-	set := t.clock.timers[t]
+	pending := t.clock.timers[t]
 	delete(t.clock.timers, t)
 	t.inner.Stop()
-	return set
+	return pending
 }
 
 // Reset has the timer fire after another time, and tells whether it was still to fire.
 func (t *clockTimer) Reset(d time.Duration) bool {
 	t.clock.mu.Lock()
 	defer t.clock.mu.Unlock()
-	set := t.clock.timers[t]
+	pending := t.clock.timers[t]
 	t.clock.timers[t] = true
 	t.due = t.clock.now().Add(d)
 	t.inner.Reset(d)
-	return set
+	return pending
 }
--- a/state/clock_test.go
+++ b/state/clock_test.go
@@ -10,53 +10,53 @@
 
 var clockStart = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// standVM is a VM that can be suspended and have its time of day changed.
-type standVM struct {
-	steady    *clockwork.FakeClock
-	suspended atomic.Int64
-	stepped   atomic.Int64
-	reads     atomic.Int64
+// fakeVM is a VM that can be suspended and have its time of day changed.
+type fakeVM struct {
+	monotonic  *clockwork.FakeClock
+	suspended  atomic.Int64
+	wallOffset atomic.Int64
+	reads      atomic.Int64
 }
 
-func newStandVM() (*standVM, *Clock) {
-	vm := &standVM{steady: clockwork.NewFakeClockAt(clockStart)}
-	return vm, NewClock(WithSources(vm.steady,
+func newFakeVM() (*fakeVM, *Clock) {
+	vm := &fakeVM{monotonic: clockwork.NewFakeClockAt(clockStart)}
+	return vm, NewClock(WithSources(vm.monotonic,
 		func() (time.Duration, error) {
 			vm.reads.Add(1)
-			return time.Hour + vm.steady.Now().Sub(clockStart) + time.Duration(vm.suspended.Load()), nil
+			return time.Hour + vm.monotonic.Now().Sub(clockStart) + time.Duration(vm.suspended.Load()), nil
 		},
-		func() time.Duration { return time.Duration(vm.suspended.Load() + vm.stepped.Load()) },
+		func() time.Duration { return time.Duration(vm.suspended.Load() + vm.wallOffset.Load()) },
 	))
 }
 
-func (vm *standVM) suspend(d time.Duration) { vm.suspended.Add(int64(d)) }
+func (vm *fakeVM) suspend(d time.Duration) { vm.suspended.Add(int64(d)) }
 
-func (vm *standVM) step(d time.Duration) { vm.stepped.Add(int64(d)) }
+func (vm *fakeVM) setWallClock(d time.Duration) { vm.wallOffset.Add(int64(d)) }
 
-func TestTimeGoesOnWhileTheVMIsSuspended(t *testing.T) {
+func TestTimeContinuesWhileSuspended(t *testing.T) {
 	scenarios := []struct {
 		name   string
-		happen func(vm *standVM)
+		happen func(vm *fakeVM)
 		passed time.Duration
 	}{
-		{"nothing", func(*standVM) {}, 0},
-		{"time passes", func(vm *standVM) { vm.steady.Advance(time.Second) }, time.Second},
-		{"the VM is suspended", func(vm *standVM) { vm.suspend(7 * time.Second) }, 7 * time.Second},
-		{"time passes around it", func(vm *standVM) {
-			vm.steady.Advance(time.Second)
+		{"nothing", func(*fakeVM) {}, 0},
+		{"time passes", func(vm *fakeVM) { vm.monotonic.Advance(time.Second) }, time.Second},
+		{"the VM is suspended", func(vm *fakeVM) { vm.suspend(7 * time.Second) }, 7 * time.Second},
+		{"time passes around it", func(vm *fakeVM) {
+			vm.monotonic.Advance(time.Second)
 			vm.suspend(7 * time.Second)
-			vm.steady.Advance(time.Second)
+			vm.monotonic.Advance(time.Second)
 		}, 9 * time.Second},
-		{"the time of day is set forward", func(vm *standVM) { vm.step(time.Hour) }, 0},
-		{"the time of day is set back", func(vm *standVM) { vm.step(-time.Hour) }, 0},
-		{"it is suspended, and the time of day is set back further", func(vm *standVM) {
+		{"the time of day is set forward", func(vm *fakeVM) { vm.setWallClock(time.Hour) }, 0},
+		{"the time of day is set back", func(vm *fakeVM) { vm.setWallClock(-time.Hour) }, 0},
+		{"it is suspended, and the time of day is set back further", func(vm *fakeVM) {
 			vm.suspend(7 * time.Second)
-			vm.step(-time.Minute)
+			vm.setWallClock(-time.Minute)
 		}, 7 * time.Second},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			vm, clock := newStandVM()
+			vm, clock := newFakeVM()
 			before := clock.Now()
 			for n := range 3 {
 				s.happen(vm)
@@ -68,13 +68,13 @@
 	}
 }
 
-// TestTheTimeOfDayFollowsItsChanges sets the time of day and suspends the VM.
-func TestTheTimeOfDayFollowsItsChanges(t *testing.T) {
-	vm, clock := newStandVM()
-	vm.steady.Advance(time.Second)
+// TestWallTimeFollowsWallClock sets the time of day and suspends the VM.
+func TestWallTimeFollowsWallClock(t *testing.T) {
+	vm, clock := newFakeVM()
+	vm.monotonic.Advance(time.Second)
 	vm.suspend(time.Minute)
-	vm.step(-time.Hour)
-	if got, want := clock.TimeOfDay(), clockStart.Add(time.Second+time.Minute-time.Hour); !got.Equal(want) {
+	vm.setWallClock(-time.Hour)
+	if got, want := clock.WallTime(), clockStart.Add(time.Second+time.Minute-time.Hour); !got.Equal(want) {
 		t.Errorf("the time of day is %v, want %v", got, want)
 	}
 	if got, want := clock.Now(), clockStart.Add(time.Second+time.Minute); !got.Equal(want) {
@@ -82,11 +82,11 @@
 	}
 }
 
-func TestTheKernelIsAskedOnlyWhenTheTimeOfDayHasMoved(t *testing.T) {
-	vm, clock := newStandVM()
+func TestUptimeIsReadOnlyAfterDrift(t *testing.T) {
+	vm, clock := newFakeVM()
 	atStart := vm.reads.Load()
 	for range 1000 {
-		vm.steady.Advance(time.Millisecond)
+		vm.monotonic.Advance(time.Millisecond)
 		clock.Now()
 	}
 	if n := vm.reads.Load() - atStart; n != 0 {
@@ -100,8 +100,8 @@
 	}
 }
 
-func TestTimersThatCameDueDuringASuspensionFireAfterIt(t *testing.T) {
-	vm, clock := newStandVM()
+func TestTimersFireAfterSuspension(t *testing.T) {
+	vm, clock := newFakeVM()
 	fired := make(chan string, 10)
 	note := func(name string) func() { return func() { fired <- name } }
 	clock.AfterFunc(5*time.Second, note("due"))
@@ -119,21 +119,21 @@
 	if channel.Stop() {
 		t.Error("a timer that has fired counts as set")
 	}
-	vm.steady.Advance(40 * time.Second)
+	vm.monotonic.Advance(40 * time.Second)
 	select {
 	case name := <-fired:
 		t.Errorf("%s fired after 50 s", name)
 	case <-time.After(20 * time.Millisecond):
 	}
-	vm.steady.Advance(10 * time.Second)
+	vm.monotonic.Advance(10 * time.Second)
 	names := map[string]bool{<-fired: true, <-fired: true}
 	if !names["later"] || !names["set later"] {
 		t.Errorf("fired: %v", names)
 	}
 }
 
-// TestTheRealClock only looks whether its sources work here.
-func TestTheRealClock(t *testing.T) {
+// TestRealClock only looks whether its sources work here.
+func TestRealClock(t *testing.T) {
 	clock := NewClock()
 	if clock.uptimeAtStart == 0 {
 		t.Error("the kernel does not tell its uptime")
--- a/state/decay.go
+++ b/state/decay.go
@@ -7,15 +7,15 @@
 
 // DecayingSum is a sum that loses half of its value in each half-life.
 type DecayingSum struct {
-	value float64
-	at    time.Time
+	value     float64
+	lastAdded time.Time
 }
 
 // Add decays the sum to the given instant and adds an amount.
 func (d *DecayingSum) Add(now time.Time, halfLife time.Duration, amount float64) {
 	d.value = d.Value(now, halfLife) + amount
-	if now.After(d.at) {
-		d.at = now
+	if now.After(d.lastAdded) {
+		d.lastAdded = now
 	}
 }
 
@@ -26,10 +26,10 @@
 
 // Value returns the sum as of the given instant; an instant before the last addition counts as that one.
 func (d *DecayingSum) Value(now time.Time, halfLife time.Duration) float64 {
-	if d.value == 0 || !now.After(d.at) {
+	if d.value == 0 || !now.After(d.lastAdded) {
 		return d.value
 	}
-	return d.value * DecayFactor(now.Sub(d.at), halfLife)
+	return d.value * DecayFactor(now.Sub(d.lastAdded), halfLife)
 }
 
 // Mean is an exponentially weighted mean with its mean absolute deviation.
@@ -63,15 +63,15 @@
 
 // Bucket is a token bucket that is filled by events instead of by time.
 type Bucket struct {
-	tokens float64
-	most   float64
+	tokens   float64
+	capacity float64
 }
 
 // NewBucket returns a full bucket of the given capacity.
-func NewBucket(most float64) Bucket { return Bucket{tokens: most, most: most} }
+func NewBucket(capacity float64) Bucket { return Bucket{tokens: capacity, capacity: capacity} }
 
 // Deposit adds a part of a token.
-func (b *Bucket) Deposit(part float64) { b.tokens = min(b.most, b.tokens+part) }
+func (b *Bucket) Deposit(fraction float64) { b.tokens = min(b.capacity, b.tokens+fraction) }
 
 // Take removes one token if there is one.
 func (b *Bucket) Take() bool {
