--- a/relay/accept.go
+++ b/relay/accept.go
@@ -64,15 +64,15 @@
 	return &failure{status: http.StatusServiceUnavailable, wait: stoppingRetryAfter, reason: "the daemon stops and the request might be cut off"}
 }
 
-func (f *flow) readBody(r *http.Request, most int64) *failure {
+func (f *flow) readBody(r *http.Request, maxBytes int64) *failure {
 	control := http.NewResponseController(f.w)
 	// Connection deadlines use the system clock, which may differ from the daemon's own clock.
 	if err := control.SetReadDeadline(time.Now().Add(bodyReadTimeout)); err != nil {
 		f.server.log.Debug("no deadline can be set on a body", "request", f.req.ID, "error", err)
 	}
 	body := r.Body
-	if most > 0 {
-		body = http.MaxBytesReader(f.w, r.Body, most)
+	if maxBytes > 0 {
+		body = http.MaxBytesReader(f.w, r.Body, maxBytes)
 	}
 	data, err := io.ReadAll(body)
 	var tooLarge *http.MaxBytesError
@@ -103,7 +103,7 @@
 			break
 		}
 	}
-	f.spec = table.Routing().Pools[f.pool]
+	f.poolSpec = table.Routing().Pools[f.pool]
 	f.rank = table.Rank(f.pool, f.workspaceSpec, f.route)
 	f.allowedRegions = f.route.AllowedRegions
 	if f.workspaceSpec != nil {
@@ -112,16 +112,16 @@
 }
 
 func (f *flow) setDeadlines() {
-	wait := defaultTimeout
+	timeout := defaultTimeout
 	if f.req.CallerTimeout > 0 {
-		wait = min(wait, f.req.CallerTimeout)
+		timeout = min(timeout, f.req.CallerTimeout)
 	}
 	if f.route.Timeout > 0 {
-		wait = min(wait, f.route.Timeout)
+		timeout = min(timeout, f.route.Timeout)
 	}
-	f.deadline = f.startedAt.Add(wait - responseMargin)
+	f.deadline = f.startedAt.Add(timeout - responseMargin)
 	f.due = f.deadline
 	if f.route.LatencyGoal > 0 {
-		f.due = f.startedAt.Add(min(wait, f.route.LatencyGoal))
+		f.due = f.startedAt.Add(min(timeout, f.route.LatencyGoal))
 	}
 }
--- a/relay/admit.go
+++ b/relay/admit.go
@@ -60,9 +60,9 @@
 type engineLoad struct {
 	// usable is the number of engines that accept requests.
 	usable int
-	// waitingTokens is the number of prompt tokens that wait while the engines read other prompts. maxRate is the number of
-	// tokens that all engines can read in a second without streams, and readRate is the number that they have recently
-	// read in a second.
+	// waitingTokens is the number of prompt tokens that wait while the engines read other prompts. maxRate is the
+	// number of tokens that all engines can read in a second without streams, and readRate is the number that they have
+	// recently read in a second.
 	waitingTokens, maxRate, readRate float64
 	// maxPause is the shortest pause between events that the streams of the pool allow.
 	maxPause time.Duration
@@ -156,11 +156,12 @@
 	demand []state.DecayingSum
 	// refused holds the time of the first refusal of each refused request.
 	refused map[proto.RequestDigest]time.Time
-	// usual is the recent number of usable engines, as of usualAt. A loss of many engines counts until lostUntil.
-	usual     float64
-	usualAt   time.Time
-	lostUntil time.Time
-	busyUntil time.Time
+	// usualEngines is the recent number of usable engines, as of usualAt. A loss of many engines counts until
+	// lostUntil.
+	usualEngines float64
+	usualAt      time.Time
+	lostUntil    time.Time
+	busyUntil    time.Time
 }
 
 func newAdmissionController() *admissionController {
@@ -170,13 +171,13 @@
 // observe records the load and reports whether admission control is on.
 func (a *admissionController) observe(now time.Time, load engineLoad) bool {
 	usable := float64(load.usable)
-	if usable < lostFraction*a.usual {
+	if usable < lostFraction*a.usualEngines {
 		a.lostUntil = now.Add(lostDuration)
 	}
-	if usable >= a.usual {
-		a.usual = usable
+	if usable >= a.usualEngines {
+		a.usualEngines = usable
 	} else {
-		a.usual -= (a.usual - usable) * (1 - state.DecayFactor(now.Sub(a.usualAt), usualHalfLife))
+		a.usualEngines -= (a.usualEngines - usable) * (1 - state.DecayFactor(now.Sub(a.usualAt), usualHalfLife))
 	}
 	a.usualAt = now
 	if load.queueTime() > time.Duration(busyFraction*float64(load.targetQueueTime())) || now.Before(a.lostUntil) {
@@ -187,48 +188,48 @@
 
 // rate returns how many prompt tokens per second are admitted.
 func (a *admissionController) rate(load engineLoad) float64 {
-	over := float64(load.queueTime())/float64(load.targetQueueTime()) - 1
-	if over < idleFraction-1 {
+	excess := float64(load.queueTime())/float64(load.targetQueueTime()) - 1
+	if excess < idleFraction-1 {
 		return max(idleStep*load.readRate, idleRate*load.maxRate)
 	}
-	return load.readRate * max(minRateFactor, 1-rateStep*over)
+	return load.readRate * max(minRateFactor, 1-rateStep*excess)
 }
 
 // share returns the fraction of a rank's requests that is admitted. Each rank gets its floor, and the rest of the rate
 // goes to the most urgent ranks first.
 func (a *admissionController) share(now time.Time, rate float64, rank int) float64 {
-	asked, all := a.currentDemand(now)
-	if all <= rate || asked[rank] == 0 {
+	demand, total := a.currentDemand(now)
+	if total <= rate || demand[rank] == 0 {
 		return 1
 	}
-	floors := rankFloors(asked, rate)
-	left := rate
-	for r := range asked {
-		left -= floors[r] * asked[r]
+	floors := rankFloors(demand, rate)
+	remaining := rate
+	for r := range demand {
+		remaining -= floors[r] * demand[r]
 		if r < rank {
-			left -= (1 - floors[r]) * asked[r]
+			remaining -= (1 - floors[r]) * demand[r]
 		}
 	}
-	return min(1, floors[rank]+max(0, left)/asked[rank])
+	return min(1, floors[rank]+max(0, remaining)/demand[rank])
 }
 
 // currentDemand returns the requested tokens per second by rank, and their sum.
-func (a *admissionController) currentDemand(now time.Time) (demand []float64, all float64) {
+func (a *admissionController) currentDemand(now time.Time) (demand []float64, total float64) {
 	demand = make([]float64, len(a.demand))
 	for r := range a.demand {
 		demand[r] = perHalfLife * a.demand[r].Value(now, rateHalfLife)
-		all += demand[r]
+		total += demand[r]
 	}
-	return demand, all
+	return demand, total
 }
 
 // rankFloors distributes the reserved part of the rate: it returns the fraction of each rank's requests that is
 // admitted at least, which is smaller for each rank than for the one before.
-func rankFloors(asked []float64, rate float64) []float64 {
-	floors, step, sum := make([]float64, len(asked)), 1.0, 0.0
-	for r := range asked {
+func rankFloors(demand []float64, rate float64) []float64 {
+	floors, step, sum := make([]float64, len(demand)), 1.0, 0.0
+	for r := range demand {
 		floors[r] = step
-		sum += step * asked[r]
+		sum += step * demand[r]
 		step *= floorStep
 	}
 	for r := range floors {
@@ -244,7 +245,7 @@
 	}
 	a.demand[ask.Rank].Add(now, rateHalfLife, tokens)
 	slack := ask.Slack
-	if first, came := a.refused[ask.Digest]; came {
+	if first, known := a.refused[ask.Digest]; known {
 		// A refusal is credited to one retry only, because other callers may send the same request.
 		slack -= now.Sub(first)
 		delete(a.refused, ask.Digest)
@@ -265,8 +266,8 @@
 // retryAfter returns when the caller of a refused request should come back. Callers that are refused together are
 // spread over the time in which they can still meet their goals.
 func retryAfter(seed uint64, slack time.Duration) time.Duration {
-	room := max(0, time.Duration(retryFraction*float64(slack))-minRetryWait)
-	return minRetryWait + time.Duration(unitInterval(state.Mix(seed))*float64(room))
+	spread := max(0, time.Duration(retryFraction*float64(slack))-minRetryWait)
+	return minRetryWait + time.Duration(unitInterval(state.Mix(seed))*float64(spread))
 }
 
 func (a *admissionController) recordRefused(now time.Time, digest proto.RequestDigest) {
--- a/relay/admit_test.go
+++ b/relay/admit_test.go
@@ -23,16 +23,16 @@
 			d.Add(start, rateHalfLife, n)
 			a.demand = append(a.demand, d)
 		}
-		demand, all := a.currentDemand(start)
-		begun, before := 0.0, 1.0
+		demand, total := a.currentDemand(start)
+		admitted, before := 0.0, 1.0
 		for rank := range demand {
 			share := a.share(start, rate, rank)
 			if share <= 0 || share > before+1e-9 || share > 1 {
 				return false
 			}
-			begun, before = begun+share*demand[rank], share
+			admitted, before = admitted+share*demand[rank], share
 		}
-		return begun <= max(rate, 0)*(1+1e-9) || all <= rate
+		return admitted <= max(rate, 0)*(1+1e-9) || total <= rate
 	}, gen.SliceOfN(6, gen.Float64Range(1, 1e6)), gen.Float64Range(1, 3e6)))
 	properties.TestingRun(t)
 }
@@ -48,9 +48,9 @@
 	}
 	now := start.Add(time.Millisecond)
 	for rank := 2; rank < len(a.demand); rank++ {
-		urgent, less := a.share(now, 1e6, rank-1), a.share(now, 1e6, rank)
-		if less >= urgent || less < urgent/2 {
-			t.Errorf("rank %d has a share of %.3f, the one before %.3f", rank, less, urgent)
+		urgent, lessUrgent := a.share(now, 1e6, rank-1), a.share(now, 1e6, rank)
+		if lessUrgent >= urgent || lessUrgent < urgent/2 {
+			t.Errorf("rank %d has a share of %.3f, the one before %.3f", rank, lessUrgent, urgent)
 		}
 	}
 }
--- a/relay/admitask.go
+++ b/relay/admitask.go
@@ -11,14 +11,14 @@
 // admit asks whether a request for a pool of engines may start while the engines are busy. Requests that the engines
 // cannot handle in time are refused before any work is done for them.
 func (f *flow) admit(ctx context.Context) *failure {
-	if f.spec.Engine == nil || f.req.After > 0 {
+	if f.poolSpec.Engine == nil || f.req.After > 0 {
 		// The caller has a part of the stream already, and would lose it if the rest were refused.
 		return nil
 	}
-	until := f.timeToEngine()
+	stagesTime := f.timeToEngine()
 	ask := proto.AdmitAsk{
 		Pool: f.pool, Route: f.route.Name, Digest: f.digest, Seed: state.Hash(f.req.ID), Rank: f.rank, OwnTokens: f.criteria().OwnTokens,
-		Slack: f.due.Sub(f.server.clock.Now()) - until - f.timeToFirstEvent(),
+		Slack: f.due.Sub(f.server.clock.Now()) - stagesTime - f.timeToFirstEvent(),
 	}
 	answer, owner := f.server.placer.Admit(ctx, ask)
 	if !answer.Refused {
@@ -85,14 +85,14 @@
 	tokens := float64(ask.OwnTokens) + p.fleet.missingTokens(now, ask.Pool, ask.Route)
 	p.admitMu.Lock()
 	defer p.admitMu.Unlock()
-	a := p.admissionOf(ask.Pool)
+	a := p.admissionFor(ask.Pool)
 	busy := a.observe(now, load)
 	answer := a.decide(now, load, &ask, tokens)
 	answer.AdmissionRequired = busy
 	return answer
 }
 
-func (p *Placer) admissionOf(pool string) *admissionController {
+func (p *Placer) admissionFor(pool string) *admissionController {
 	a := p.admissions[pool]
 	if a == nil {
 		a = newAdmissionController()
@@ -106,7 +106,7 @@
 	load := p.fleet.engineLoad(now, pool)
 	p.admitMu.Lock()
 	defer p.admitMu.Unlock()
-	return p.admissionOf(pool).observe(now, load)
+	return p.admissionFor(pool).observe(now, load)
 }
 
 // recordBusy records that the owner of a pool reported it as busy.
--- a/relay/answer.go
+++ b/relay/answer.go
@@ -37,18 +37,18 @@
 	}
 }
 
-func (f *flow) forwardResponse(a *bufferedResponse) {
-	f.copyHeader(a.header)
-	f.w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
-	f.w.WriteHeader(a.status)
+func (f *flow) forwardResponse(response *bufferedResponse) {
+	f.copyHeader(response.header)
+	f.w.Header().Set("Content-Length", strconv.Itoa(len(response.body)))
+	f.w.WriteHeader(response.status)
 	f.committed = true
-	if _, err := f.w.Write(a.body); err != nil {
+	if _, err := f.w.Write(response.body); err != nil {
 		f.logInfo("the answer could not be written to the caller", "error", err)
 	}
 }
 
 // splitEvents splits data after the last blank line; the rest is an incomplete event.
-func splitEvents(data []byte) (whole, rest []byte) {
+func splitEvents(data []byte) (complete, rest []byte) {
 	end := bytes.LastIndex(data, []byte("\n\n"))
 	if crlf := bytes.LastIndex(data, []byte("\r\n\r\n")); crlf >= 0 && crlf+2 > end {
 		end = crlf + 2
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -91,7 +91,7 @@
 		if f.timeLeft() < minAttemptTime {
 			return f.timeoutFailure(last.reason), false
 		}
-		if s.closing.Err() != nil {
+		if s.closeCtx.Err() != nil {
 			return f.shutdownFailure(), false
 		}
 		if fail := f.refuseCrashing(); fail != nil {
@@ -202,7 +202,7 @@
 	}
 }
 
-func (f *flow) noTarget() string {
+func (f *flow) noTargetReason() string {
 	if f.allowedRegions.Restricted && f.server.fleet.OpenCount(f.pool, f.allowedRegions) == 0 {
 		return reasonNoTargetInRegions
 	}
@@ -212,10 +212,10 @@
 	if _, cold := f.server.fleet.TimeUntilWarm(f.server.clock.Now(), f.pool); cold {
 		return reasonCold
 	}
-	if in, limited := f.server.placer.limitWait(f.pool); limited && in > 0 {
+	if wait, limited := f.server.placer.limitWait(f.pool); limited && wait > 0 {
 		return reasonRateLimited
 	}
-	if _, rests := f.server.fleet.backoffRemaining(f.server.clock.Now(), f.pool); rests {
+	if _, backingOff := f.server.fleet.backoffRemaining(f.server.clock.Now(), f.pool); backingOff {
 		return reasonBackoff
 	}
 	return reasonNoTarget
@@ -229,15 +229,15 @@
 		return busyRetryAfter
 	}
 	wait := time.Duration(0)
-	sooner := func(in time.Duration, waits bool) {
-		if waits && (wait == 0 || in < wait) {
-			wait = in
+	keepEarliest := func(remaining time.Duration, applies bool) {
+		if applies && (wait == 0 || remaining < wait) {
+			wait = remaining
 		}
 	}
 	now := f.server.clock.Now()
-	sooner(f.server.fleet.TimeUntilWarm(now, f.pool))
-	sooner(f.server.fleet.backoffRemaining(now, f.pool))
-	sooner(f.server.placer.limitWait(f.pool))
+	keepEarliest(f.server.fleet.TimeUntilWarm(now, f.pool))
+	keepEarliest(f.server.fleet.backoffRemaining(now, f.pool))
+	keepEarliest(f.server.placer.limitWait(f.pool))
 	return f.limitRetryAfter(wait)
 }
 
@@ -247,7 +247,7 @@
 }
 
 func (f *flow) criteria() TargetCriteria {
-	w := TargetCriteria{Zone: f.server.zone, Tried: f.triedTargets, Engine: f.spec.Engine != nil, OwnTokens: f.req.PromptTokens, Route: f.route.Name, MaxPause: f.route.MaxPause, Rank: f.rank, AllowedRegions: f.allowedRegions}
+	w := TargetCriteria{Zone: f.server.zone, Tried: f.triedTargets, Engine: f.poolSpec.Engine != nil, OwnTokens: f.req.PromptTokens, Route: f.route.Name, MaxPause: f.route.MaxPause, Rank: f.rank, AllowedRegions: f.allowedRegions}
 	if f.inputZone != "" {
 		w.Zone, w.InputBytes = f.inputZone, f.inputBytes
 	}
@@ -280,9 +280,9 @@
 	late bool
 	// repeated is set if the target may have run the request before.
 	repeated bool
-	// counted is set if the attempt is counted in the runs of the request, first if its first event has arrived, and
-	// answered if the complete response has arrived and is not a failure.
-	counted, first, answered bool
+	// counted is set if the attempt is counted in the runs of the request, streamStarted if its first event has
+	// arrived, and answered if the complete response has arrived and is not a failure.
+	counted, streamStarted, answered bool
 }
 
 // hedgeDelay is how long an attempt may be silent before another one is made, and what this is based on.
@@ -296,11 +296,11 @@
 
 // What a hedgeDelay may be based on.
 const (
-	basisTypical = "what is usual"
-	basisGoal    = "the goal of the route"
-	basisLeast   = "the least that is waited for"
-	basisLeft    = "the time that is left"
-	basisGap     = "the pause that the route allows"
+	basisTypical  = "what is usual"
+	basisGoal     = "the goal of the route"
+	basisMinimum  = "the least that is waited for"
+	basisTimeLeft = "the time that is left"
+	basisMaxPause = "the pause that the route allows"
 )
 
 // startHedgeDelay returns how long a target may take to start answering before another one is asked to run the request
@@ -308,23 +308,23 @@
 func (f *flow) startHedgeDelay() hedgeDelay {
 	timeLeft := f.timeLeft()
 	if f.route.Kind == routeStream {
-		usual := f.timeToFirstEvent()
-		return hedgeDelayFor(usual, startDelayFactor).atLeast(f.route.LatencyGoal/2, basisGoal).atMost(timeLeft)
+		typical := f.timeToFirstEvent()
+		return hedgeDelayFor(typical, startDelayFactor).atLeast(f.route.LatencyGoal/2, basisGoal).atMost(timeLeft)
 	}
-	usual := f.server.responseTimes.upperBound(f.pool, initialResponseTime)
-	return hedgeDelayFor(usual, startDelayFactor).atLeast(f.route.LatencyGoal, basisGoal).atMost(timeLeft / 2)
+	typical := f.server.responseTimes.upperBound(f.pool, initialResponseTime)
+	return hedgeDelayFor(typical, startDelayFactor).atLeast(f.route.LatencyGoal, basisGoal).atMost(timeLeft / 2)
 }
 
 // silenceHedgeDelay returns how long a stream that has started may be silent before another target is asked to resume
 // it.
 func (f *flow) silenceHedgeDelay() hedgeDelay {
-	return hedgeDelayFor(f.timeToFirstEvent(), minSilenceStarts).atLeast(time.Duration(silenceFactor*float64(f.route.MaxPause)), basisGap)
+	return hedgeDelayFor(f.timeToFirstEvent(), minSilenceStarts).atLeast(time.Duration(silenceFactor*float64(f.route.MaxPause)), basisMaxPause)
 }
 
 // hedgeDelayFor returns a multiple of the typical upper bound, but at least minStartTimeout.
-func hedgeDelayFor(typical time.Duration, times int) hedgeDelay {
-	w := hedgeDelay{delay: time.Duration(times) * typical, typical: typical, basis: basisTypical}
-	return w.atLeast(minStartTimeout, basisLeast)
+func hedgeDelayFor(typical time.Duration, factor int) hedgeDelay {
+	w := hedgeDelay{delay: time.Duration(factor) * typical, typical: typical, basis: basisTypical}
+	return w.atLeast(minStartTimeout, basisMinimum)
 }
 
 // atLeast returns the delay, or a longer one with another basis.
@@ -338,7 +338,7 @@
 // atMost returns the delay, or a shorter one if less time is left.
 func (w hedgeDelay) atMost(limit time.Duration) hedgeDelay {
 	if limit < w.delay {
-		w.delay, w.basis = limit, basisLeft
+		w.delay, w.basis = limit, basisTimeLeft
 	}
 	return w
 }
@@ -357,7 +357,7 @@
 // newAttempt chooses a target that has not been tried yet. It returns nil if there is none.
 func (r *race) newAttempt() *attempt {
 	f := r.flow
-	return r.attemptAt(f.server.placer.Choose(r.ctx, f.pool, f.criteria()))
+	return r.newAttemptAt(f.server.placer.Choose(r.ctx, f.pool, f.criteria()))
 }
 
 // repeatAttempt chooses a target whose attempt was canceled, each of them once. It returns nil if there is none.
@@ -366,7 +366,7 @@
 	for len(f.superseded) > 0 {
 		id := f.superseded[0]
 		f.superseded = f.superseded[1:]
-		a := r.attemptAt(f.server.placer.ChooseByID(r.ctx, f.pool, id, f.criteria()))
+		a := r.newAttemptAt(f.server.placer.ChooseByID(r.ctx, f.pool, id, f.criteria()))
 		f.logInfo("return to a target", "target", id, "runs", f.runs, "lastEvent", f.lastEventID, "taken", a != nil)
 		if a != nil {
 			a.repeated = true
@@ -376,7 +376,7 @@
 	return nil
 }
 
-func (r *race) attemptAt(placement *Placement) *attempt {
+func (r *race) newAttemptAt(placement *Placement) *attempt {
 	if placement == nil {
 		return nil
 	}
@@ -417,7 +417,7 @@
 		return func() {}
 	}
 	stageResults := f.stageResults
-	timer := f.server.clock.AfterFunc(f.server.fetches.keepTime(f.pool), func() {
+	timer := f.server.clock.AfterFunc(f.server.fetchTimes.keepTime(f.pool), func() {
 		// AfterFunc may run in the goroutine of the clock, which must not block on a lock.
 		go f.freeResults(stageResults)
 	})
@@ -429,7 +429,7 @@
 	if !f.inputsFreed() {
 		return
 	}
-	keep := f.server.fetches.observe(f.server.clock.Now(), sent, f.pool, fetched)
+	keep := f.server.fetchTimes.observe(f.server.clock.Now(), sent, f.pool, fetched)
 	if !fetched {
 		f.logInfo("inputs were freed too early", "pool", f.pool, "target", f.target, "keepNext", formatDuration(keep))
 	}
@@ -480,14 +480,14 @@
 }
 
 // handleRefusal handles a response of a target that did not run the request.
-func (a *attempt) handleRefusal(status int, reply ResponseInfo) attemptResult {
+func (a *attempt) handleRefusal(status int, info ResponseInfo) attemptResult {
 	a.race.flow.sent++
-	result := attemptResult{notRun: true, sent: true, lostInput: reply.LostInput, misdirected: reply.Misdirected}
+	result := attemptResult{notRun: true, sent: true, lostInput: info.LostInput, misdirected: info.Misdirected}
 	switch {
-	case reply.Misdirected:
+	case info.Misdirected:
 		a.markFailed()
 		result.reason = "another target has the address"
-	case reply.LostInput:
+	case info.LostInput:
 		result.reason = "an input is gone"
 		a.race.flow.recordFetch(a.startedAt, false)
 	default:
@@ -515,7 +515,7 @@
 // handleStreamStart handles the first events of a stream.
 func (a *attempt) handleStreamStart() {
 	f := a.race.flow
-	a.first = true
+	a.streamStarted = true
 	a.placement.RecordResponseStart()
 	f.recordFirstEvent(f.server.clock.Now().Sub(a.startedAt))
 	// An engine fetches all inputs before it reads the prompt.
@@ -526,7 +526,7 @@
 // handleStreamEnd handles the end of a stream. The stream is complete if the target ended it after a complete event.
 func (a *attempt) handleStreamEnd(update *attemptUpdate) attemptResult {
 	f := a.race.flow
-	if errors.Is(update.err, io.EOF) && !update.cut {
+	if errors.Is(update.err, io.EOF) && !update.truncated {
 		a.verdict, a.answered = VerdictSuccess, true
 		if !f.committed {
 			f.copyHeader(update.response.Header)
--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -167,8 +167,8 @@
 	var refused []proto.RequestDigest
 	c.mu.Lock()
 	for _, end := range m.Ends {
-		added, over := c.mergeEnd(now, end)
-		refused = append(refused, over...)
+		added, nowRefused := c.mergeEnd(now, end)
+		refused = append(refused, nowRefused...)
 		if len(added) > 0 {
 			end.Requests = added
 			fresh.Ends = append(fresh.Ends, end)
@@ -339,20 +339,20 @@
 	if c.size <= maxCrashes {
 		return
 	}
-	type kept struct {
+	type entry struct {
 		request proto.RequestDigest
 		run     proto.RunName
 		counted int
 		at      time.Time
 	}
-	all := make([]kept, 0, c.size)
+	all := make([]entry, 0, c.size)
 	for request, record := range c.requests {
 		counted := record.counted()
 		for run, e := range record {
-			all = append(all, kept{request, run, counted, e.at})
+			all = append(all, entry{request, run, counted, e.at})
 		}
 	}
-	slices.SortFunc(all, func(a, b kept) int {
+	slices.SortFunc(all, func(a, b entry) int {
 		return cmp.Or(cmp.Compare(a.counted, b.counted), a.at.Compare(b.at), cmp.Compare(a.request, b.request))
 	})
 	for _, k := range all[:len(all)/crashDropDivisor] {
--- a/relay/crashreport.go
+++ b/relay/crashreport.go
@@ -57,11 +57,11 @@
 // logMerged logs newly learned ends. It writes one line for all ends that arrived together, because a wave brings
 // hundreds of them.
 func (c *CrashTracker) logMerged(fresh proto.TargetEnds, refused []proto.RequestDigest, from proto.VM) {
-	var learnt []mergedEnd
+	var entries []mergedEnd
 	for _, end := range fresh.Ends[:min(maxLoggedEnds, len(fresh.Ends))] {
-		learnt = append(learnt, mergedEnd{EvidenceEnd{end.Run, end.Reporter, formatDuration(end.Age)}, len(end.Requests), end.Answered})
+		entries = append(entries, mergedEnd{EvidenceEnd{end.Run, end.Reporter, formatDuration(end.Age)}, len(end.Requests), end.Answered})
 	}
-	c.log.Info("requests were at work when targets ended", "from", from, "count", len(fresh.Ends), "ends", learnt)
+	c.log.Info("requests were at work when targets ended", "from", from, "count", len(fresh.Ends), "ends", entries)
 	for _, request := range refused {
 		evidence, _ := c.Blocks(request)
 		c.log.Warn("a request is refused from now on, since targets end that run it", "digest", request.String(), "ends", evidence.Ends, "for", formatDuration(evidence.RetryAfter), "from", from)
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -19,8 +19,8 @@
 	events []byte
 	// body is the body of a complete response that is not a stream.
 	body []byte
-	// stream is set if a stream has ended, and cut if it ended within an event.
-	stream, cut bool
+	// stream is set if a stream has ended, and truncated if it ended within an event.
+	stream, truncated bool
 	// mismatch is set if the response belongs to another request, and oversized if an event is too long.
 	mismatch, oversized bool
 	// err is why there is no response or no more of it; io.EOF at the regular end of a stream.
@@ -58,7 +58,7 @@
 	stream    bool
 }
 
-// send sends an event to the race, unless the race is over.
+// send sends an update to the race, unless the race is over.
 func (x *exchange) send(update *attemptUpdate) {
 	update.attempt = x.attempt
 	r := x.attempt.race
@@ -90,7 +90,7 @@
 	x.send(update)
 }
 
-// read reads a response to its end and returns the final event for it.
+// read reads a response to its end and returns the final update for it.
 func (x *exchange) read(response *TargetResponse) *attemptUpdate {
 	update := &attemptUpdate{response: response, info: x.server.dialect.ParseResponse(response.Status, response.Header)}
 	switch {
@@ -108,28 +108,29 @@
 }
 
 // mismatched reports whether a successful response does not belong to the request.
-func (x *exchange) mismatched(response *TargetResponse, reply ResponseInfo) bool {
-	return response.Status/100 == http.StatusOK/100 && (!reply.Stamped || reply.ContentEncoded || reply.RequestID != x.requestID)
+func (x *exchange) mismatched(response *TargetResponse, info ResponseInfo) bool {
+	return response.Status/100 == http.StatusOK/100 && (!info.Stamped || info.ContentEncoded || info.RequestID != x.requestID)
 }
 
-// readStream sends the complete events of a stream as they arrive, and records in the final event how the stream ended.
-func (x *exchange) readStream(last *attemptUpdate) {
-	var held []byte
+// readStream sends the complete events of a stream as they arrive, and records in the final update how the stream
+// ended.
+func (x *exchange) readStream(final *attemptUpdate) {
+	var buffered []byte
 	buffer := make([]byte, readSize)
 	for {
-		n, err := last.response.Body.Read(buffer)
-		held = append(held, buffer[:n]...)
+		n, err := final.response.Body.Read(buffer)
+		buffered = append(buffered, buffer[:n]...)
 		var events []byte
-		events, held = splitEvents(held)
+		events, buffered = splitEvents(buffered)
 		if len(events) > 0 {
-			x.send(&attemptUpdate{response: last.response, info: last.info, events: events})
+			x.send(&attemptUpdate{response: final.response, info: final.info, events: events})
 		}
 		if err != nil {
-			last.err, last.cut = err, len(held) > 0
+			final.err, final.truncated = err, len(buffered) > 0
 			return
 		}
-		if len(held) > maxEventBytes {
-			last.oversized = true
+		if len(buffered) > maxEventBytes {
+			final.oversized = true
 			return
 		}
 	}
--- a/relay/homes_test.go
+++ b/relay/homes_test.go
@@ -26,35 +26,35 @@
 // TestOnlyTargetsInAllowedRegionsAreChosen requests a target in all ways that are in use, also when all targets in the
 // region fail or were tried before.
 func TestOnlyTargetsInAllowedRegionsAreChosen(t *testing.T) {
-	home := proto.AllowRegions([]string{"south"})
-	bound := func(w TargetCriteria) TargetCriteria {
-		w.AllowedRegions = home
+	allowed := proto.AllowRegions([]string{"south"})
+	restricted := func(w TargetCriteria) TargetCriteria {
+		w.AllowedRegions = allowed
 		return w
 	}
 	scenarios := []struct {
 		testName string
 		pick     func(f *Fleet, i int) *Target
 	}{
-		{"a plain request", func(f *Fleet, _ int) *Target { return f.Pick(start, "p", bound(TargetCriteria{Zone: "z"})) }},
+		{"a plain request", func(f *Fleet, _ int) *Target { return f.Pick(start, "p", restricted(TargetCriteria{Zone: "z"})) }},
 		{"prompts without number", func(f *Fleet, i int) *Target {
-			return f.Pick(start, "p", bound(promptCriteria(fmt.Sprint(i), 5000, 9000)))
+			return f.Pick(start, "p", restricted(promptCriteria(fmt.Sprint(i), 5000, 9000)))
 		}},
 		{"all at home fail", func(f *Fleet, _ int) *Target {
-			got := f.Pick(start, "p", bound(TargetCriteria{}))
+			got := f.Pick(start, "p", restricted(TargetCriteria{}))
 			f.FinishAttempt(start, got, TargetCriteria{}, false, VerdictFailure, Load{})
 			return got
 		}},
 		{"a retry", func(f *Fleet, _ int) *Target {
-			first := f.Pick(start, "p", bound(TargetCriteria{}))
-			return f.Pick(start, "p", bound(TargetCriteria{Tried: map[string]bool{first.Spec.ID: true}}))
+			first := f.Pick(start, "p", restricted(TargetCriteria{}))
+			return f.Pick(start, "p", restricted(TargetCriteria{Tried: map[string]bool{first.Spec.ID: true}}))
 		}},
 		{"a retry after all at home were tried", func(f *Fleet, _ int) *Target {
-			return f.Pick(start, "p", bound(TargetCriteria{Tried: map[string]bool{"e01": true, "e04": true}}))
+			return f.Pick(start, "p", restricted(TargetCriteria{Tried: map[string]bool{"e01": true, "e04": true}}))
 		}},
-		{"chosen by another daemon that does not know the home", func(f *Fleet, _ int) *Target { return f.PickByID(start, "p", "e00", bound(TargetCriteria{})) }},
+		{"chosen by another daemon that does not know the home", func(f *Fleet, _ int) *Target { return f.PickByID(start, "p", "e00", restricted(TargetCriteria{})) }},
 		{"placed for another daemon", func(f *Fleet, i int) *Target {
 			all, _ := newPlacers(clockwork.NewFakeClockAt(start), f, threeRegions())
-			placed := all["vm-1"].Choose(context.Background(), "p", bound(promptCriteria(fmt.Sprint(i), 5000, 9000)))
+			placed := all["vm-1"].Choose(context.Background(), "p", restricted(promptCriteria(fmt.Sprint(i), 5000, 9000)))
 			return placed.Target
 		}},
 	}
@@ -71,7 +71,7 @@
 }
 
 func TestRouteAndWorkspaceRegionsIntersect(t *testing.T) {
-	route, owner := proto.AllowRegions([]string{"north", "south"}), proto.AllowRegions([]string{"south", "east"})
+	route, workspace := proto.AllowRegions([]string{"north", "south"}), proto.AllowRegions([]string{"south", "east"})
 	scenarios := []struct {
 		testName string
 		homes    proto.AllowedRegions
@@ -79,8 +79,8 @@
 	}{
 		{"none", proto.AllowedRegions{}.Intersect(proto.AllowedRegions{}), 6},
 		{"the route's", route.Intersect(proto.AllowedRegions{}), 4},
-		{"the workspace's", proto.AllowedRegions{}.Intersect(owner), 4},
-		{"both", route.Intersect(owner), 2},
+		{"the workspace's", proto.AllowedRegions{}.Intersect(workspace), 4},
+		{"both", route.Intersect(workspace), 2},
 		{"both, which have nothing in common", route.Intersect(proto.AllowRegions([]string{"east"})), 0},
 	}
 	for _, s := range scenarios {
--- a/relay/race.go
+++ b/relay/race.go
@@ -59,7 +59,7 @@
 	ctx, cancel := context.WithCancelCause(caller)
 	r.ctx, r.cancel = ctx, cancel
 	r.deadlineTimer = f.server.clock.AfterFunc(f.timeLeft(), func() { cancel(errDeadlineReached) })
-	r.stopCloseWatch = context.AfterFunc(f.server.closing, func() { cancel(errClosing) })
+	r.stopCloseWatch = context.AfterFunc(f.server.closeCtx, func() { cancel(errClosing) })
 	r.hedgeTimer = f.server.clock.NewTimer(f.timeLeft())
 	r.hedgeTimer.Stop()
 	r.overlapTimer = f.server.clock.NewTimer(f.timeLeft())
@@ -85,7 +85,7 @@
 func (r *race) run() attemptResult {
 	first := r.nextAttempt()
 	if first == nil {
-		return attemptResult{notRun: true, noTarget: true, reason: r.flow.noTarget()}
+		return attemptResult{notRun: true, noTarget: true, reason: r.flow.noTargetReason()}
 	}
 	r.startAttempt(first)
 	for len(r.running) > 0 {
@@ -198,7 +198,7 @@
 	a.load = update.info.Load
 	a.markRun()
 	a.late = false
-	if !a.first {
+	if !a.streamStarted {
 		a.handleStreamStart()
 	}
 	if r.leader != a && f.committed && !f.hasNewEvents(update.events) {
@@ -219,10 +219,10 @@
 }
 
 // supersede cancels all attempts but one. Their targets have not failed, so the request may return to them.
-func (r *race) supersede(by *attempt) {
+func (r *race) supersede(winner *attempt) {
 	for _, a := range slices.Clone(r.running) {
-		if a != by {
-			r.cancelAttempt(a, by.placement.Spec.ID, errSuperseded.Error())
+		if a != winner {
+			r.cancelAttempt(a, winner.placement.Spec.ID, errSuperseded.Error())
 			r.flow.superseded = append(r.flow.superseded, a.placement.Spec.ID)
 		}
 	}
@@ -318,7 +318,7 @@
 	}
 	a := r.nextAttempt()
 	if a == nil {
-		return f.noTarget()
+		return f.noTargetReason()
 	}
 	if !f.spendRetry("an attempt takes longer than usual") {
 		a.placement.Finish(VerdictNone, Load{})
@@ -364,7 +364,7 @@
 	case crashing:
 		return reasonCrashing
 	case len(f.superseded) == 0 && !s.placer.HasAlternative(f.pool, f.criteria()):
-		return f.noTarget()
+		return f.noTargetReason()
 	case !s.budgetOf(f.pool).Available(now, s.peers.Share().Fraction):
 		return reasonBudget
 	}
--- a/relay/race_test.go
+++ b/relay/race_test.go
@@ -48,7 +48,7 @@
 		{"the other one leaves", func(r *racedRequest) {
 			other := raceTarget(1)
 			other.Leaving = true
-			r.change(other)
+			r.changeTarget(other)
 		}, false},
 		{"the other one was tried", func(r *racedRequest) { r.triedTargets["t1"] = true }, false},
 		{"the other one's zone is evacuated", func(r *racedRequest) {
@@ -59,7 +59,7 @@
 			r.fleet.SetColdSpec("p", proto.ColdSpec{WarmUpTime: time.Minute, RequestsPerSecond: 1})
 			other := raceTarget(1)
 			other.ColdRemaining = time.Minute
-			r.change(other)
+			r.changeTarget(other)
 			for range 10 {
 				r.server.placer.coldLimiter.take(time.Now(), "t1", 6)
 			}
@@ -125,7 +125,7 @@
 					if n := r.sender.askedOf(1); n != 1 {
 						t.Errorf("the second target was asked %d times", n)
 					}
-					if s.quick && r.sender.gaveUpOn(0) == 0 {
+					if s.quick && r.sender.canceledAt(0) == 0 {
 						t.Error("the first target goes on working for nobody")
 					}
 				})
@@ -291,8 +291,8 @@
 		}
 		synctest.Wait()
 		for i := range 2 {
-			if r.sender.askedOf(i) != 1 || r.sender.gaveUpOn(i) != 1 {
-				t.Errorf("target %d was asked %d times and given up %d times", i, r.sender.askedOf(i), r.sender.gaveUpOn(i))
+			if r.sender.askedOf(i) != 1 || r.sender.canceledAt(i) != 1 {
+				t.Errorf("target %d was asked %d times and given up %d times", i, r.sender.askedOf(i), r.sender.canceledAt(i))
 			}
 		}
 		if took := time.Since(r.startedAt); took > time.Second {
--- a/relay/raceprop_test.go
+++ b/relay/raceprop_test.go
@@ -65,9 +65,9 @@
 	var racers []racer
 	allAnswer := true
 	for range 1 + random.IntN(4) {
-		r, alone := randomRacer(random, kind)
+		r, answers := randomRacer(random, kind)
 		racers = append(racers, r)
-		allAnswer = allAnswer && alone
+		allAnswer = allAnswer && answers
 	}
 	r := newRaced(kind, racers...)
 	fail := r.run(t.Context())
@@ -79,8 +79,8 @@
 		n := r.sender.askedOf(i)
 		asked += n
 		superseded := strings.Count(r.log.String(), fmt.Sprintf("attempt given up: request=r target=t%d for=t", i))
-		if n > 1+superseded || n != r.sender.gaveUpOn(i) {
-			t.Logf("seed %d: target %d was asked %d times, overtaken %d times, and %d attempts are over", seed, i, n, superseded, r.sender.gaveUpOn(i))
+		if n > 1+superseded || n != r.sender.canceledAt(i) {
+			t.Logf("seed %d: target %d was asked %d times, overtaken %d times, and %d attempts are over", seed, i, n, superseded, r.sender.canceledAt(i))
 			return false
 		}
 	}
--- a/relay/racerig_test.go
+++ b/relay/racerig_test.go
@@ -60,7 +60,7 @@
 	return s.asked[raceAddress(i)]
 }
 
-func (s *raceSender) gaveUpOn(i int) int {
+func (s *raceSender) canceledAt(i int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.canceled[raceAddress(i)]
@@ -205,7 +205,7 @@
 	now := clock.Now()
 	recorder := httptest.NewRecorder()
 	f := &flow{
-		server: s, w: recorder, req: &Request{ID: "r"}, pool: "p", spec: &proto.RelayPool{Name: "p"}, triedTargets: map[string]bool{},
+		server: s, w: recorder, req: &Request{ID: "r"}, pool: "p", poolSpec: &proto.RelayPool{Name: "p"}, triedTargets: map[string]bool{},
 		route:     &proto.Route{Name: raceRoute, Kind: kind, MaxTargets: 3, Resumable: true, MaxPause: 100 * time.Millisecond},
 		startedAt: now, due: now.Add(raceLeft), deadline: now.Add(raceLeft),
 	}
@@ -221,7 +221,7 @@
 	return r.recorder.Body.String()
 }
 
-func (r *racedRequest) change(t proto.RelayTarget) {
+func (r *racedRequest) changeTarget(t proto.RelayTarget) {
 	r.fleet.ApplyChanges(time.Now(), []FleetChange{putChange(100, t)})
 }
 
--- a/relay/server.go
+++ b/relay/server.go
@@ -77,7 +77,7 @@
 	// the times to complete responses of targets, by pool. callTimes are the durations of calls for pieces, by pool,
 	// and requestTimes those of whole requests, by route.
 	firstEventTimes, responseTimes, callTimes, requestTimes durationEstimates[string]
-	fetches                                                 fetchTimes
+	fetchTimes                                              fetchTimes
 
 	budgetMu sync.Mutex
 	budgets  map[string]*RetryBudget
@@ -87,8 +87,8 @@
 	open     atomic.Int64
 	stopping atomic.Pointer[stopPlan]
 	// stagesCtx is canceled, by cancelStages, when the stopping daemon refuses requests whose stages are not done.
-	// closing is canceled, by close, when it answers the requests that targets are still running.
-	stagesCtx, closing  context.Context
+	// closeCtx is canceled, by close, when it answers the requests that targets are still running.
+	stagesCtx, closeCtx context.Context
 	cancelStages, close context.CancelFunc
 }
 
@@ -96,14 +96,14 @@
 type stopPlan struct{ startedAt, lastMoment time.Time }
 
 // acceptUntil returns when the daemon stops accepting requests of a kind because they might be cut off when it exits.
-// length is the upper estimate of the duration of the route's requests, 0 if unknown.
-func (p *stopPlan) acceptUntil(kind proto.RouteKind, length time.Duration) time.Time {
+// duration is the upper estimate of the duration of the route's requests, 0 if unknown.
+func (p *stopPlan) acceptUntil(kind proto.RouteKind, duration time.Duration) time.Time {
 	if kind != proto.RouteStream {
-		return p.lastMoment.Add(-max(minRequestTime, length))
+		return p.lastMoment.Add(-max(minRequestTime, duration))
 	}
-	end := p.lastMoment.Add(-max(minStreamTime, length))
-	if taken := p.startedAt.Add(streamAcceptTime); taken.Before(end) {
-		return taken
+	end := p.lastMoment.Add(-max(minStreamTime, duration))
+	if streamsEnd := p.startedAt.Add(streamAcceptTime); streamsEnd.Before(end) {
+		return streamsEnd
 	}
 	return end
 }
@@ -139,7 +139,7 @@
 	}
 	s.sender = newNoticeSender(c.Sender, c.Dialect, c.Fleet, c.Clock, c.Log)
 	s.stagesCtx, s.cancelStages = context.WithCancel(context.Background())
-	s.closing, s.close = context.WithCancel(context.Background())
+	s.closeCtx, s.close = context.WithCancel(context.Background())
 	return s
 }
 
@@ -177,7 +177,7 @@
 	req           *Request
 	route         *proto.Route
 	pool          string
-	spec          *proto.RelayPool
+	poolSpec      *proto.RelayPool
 	workspace     string
 	workspaceSpec *proto.RelayWorkspace
 	// digest identifies the request across retries by the caller, which may use different ids.
@@ -284,16 +284,16 @@
 // run runs the stages and then the request itself. It returns nil if the complete response was sent.
 func (f *flow) run(ctx context.Context) *failure {
 	f.server.counts.received.Add(1)
-	if f.spec == nil {
+	if f.poolSpec == nil {
 		return f.notRunFailure(unknownPoolRetryAfter, "the configuration has no pool "+f.pool)
 	}
 	if f.server.fleet.OpenCount(f.pool, f.allowedRegions) == 0 {
 		// The results of the stages could not be used.
-		return f.notRunFailure(unknownPoolRetryAfter, f.noTarget())
+		return f.notRunFailure(unknownPoolRetryAfter, f.noTargetReason())
 	}
-	if in, reason := f.server.placer.signalWait(f.pool, f.allowedRegions); in > f.timeToEngine() {
+	if wait, reason := f.server.placer.signalWait(f.pool, f.allowedRegions); wait > f.timeToEngine() {
 		f.logNoTarget(reason)
-		return f.notRunFailure(f.limitRetryAfter(in), reason)
+		return f.notRunFailure(f.limitRetryAfter(wait), reason)
 	}
 	f.server.budgetOf(f.pool).RecordRequest(f.server.clock.Now())
 	if fail := f.admit(ctx); fail != nil {
@@ -359,8 +359,8 @@
 	return &failure{status: http.StatusServiceUnavailable, wait: wait, reason: reason}
 }
 
-func (f *flow) logInfo(message string, pairs ...any) {
-	f.server.log.Info(message, append([]any{"request", f.req.ID}, pairs...)...)
+func (f *flow) logInfo(message string, fields ...any) {
+	f.server.log.Info(message, append([]any{"request", f.req.ID}, fields...)...)
 }
 
 // finish sends the final response if the request failed, and logs the outcome.
@@ -373,7 +373,7 @@
 		s.log.Info("request delivered", append(f.logFields(now), "inTime", f.onTime(now))...)
 		return
 	}
-	if ctx.Err() != nil && s.closing.Err() != nil {
+	if ctx.Err() != nil && s.closeCtx.Err() != nil {
 		s.counts.streamsBroken.Add(1)
 		s.log.Warn("request cut off by the stop", append(f.logFields(now), "reason", fail.reason)...)
 		panic(http.ErrAbortHandler)
--- a/relay/server_test.go
+++ b/relay/server_test.go
@@ -98,24 +98,24 @@
 }
 
 func TestRequestWaitsForDaemonStartup(t *testing.T) {
-	type world struct {
+	type fixture struct {
 		clock   *clockwork.FakeClock
 		started chan struct{}
 		leave   func()
 	}
 	scenarios := []struct {
 		name string
-		end  func(w world)
+		end  func(w fixture)
 	}{
-		{"until it knows what it needs", func(w world) { close(w.started) }},
-		{"until its caller leaves", func(w world) { w.leave() }},
-		{"not for long", func(w world) { w.clock.Advance(startupWait) }},
+		{"until it knows what it needs", func(w fixture) { close(w.started) }},
+		{"until its caller leaves", func(w fixture) { w.leave() }},
+		{"not for long", func(w fixture) { w.clock.Advance(startupWait) }},
 	}
 	for _, c := range scenarios {
 		t.Run(c.name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			w := world{clockwork.NewFakeClockAt(start), make(chan struct{}), cancel}
+			w := fixture{clockwork.NewFakeClockAt(start), make(chan struct{}), cancel}
 			s := NewServer(ServerConfig{Clock: w.clock, Started: w.started})
 			done := make(chan struct{})
 			go func() {
--- a/relay/stages.go
+++ b/relay/stages.go
@@ -71,16 +71,16 @@
 	f.stageResults = make([]stageResult, len(stages))
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ends := make(chan stageOutcome, len(stages))
-	open := f.startStages(ctx, ends, homeZone)
-	for open > 0 {
-		e := <-ends
-		open--
+	outcomes := make(chan stageOutcome, len(stages))
+	pending := f.startStages(ctx, outcomes, homeZone)
+	for pending > 0 {
+		e := <-outcomes
+		pending--
 		f.recordStage(e)
 		f.recordFreed(e)
 		if e.answer.Outcome != proto.PiecesDone {
 			cancel()
-			f.collectRest(ends, open)
+			f.collectRest(outcomes, pending)
 			return f.stageFailure(e), e.answer.Outcome == proto.PiecesLost
 		}
 		f.server.callTimes.observe(stages[e.stage].Pool, f.stageCallTime(e.stage), e.answer.CallTime)
@@ -88,7 +88,7 @@
 		r.done, r.handles, r.zone, r.shard = true, e.answer.Handles, e.answer.Zone, e.answer.Shard
 		r.bytes = stages[e.stage].ResultBytes * len(r.handles)
 		f.freeConsumed()
-		open += f.startStages(ctx, ends, homeZone)
+		pending += f.startStages(ctx, outcomes, homeZone)
 	}
 	f.collectInputs()
 	f.inputsMissing = false
@@ -96,9 +96,9 @@
 }
 
 // collectRest collects the results of the remaining stages, so that they are freed with the others.
-func (f *flow) collectRest(ends chan stageOutcome, open int) {
-	for ; open > 0; open-- {
-		e := <-ends
+func (f *flow) collectRest(outcomes chan stageOutcome, pending int) {
+	for ; pending > 0; pending-- {
+		e := <-outcomes
 		f.recordStage(e)
 		f.recordFreed(e)
 		if e.answer.Outcome == proto.PiecesDone {
@@ -118,36 +118,36 @@
 }
 
 // queueRetryAfter returns when a caller that was refused because of a queue should come back: once the queue has
-// drained, spread so that not all come back at the same moment. call is the call time of the pool. Callers wait for a
+// drained, spread so that not all come back at the same moment. callTime is that of the pool. Callers wait for a
 // third of their time at most.
-func (f *flow) queueRetryAfter(call, queue time.Duration) time.Duration {
+func (f *flow) queueRetryAfter(callTime, queueDelay time.Duration) time.Duration {
 	spread := time.Duration(0)
-	if call > 0 {
-		spread = time.Duration(xxhash.Sum64String(f.req.ID) % uint64(retrySpreadCalls*call))
+	if callTime > 0 {
+		spread = time.Duration(xxhash.Sum64String(f.req.ID) % uint64(retrySpreadCalls*callTime))
 	}
-	wait := max(retryAfterCalls*call, 2*queue) + spread
+	wait := max(retryAfterCalls*callTime, 2*queueDelay) + spread
 	return max(minRetryWait, min(wait, f.timeLeft()/retryAfterDivisor))
 }
 
 // startStages starts the stages whose dependencies are done, and returns how many it started.
-func (f *flow) startStages(ctx context.Context, ends chan stageOutcome, homeZone string) int {
+func (f *flow) startStages(ctx context.Context, outcomes chan stageOutcome, homeZone string) int {
 	started := 0
 	// Once a stream has started, refusing its stages would break it off.
-	first := !f.anyStageDone() && !f.committed
+	noWorkDone := !f.anyStageDone() && !f.committed
 	for i := range f.route.Stages {
 		if f.stageResults[i].requested || f.pieceCount(i) == 0 || !f.dependenciesDone(i) || f.canDefer(i) {
 			continue
 		}
 		f.stageResults[i].requested = true
 		started++
-		ask := f.newPiecesAsk(i, first, homeZone)
-		rest := f.remainingTimeAfter(i)
-		due, deadline := f.due.Add(-rest), f.deadline.Add(-f.timeToFirstEvent()/2)
-		if first {
+		ask := f.newPiecesAsk(i, noWorkDone, homeZone)
+		remaining := f.remainingTimeAfter(i)
+		due, deadline := f.due.Add(-remaining), f.deadline.Add(-f.timeToFirstEvent()/2)
+		if noWorkDone {
 			// A request without enough time for the later stages should be refused before anything has run.
-			deadline = f.deadline.Add(-rest)
+			deadline = f.deadline.Add(-remaining)
 		}
-		go func() { ends <- f.runStage(ctx, ask, due, deadline) }()
+		go func() { outcomes <- f.runStage(ctx, ask, due, deadline) }()
 	}
 	return started
 }
@@ -190,8 +190,8 @@
 }
 
 func (f *flow) dependenciesDone(stage int) bool {
-	for _, before := range f.route.Stages[stage].DependsOn {
-		if f.pieceCount(before) > 0 && !f.stageResults[before].done {
+	for _, dependency := range f.route.Stages[stage].DependsOn {
+		if f.pieceCount(dependency) > 0 && !f.stageResults[dependency].done {
 			return false
 		}
 	}
@@ -199,24 +199,24 @@
 }
 
 // newPiecesAsk returns the message for a stage. homeZone is the zone of the target that will probably get the request.
-func (f *flow) newPiecesAsk(stage int, first bool, homeZone string) proto.PiecesAsk {
+func (f *flow) newPiecesAsk(stage int, noWorkDone bool, homeZone string) proto.PiecesAsk {
 	spec := &f.route.Stages[stage]
 	ask := proto.PiecesAsk{
 		Pool: spec.Pool, RequestID: f.req.ID, Stage: stage, Pieces: f.pieceCount(stage), Rank: f.rank,
-		ResultBytes: spec.ResultBytes, NoWorkDone: first, AnswerStarted: f.committed, LatencyGoal: f.due.Sub(f.startedAt), Digest: f.digest, AllowedRegions: f.allowedRegions,
+		ResultBytes: spec.ResultBytes, NoWorkDone: noWorkDone, AnswerStarted: f.committed, LatencyGoal: f.due.Sub(f.startedAt), Digest: f.digest, AllowedRegions: f.allowedRegions,
 	}
-	bulk := 0
-	for _, before := range spec.DependsOn {
-		r := &f.stageResults[before]
+	largest := 0
+	for _, dependency := range spec.DependsOn {
+		r := &f.stageResults[dependency]
 		ask.Inputs = append(ask.Inputs, r.handles...)
-		if r.bytes > bulk {
-			bulk, ask.Zone = r.bytes, r.zone
+		if r.bytes > largest {
+			largest, ask.Zone = r.bytes, r.zone
 		}
 	}
 	if len(spec.DependsOn) == 1 && f.isOnlyReader(stage, spec.DependsOn[0]) {
 		ask.InputPool, ask.InputShard = f.route.Stages[spec.DependsOn[0]].Pool, f.stageResults[spec.DependsOn[0]].shard
 	}
-	if bulk*ask.Pieces < minBulkInputBytes {
+	if largest*ask.Pieces < minBulkInputBytes {
 		ask.Zone = ""
 	}
 	if ask.Zone == "" && f.isFinalStage(stage) && spec.ResultBytes*ask.Pieces >= minBulkInputBytes {
@@ -228,10 +228,10 @@
 	return ask
 }
 
-// isOnlyReader reports whether no other stage of the request reads the results of the stage before.
-func (f *flow) isOnlyReader(stage, before int) bool {
+// isOnlyReader reports whether no other stage of the request reads the results of a dependency.
+func (f *flow) isOnlyReader(stage, dependency int) bool {
 	for i := range f.route.Stages {
-		if i != stage && f.pieceCount(i) > 0 && contains(f.route.Stages[i].DependsOn, before) {
+		if i != stage && f.pieceCount(i) > 0 && contains(f.route.Stages[i].DependsOn, dependency) {
 			return false
 		}
 	}
@@ -263,8 +263,8 @@
 	if spec == nil || spec.Batch == nil {
 		return 0
 	}
-	stated := spec.Batch.CallCost + time.Duration(expectedFill*float64(spec.Batch.MaxPieces)*float64(spec.Batch.PieceCost))
-	return f.server.callTimes.upperBound(pool, stated)
+	configured := spec.Batch.CallCost + time.Duration(expectedFill*float64(spec.Batch.MaxPieces)*float64(spec.Batch.PieceCost))
+	return f.server.callTimes.upperBound(pool, configured)
 }
 
 // timeToFirstEvent returns the upper bound of the time to the first event once the stages are done: the time that
@@ -282,7 +282,7 @@
 // ownPromptTime returns how long an engine of the pool takes to read the private part of the prompt. Prompts of one
 // route differ in length by a factor of ten, and the longest leave the least time for their stages.
 func (f *flow) ownPromptTime() time.Duration {
-	if f.spec.Engine == nil {
+	if f.poolSpec.Engine == nil {
 		return 0
 	}
 	return time.Duration(f.criteria().OwnTokens) * f.server.fleet.EngineTimes(f.pool).PerPromptToken
@@ -309,14 +309,14 @@
 
 // collectInputs collects the results that the request itself needs, and finds the zone that holds most of their bytes.
 func (f *flow) collectInputs() {
-	most := 0
+	largest := 0
 	for i := range f.stageResults {
 		if !f.stageResults[i].done || !f.isFinalStage(i) {
 			continue
 		}
 		f.inputHandles = append(f.inputHandles, f.stageResults[i].handles...)
-		if f.stageResults[i].bytes >= minBulkInputBytes && f.stageResults[i].bytes > most {
-			most, f.inputZone, f.inputBytes = f.stageResults[i].bytes, f.stageResults[i].zone, f.stageResults[i].bytes
+		if f.stageResults[i].bytes >= minBulkInputBytes && f.stageResults[i].bytes > largest {
+			largest, f.inputZone, f.inputBytes = f.stageResults[i].bytes, f.stageResults[i].zone, f.stageResults[i].bytes
 		}
 	}
 }
@@ -327,13 +327,13 @@
 		if !f.stageResults[i].done || f.stageResults[i].freed || f.isFinalStage(i) {
 			continue
 		}
-		used := true
+		consumed := true
 		for j := range f.route.Stages {
 			if f.pieceCount(j) > 0 && contains(f.route.Stages[j].DependsOn, i) && !f.stageResults[j].done {
-				used = false
+				consumed = false
 			}
 		}
-		if used {
+		if consumed {
 			f.freeStage(i)
 		}
 	}
@@ -372,8 +372,8 @@
 	}
 	f.freeMu.Lock()
 	defer f.freeMu.Unlock()
-	for _, before := range f.route.Stages[e.stage].DependsOn {
-		f.stageResults[before].freed = true
+	for _, dependency := range f.route.Stages[e.stage].DependsOn {
+		f.stageResults[dependency].freed = true
 	}
 }
 
--- a/relay/stages_test.go
+++ b/relay/stages_test.go
@@ -67,7 +67,7 @@
 	})
 	now := clock.Now()
 	return &flow{
-		server: s, req: &Request{ID: "r", Pieces: counts, PieceKey: "k"}, spec: &proto.RelayPool{}, pool: "engines", startedAt: now, due: now.Add(5 * time.Second), deadline: now.Add(time.Minute),
+		server: s, req: &Request{ID: "r", Pieces: counts, PieceKey: "k"}, poolSpec: &proto.RelayPool{}, pool: "engines", startedAt: now, due: now.Add(5 * time.Second), deadline: now.Add(time.Minute),
 		route: &proto.Route{Stages: []proto.RouteStage{
 			{Pool: "p", ResultBytes: 1_500_000}, {Pool: "p", ResultBytes: 8_000}, {Pool: "p", DependsOn: []int{1}, ResultBytes: 60_000}, {Pool: "p", DependsOn: []int{2}, ResultBytes: 6_000},
 		}},
@@ -156,7 +156,7 @@
 	for _, tokens := range []int{1_000, 20_000} {
 		peers := &recordingPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}}
 		f := newStagedFlow(peers, 1)
-		f.spec, f.req.PromptTokens = &proto.RelayPool{Engine: &proto.EngineSpec{}}, tokens
+		f.poolSpec, f.req.PromptTokens = &proto.RelayPool{Engine: &proto.EngineSpec{}}, tokens
 		f.server.fleet.SetCacheTokens("engines", 100_000)
 		f.server.fleet.SetEngineTimes("engines", proto.EngineTimes{PerRequest: time.Millisecond, PerPromptToken: token, PerConcurrentRequest: time.Microsecond})
 		for range 100 {
--- a/relay/typical.go
+++ b/relay/typical.go
@@ -21,9 +21,9 @@
 
 func (t *durationEstimate) observe(took time.Duration) {
 	value := min(float64(took), maxOutlierFactor*float64(t.upperBound()))
-	off := value - t.mean
-	t.mean += estimateWeight * off
-	t.deviation += estimateWeight * (max(off, -off) - t.deviation)
+	difference := value - t.mean
+	t.mean += estimateWeight * difference
+	t.deviation += estimateWeight * (max(difference, -difference) - t.deviation)
 }
 
 // upperBound returns a duration that is nearly always sufficient.
@@ -33,8 +33,8 @@
 
 // durationEstimates holds a durationEstimate for each key.
 type durationEstimates[K comparable] struct {
-	mu   sync.Mutex
-	keys map[K]*durationEstimate
+	mu        sync.Mutex
+	estimates map[K]*durationEstimate
 }
 
 // observe records a duration. prior is the expected upper bound, from which the first estimate of a key is derived.
@@ -48,7 +48,7 @@
 func (t *durationEstimates[K]) mean(key K, prior time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if known := t.keys[key]; known != nil {
+	if known := t.estimates[key]; known != nil {
 		return time.Duration(known.mean)
 	}
 	return prior / 2
@@ -58,21 +58,21 @@
 func (t *durationEstimates[K]) upperBound(key K, prior time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if known := t.keys[key]; known != nil {
+	if known := t.estimates[key]; known != nil {
 		return known.upperBound()
 	}
 	return prior
 }
 
 func (t *durationEstimates[K]) at(key K, prior time.Duration) *durationEstimate {
-	known := t.keys[key]
+	known := t.estimates[key]
 	if known == nil {
-		if t.keys == nil {
-			t.keys = map[K]*durationEstimate{}
+		if t.estimates == nil {
+			t.estimates = map[K]*durationEstimate{}
 		}
 		// The deviation is initialized such that the upper bound equals the prior.
 		known = &durationEstimate{mean: float64(prior) / 2, deviation: float64(prior) / 2 / estimateDeviations}
-		t.keys[key] = known
+		t.estimates[key] = known
 	}
 	return known
 }
