--- a/coord/alarms.go
+++ b/coord/alarms.go
@@ -10,7 +10,7 @@
 	"emberlead/proto"
 )
 
-// raiseAlarm tells the links that a daemon has fallen silent, or is heard again.
+// raiseAlarm reports over the links that a daemon went silent, or that it was heard again.
 func (m *Members) raiseAlarm(now time.Time, mem *member, silent bool) {
 	m.alarmSequence++
 	alarm := proto.Alarm{Subject: mem.alive.VM, Incarnation: mem.alive.Incarnation, Reporter: m.self.VM, Sequence: m.alarmSequence, Silent: silent}
@@ -22,7 +22,7 @@
 	m.judge(now, mem)
 }
 
-// HandleAlarm takes in another daemon's word on a silent link and passes it on if it is news.
+// HandleAlarm processes another daemon's report of a silent link and forwards it if it is new.
 func (m *Members) HandleAlarm(now time.Time, a proto.Alarm, from proto.VM) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -48,7 +48,8 @@
 	m.judge(now, mem)
 }
 
-// deny announces this daemon, which another holds to be silent or dead; many may at once.
+// deny announces this daemon because another one considers it silent or dead; announcements are rate limited, since
+// many such reports may arrive at once.
 func (m *Members) deny(now time.Time, to proto.VM) {
 	if now.Sub(m.deniedAt) >= m.timing.HeartbeatInterval {
 		m.deniedAt = now
@@ -59,7 +60,8 @@
 	}
 }
 
-// judge holds a daemon to be dead once more than half of those that link to it in its region, and at least two where there are two, are alarmed.
+// judge considers a daemon dead once more than half of its linked daemons in the region have raised an alarm about it,
+// and at least two of them unless it has only one.
 func (m *Members) judge(now time.Time, mem *member) {
 	monitors, alarmed := 0, 0
 	for _, vm := range m.monitors(mem) {
@@ -83,8 +85,9 @@
 	m.invalidateGraph()
 }
 
-// isSuspect tells whether more than one daemon misses another, which may well be dead: its silence on a third speaks for
-// nothing. When a third of 200 daemons die at once, a quarter of the dead have lost half of those that watch them.
+// isSuspect reports whether more than one daemon has raised an alarm about this one. Such a daemon may be dead itself, so
+// its silence about a third daemon is no evidence. When a third of 200 daemons die at once, a quarter of the dead have
+// lost half of the daemons that monitor them.
 func (mem *member) isSuspect() bool {
 	silent := 0
 	for _, a := range mem.alarms {
@@ -95,7 +98,8 @@
 	return silent > 1
 }
 
-// monitors are the regional links that the daemon has, or would have if it were alive.
+// monitors returns the regional links of a live daemon; for a dead one, which has no links, it returns the daemons that
+// reported on it.
 func (m *Members) monitors(mem *member) []proto.VM {
 	if !mem.dead {
 		return m.linkGraph().regional[mem.alive.VM]
@@ -120,7 +124,8 @@
 	}
 }
 
-// resetSilence starts all links afresh after a pause of this daemon, which was silent itself and heard nothing.
+// resetSilence restarts the silence timers of all links after this daemon was paused, during which it neither sent nor
+// received heartbeats.
 func (m *Members) resetSilence(now time.Time) {
 	m.pausedAt = now
 	for _, mem := range m.members {
@@ -132,22 +137,23 @@
 }
 
 const (
-	// compareAfter is how many heartbeats two daemons may disagree on who is dead before one tells the other what it
-	// knows: word of a death takes a few hops, each well under a heartbeat.
+	// compareAfter is the number of heartbeats for which two daemons may disagree on which runs are dead before one
+	// sends the other its view: news of a death takes a few hops, each well under a heartbeat interval.
 	compareAfter = 3
-	// maxCompareBackoff bounds how often that wait doubles while the disagreement stays: the other may not know the daemon.
+	// maxCompareBackoff bounds how often that wait doubles while the disagreement lasts; the other daemon may not know the
+	// dead one at all.
 	maxCompareBackoff = 5
 )
 
-// agreement is how a linked daemon's view of who is dead compares with the own one.
+// agreement compares the set of dead runs of a linked daemon with that of this daemon.
 type agreement struct {
-	// differsSince is since when they differ, or when this daemon last told the other.
+	// differsSince is when the sets began to differ, or when this daemon last sent its own.
 	differsSince time.Time
 	theirDigest  uint64
 	timesSent    int
 }
 
-// deadDigest is equal at daemons that hold the same runs to be dead.
+// deadDigest returns a digest that is equal at daemons that consider the same runs dead.
 func (m *Members) deadDigest() uint64 {
 	digest := uint64(0)
 	for vm, mem := range m.members {
@@ -158,8 +164,8 @@
 	return digest
 }
 
-// compareDeaths makes up for alarms that were lost, such as those that went by way of daemons that died: a linked daemon that
-// goes on holding others to be dead than this one does is told this one's view.
+// compareDeaths makes up for lost alarms, such as those routed through daemons that died: a linked daemon that keeps
+// considering other runs dead than this one does is sent this daemon's set of dead runs.
 func (m *Members) compareDeaths(now time.Time, mem *member, theirDigest uint64) {
 	a := &mem.agreement
 	if theirDigest == m.deadDigestSent {
@@ -177,7 +183,7 @@
 	m.peers.Send(mem.alive.VM, m.deaths())
 }
 
-// deaths names the runs that this daemon holds to be dead.
+// deaths lists the runs that this daemon considers dead.
 func (m *Members) deaths() proto.Deaths {
 	var d proto.Deaths
 	for vm, mem := range m.members {
@@ -189,8 +195,8 @@
 	return d
 }
 
-// HandleDeaths takes over whom another daemon holds to be dead, unless this one hears it, and passes on what is news. A view
-// that is wrong is put right by the daemon that it is wrong about, which is asked again and again.
+// HandleDeaths marks the runs dead that another daemon considers dead, except those that this daemon still hears, and
+// forwards the new ones. A wrong view is corrected by the daemon that it concerns, which is probed repeatedly.
 func (m *Members) HandleDeaths(now time.Time, d proto.Deaths, from proto.VM) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -224,17 +230,17 @@
 	m.deathCount++
 }
 
-// probeEvery is after how many heartbeats a daemon asks one of those that it holds to be dead.
+// probeEvery is the number of heartbeats between two probes of daemons that are considered dead.
 const probeEvery = 3
 
-// probe tells one daemon after the other that it is held to be dead, which one that lives denies: two parts of the
-// daemons that were cut off from each other send each other nothing else.
+// probe tells one dead daemon after another that it is considered dead; one that is alive denies it. After a network
+// partition, this is all that the two sides send each other.
 func (m *Members) probe() {
 	dead := m.deaths().Runs
 	if len(dead) == 0 {
 		return
 	}
-	// Each daemon begins at another, so that together they ask all of them soon.
+	// Each daemon starts at a different offset, so that together they soon probe all of them.
 	run := dead[(m.heartbeatCount/probeEvery+xxhash.Sum64String(string(m.self.VM)))%uint64(len(dead))]
 	m.alarmSequence++
 	m.peers.Send(run.VM, proto.Alarm{Subject: run.VM, Incarnation: run.Incarnation, Reporter: m.self.VM, Sequence: m.alarmSequence, Silent: true})
--- a/coord/alarms_test.go
+++ b/coord/alarms_test.go
@@ -8,7 +8,8 @@
 	"emberlead/proto"
 )
 
-// quickTiming is that of daemons on the users' platform, which take work over from each other within a second.
+// quickTiming returns the timing of daemons on the users' platform, which take over work from each other within a
+// second.
 func quickTiming() MemberTiming {
 	return MemberTiming{
 		HeartbeatInterval: 300 * time.Millisecond, SilenceTimeout: 900 * time.Millisecond, PauseThreshold: 600 * time.Millisecond,
@@ -16,7 +17,7 @@
 	}
 }
 
-// messageRate returns the messages that were sent a second by each daemon that is not gone.
+// messageRate runs the simulation for the given time and returns the messages sent per second by each running daemon.
 func (s *meshSim) messageRate(duration time.Duration) float64 {
 	before := s.sent
 	s.run(duration)
@@ -29,7 +30,7 @@
 	return float64(s.sent-before) / duration.Seconds() / float64(live)
 }
 
-// falseDeaths returns how many pairs there are of which one daemon holds the other, which lives, to be dead.
+// falseDeaths returns the number of pairs of daemons of which one considers the other dead although it is running.
 func (s *meshSim) falseDeaths() int {
 	wrong := 0
 	for _, vm := range s.vms {
@@ -41,8 +42,8 @@
 	return wrong
 }
 
-// TestMassDeathDoesNotFloodLinks has a third of the daemons die at once: the rings close around them, and daemons
-// that had no link before have one then. That they have not heard each other yet is no silence.
+// TestMassDeathDoesNotFloodLinks kills a third of the daemons at once. The rings close around them, so that daemons get
+// links that they did not have before; not having heard each other yet must not count as silence.
 func TestMassDeathDoesNotFloodLinks(t *testing.T) {
 	for _, daemons := range []int{30, 74, 200} {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
@@ -70,8 +71,9 @@
 	}
 }
 
-// TestMassDeathIsDetectedQuickly has a third of 200 daemons die at once, when a quarter of those have lost half of their
-// monitors. Within a silence, a link's first silence after that and what news takes, nine pairs in ten know.
+// TestMassDeathIsDetectedQuickly kills a third of 200 daemons at once, which leaves a quarter of those without half of
+// their monitors. Nine pairs in ten must know of the deaths after a silence timeout, a second one for links that are
+// new after it, and the time that the news takes to spread.
 func TestMassDeathIsDetectedQuickly(t *testing.T) {
 	const daemons = 200
 	s := newMesh(daemons, 1, 4, quickTiming())
@@ -95,7 +97,7 @@
 	}
 }
 
-// TestNewLinkIsNotReportedSilent has one daemon die: no daemon raises an alarm about one that it has just been linked to.
+// TestNewLinkIsNotReportedSilent kills one daemon: no daemon may raise an alarm about one to which it was just linked.
 func TestNewLinkIsNotReportedSilent(t *testing.T) {
 	s := newMesh(74, 1, 4, quickTiming())
 	s.run(5 * time.Second)
@@ -110,7 +112,7 @@
 	}
 }
 
-// TestDaemonAnnouncesItselfOverNewLink starts a daemon that learns of another from a list, which does not know it.
+// TestDaemonAnnouncesItselfOverNewLink starts a daemon that learns from a list of another one, which does not know it.
 func TestDaemonAnnouncesItselfOverNewLink(t *testing.T) {
 	s := &meshSim{
 		now: time.Unix(1_700_000_000, 0), members: map[proto.VM]*Members{}, zone: map[proto.VM]proto.Zone{"old": "r/z", "new": "r/z"},
@@ -130,7 +132,7 @@
 	}
 }
 
-// TestPartitionHeals cuts the daemons in two until each part holds the other to be dead.
+// TestPartitionHeals splits the daemons in two until each side considers the other dead, and then reconnects them.
 func TestPartitionHeals(t *testing.T) {
 	for _, daemons := range []int{6, 74} {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
@@ -154,7 +156,7 @@
 	}
 }
 
-// TestSimultaneousStart starts all of them anew, each with the addresses of three.
+// TestSimultaneousStart restarts all daemons at once, each with the addresses of three.
 func TestSimultaneousStart(t *testing.T) {
 	const daemons = 150
 	s := newMesh(daemons, 1, 4, quickTiming())
@@ -173,7 +175,7 @@
 			t.Errorf("%s knows %d of %d daemons after five seconds", vm, live, daemons)
 		}
 	}
-	// Each daemon's heartbeats are some 140, and the word of all others comes over eight links.
+	// Each daemon sends about 140 heartbeats, and the announcements of all others arrive over eight links.
 	if each := s.sent / daemons; each > 600 {
 		t.Errorf("%d messages a daemon in five seconds", each)
 	}
--- a/coord/apply.go
+++ b/coord/apply.go
@@ -12,7 +12,7 @@
 	"emberlead/proto"
 )
 
-// Rows of the table service.
+// Rows of the table service, and limits on reading and writing them.
 const (
 	rowHead          = "config/head"
 	rowFile          = "config/file/"
@@ -25,23 +25,23 @@
 
 func logRow(g proto.Generation) string { return fmt.Sprintf("%s%016d", rowLog, g) }
 
-// headValue is the value of the row that every change moves on.
+// headValue is the value of the head row, which every change updates.
 type headValue struct {
 	Generation proto.Generation `json:"generation"`
 }
 
-// ConfigStore reads and writes the accepted configuration in the platform.
+// ConfigStore reads and writes the accepted configuration in the platform's table and object store.
 type ConfigStore struct {
 	platform Platform
 	clock    clockwork.Clock
 }
 
-// NewConfigStore returns the accepted configuration as the platform holds it.
+// NewConfigStore returns a store of the accepted configuration on the platform.
 func NewConfigStore(platform Platform, clock clockwork.Clock) *ConfigStore {
 	return &ConfigStore{platform: platform, clock: clock}
 }
 
-// Head returns the accepted generation; it fails with KindUnavailable.
+// Head returns the accepted generation and the version of the head row; it fails with KindUnavailable.
 func (s *ConfigStore) Head(ctx context.Context) (proto.Generation, uint64, error) {
 	row, err := s.platform.Read(ctx, rowHead)
 	if err != nil || row.Version == 0 {
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// followLog reads the log from the copy's generation on; it returns false if the log has a gap there.
+// followLog applies the log from the copy's generation on; it returns false if the log cannot be read or has a gap.
 func (s *ConfigStore) followLog(ctx context.Context, c *ConfigState) bool {
 	for {
 		list, err := s.platform.List(ctx, rowLog, logRow(c.Generation()), listPage)
@@ -106,7 +106,8 @@
 	return changes, nil
 }
 
-// readFull reads the state between two equal reads of the head, so that it is of one generation.
+// readFull reads the complete state between two reads of the head row that return the same version, so that it belongs
+// to one generation.
 func (s *ConfigStore) readFull(ctx context.Context, c *ConfigState) error {
 	for range maxApplyAttempts {
 		before, version, err := s.Head(ctx)
@@ -154,7 +155,7 @@
 	return all, nil
 }
 
-// Conflict says that another change came first.
+// Conflict describes a change that was accepted before the rejected one.
 type Conflict struct {
 	Name    string           `json:"name"`
 	Base    proto.Generation `json:"base"`
@@ -172,17 +173,18 @@
 	Conflict   *Conflict        `json:"conflict,omitempty"`
 }
 
-// ApplyRequest asks for a file to be put in force.
+// ApplyRequest asks to put a file in force.
 type ApplyRequest struct {
 	Body []byte
-	// Base is the generation at which the file of this name was last changed as the operator knows it; nil takes the current one.
+	// Base is the generation at which the file of this name last changed, as far as the operator knows; nil stands for
+	// the current one.
 	Base    *proto.Generation
 	ApplyID string
 	By      string
 }
 
-// Apply puts a file in force as a whole, or nothing of it. It fails with KindUnavailable if
-// nothing was written and with KindUnknown if that could not be found out.
+// Apply puts a file in force completely or not at all. It fails with KindUnavailable if nothing was written, and with
+// KindUnknown if the outcome could not be determined.
 func (s *ConfigStore) Apply(ctx context.Context, c *ConfigState, req ApplyRequest) (ApplyResult, error) {
 	file, faults := proto.ReadFile(req.Body)
 	if len(faults) > 0 {
@@ -229,7 +231,8 @@
 	return &Conflict{Name: change.Name, Base: *base, Current: current, By: by, Diff: diffLines(old.Body, change.Body)}
 }
 
-// PlanStop plans or cancels a stop; pools that it would leave without a target are faults unless the plan is forced.
+// PlanStop plans or cancels a stop. A stop that would leave a pool without a target is rejected with faults unless it
+// is forced.
 func (s *ConfigStore) PlanStop(ctx context.Context, c *ConfigState, plan proto.StopPlan, by string) (ApplyResult, error) {
 	change := proto.Change{
 		Kind: proto.ChangeStop, Name: string(plan.VM), ApplyID: orDefault(plan.ID, uuid.NewString()),
@@ -252,7 +255,7 @@
 	})
 }
 
-// change writes one change; check sees the newest state and can end the change before it is written.
+// change writes one change. The check sees the newest state and can end the change before it is written.
 func (s *ConfigStore) change(ctx context.Context, c *ConfigState, change proto.Change, key string, check func(*proto.Change, *proto.Snapshot) *ApplyResult) (ApplyResult, error) {
 	for range maxApplyAttempts {
 		if err := s.CatchUp(ctx, c); err != nil {
@@ -329,7 +332,7 @@
 
 const maxDiffLines = 20
 
-// diffLines names the lines that stand in only one of two files.
+// diffLines lists the lines that occur in only one of two files.
 func diffLines(old, updated []byte) []string {
 	var diff []string
 	diff = append(diff, onlyIn("- ", string(old), string(updated))...)
--- a/coord/bench_test.go
+++ b/coord/bench_test.go
@@ -30,7 +30,7 @@
 	return float64(len(data))
 }
 
-// newMembers returns the members of one daemon that knows n others.
+// newMembers returns the membership of one daemon among n.
 func newMembers(n int) (*Members, *meshSim) {
 	s := &meshSim{now: time.Unix(1_700_000_000, 0), members: map[proto.VM]*Members{}, zone: map[proto.VM]proto.Zone{}, timing: DefaultMemberTiming()}
 	list := proto.VMList{}
@@ -48,7 +48,7 @@
 	return m, s
 }
 
-// BenchmarkMembers is one second of membership: a heartbeat to and from each link, and five ticks.
+// BenchmarkMembers measures one second of membership: a heartbeat to and from each link, and five ticks.
 func BenchmarkMembers(b *testing.B) {
 	for _, n := range []int{8, 60, 400, 2000} {
 		b.Run(fmt.Sprintf("peers=%d", n), func(b *testing.B) {
@@ -86,7 +86,7 @@
 	}
 }
 
-// BenchmarkRing is the work after one daemon came or went.
+// BenchmarkRing measures recomputing the links after one daemon came or went.
 func BenchmarkRing(b *testing.B) {
 	for _, n := range []int{8, 60, 400, 2000} {
 		b.Run(fmt.Sprintf("peers=%d", n), func(b *testing.B) {
@@ -99,7 +99,7 @@
 	}
 }
 
-// BenchmarkChange adopts one change of one file beside many others.
+// BenchmarkChange measures applying one change to one file among many.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{5, 60, 600, 6600} {
 		b.Run(fmt.Sprintf("files=%d", n), func(b *testing.B) {
@@ -151,7 +151,7 @@
 	return proto.KeyAt(now, [10]byte{4: byte(i), byte(i >> 8), byte(i >> 16), byte(i >> 24)})
 }
 
-// BenchmarkClaim is one claim and its end at one replica.
+// BenchmarkClaim measures one claim and its settlement at one replica.
 func BenchmarkClaim(b *testing.B) {
 	for _, n := range []int{1000, 10_000, 100_000, 400_000} {
 		b.Run(fmt.Sprintf("keys=%d", n), func(b *testing.B) {
@@ -193,7 +193,7 @@
 	}
 }
 
-// BenchmarkUsageRow is the sum of one row at a collector, and what it takes on the wire.
+// BenchmarkUsageRow measures adding one row at a usage collector, and the size of a row on the wire.
 func BenchmarkUsageRow(b *testing.B) {
 	for _, n := range []int{5, 60, 600, 6600} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
@@ -232,7 +232,7 @@
 	}
 }
 
-// BenchmarkOwner is the choice of the daemon that does a task for all, which each request takes some times.
+// BenchmarkOwner measures choosing the daemon that runs a task on behalf of all, which each request does several times.
 func BenchmarkOwner(b *testing.B) {
 	for _, n := range []int{8, 75, 300, 2000} {
 		b.Run(fmt.Sprintf("peers=%d", n), func(b *testing.B) {
--- a/coord/claim.go
+++ b/coord/claim.go
@@ -17,22 +17,22 @@
 	return int(xxhash.Sum64(key[:]) % uint64(slots))
 }
 
-// Round counts the answers of a group to one claim. It takes them in any order.
+// Round collects the answers of a group to one claim, in any order.
 type Round struct {
 	size     int
 	answers  map[proto.VM]proto.ClaimAnswer
 	failures int
 }
 
-// NewRound returns a round that waits for a group of the given size.
+// NewRound returns a round for a group of the given size.
 func NewRound(size int) *Round {
 	return &Round{size: size, answers: map[proto.VM]proto.ClaimAnswer{}}
 }
 
-// AddAnswer counts an answer; a second one of the same replica replaces the first.
+// AddAnswer records an answer; a second answer of the same replica replaces the first.
 func (r *Round) AddAnswer(from proto.VM, answer proto.ClaimAnswer) { r.answers[from] = answer }
 
-// AddFailure counts a replica that could not be asked.
+// AddFailure records a replica that could not be asked.
 func (r *Round) AddFailure() { r.failures++ }
 
 func (r *Round) count(result proto.ClaimResult) int {
@@ -45,7 +45,7 @@
 	return n
 }
 
-// Decision is what a round has come to.
+// Decision is the outcome of a round.
 type Decision int
 
 // Decisions of a round.
@@ -61,7 +61,8 @@
 	DecisionUnreachable
 )
 
-// Decide returns what is certain so far. Only a majority of the group grants, so that no two requests hold one key.
+// Decide returns the decision that the answers so far allow. Only a majority of the group grants a key, so that no two
+// requests hold it.
 func (r *Round) Decide() Decision {
 	majority := r.size/2 + 1
 	switch {
@@ -85,7 +86,7 @@
 	return DecisionUnreachable
 }
 
-// newerReplica returns a replica that has a newer roster than the asker.
+// newerReplica returns a replica whose roster is newer than that of the asking daemon.
 func (r *Round) newerReplica() (proto.VM, bool) {
 	for from, answer := range r.answers {
 		if answer.Result == proto.ClaimStale {
@@ -95,7 +96,7 @@
 	return "", false
 }
 
-// Answer returns the kept answer of a request that is done.
+// Answer returns the stored answer of a request that is done.
 func (r *Round) Answer() []byte {
 	for _, answer := range r.answers {
 		if answer.Result == proto.ClaimDone && answer.Answer != nil {
@@ -118,16 +119,16 @@
 	peers        Peers
 	clock        clockwork.Clock
 	timing       ClaimTiming
-	// refresh gets a newer roster from a daemon that has one.
+	// refresh fetches a newer roster from a daemon that has one.
 	refresh func(ctx context.Context, from proto.VM)
-	// dead tells whether a run of a daemon looks dead.
+	// dead reports whether a run of a daemon is considered dead.
 	dead func(proto.VM, proto.Incarnation) bool
 
 	mu         sync.Mutex
 	random     *rand.Rand
 	attempts   int
 	heldClaims map[proto.RequestID]heldClaim
-	failedAt   map[int]time.Time // when a slot's group last gave no answer
+	failedAt   map[int]time.Time // by slot, when its group last gave no answer
 }
 
 type heldClaim struct {
@@ -153,7 +154,8 @@
 		if !contended || round == claimRounds-1 {
 			return decision, answer
 		}
-		// Two claims at one time can share out the group so that neither has a majority.
+		// Two simultaneous claims can split the group so that neither has a majority; a random pause keeps them from
+		// colliding again.
 		select {
 		case <-ctx.Done():
 			return DecisionUnreachable, nil
@@ -216,7 +218,8 @@
 	return decision, r.Answer()
 }
 
-// claimID returns the claim that the request holds, or a new one: a claim that was released is never granted again.
+// claimID returns the claim that the request already holds, or a new one, because a claim that was released is never
+// granted again.
 func (c *Claimer) claimID(request proto.RequestID) proto.ClaimID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -244,7 +247,7 @@
 	replies <- groupReply{from: member.VM, answer: answer, err: err}
 }
 
-// release gives back what was granted short of a majority; this daemon is certain not to have used it.
+// release gives up grants that fell short of a majority; this daemon certainly did not run the request.
 func (c *Claimer) release(slot int, group []proto.RosterMember, key proto.Key, claim proto.ClaimID) {
 	c.sendToGroup(group, proto.Settle{Slot: slot, Key: key, Claim: claim, Released: true})
 }
@@ -259,7 +262,7 @@
 	}
 }
 
-// unreachableFor is how long a slot whose group gave no answer counts as unreachable before it is tried again.
+// unreachableFor is how long a slot whose group gave no answer is considered unreachable before it is tried again.
 const unreachableFor = time.Second
 
 func (c *Claimer) failedRecently(slot int) bool {
@@ -278,7 +281,8 @@
 	delete(c.failedAt, slot)
 }
 
-// Reachable tells whether, as far as this daemon sees, most of the key's group is live.
+// Reachable reports whether a majority of the key's group appears to be alive and the group has not failed to answer
+// recently.
 func (c *Claimer) Reachable(key proto.Key) bool {
 	roster := c.roster()
 	if len(roster.Slots) == 0 {
@@ -298,7 +302,8 @@
 	return 2*live > len(group)
 }
 
-// Settle tells the key's group how its request ended: released if it certainly did not run, else done with its answer.
+// Settle reports the outcome of the request to the key's group: released if the request certainly did not run,
+// otherwise done, with its answer.
 func (c *Claimer) Settle(key proto.Key, request proto.RequestID, released bool, answer []byte) {
 	c.mu.Lock()
 	held, ok := c.heldClaims[request]
--- a/coord/claims_test.go
+++ b/coord/claims_test.go
@@ -15,9 +15,8 @@
 	"emberlead/proto"
 )
 
-// The histories below drive replicas, rounds and the roster's planner with
-// messages that are lost, late and out of order, daemons that pause, die and
-// restart, networks that split, and a store that is out or loses answers.
+// The histories below drive replicas, rounds and the roster planner with messages that are lost, late and reordered,
+// daemons that pause, die and restart, network partitions, and a store that fails or loses answers.
 
 const (
 	simVMs    = 5
@@ -26,7 +25,7 @@
 	simSilent = 4 * time.Second
 )
 
-// disabled names the mechanism that a history runs without, to show that the property needs it.
+// disabled names the mechanism that a history runs without, to show that the safety property depends on it.
 type disabled string
 
 const (
@@ -43,7 +42,7 @@
 	replica   *Replica
 	writer    *RosterWriter
 	paused    bool
-	destroyed bool // for good, and taken off the platform's list
+	destroyed bool // permanently, and removed from the platform's list
 	partition int
 	lastHeard map[proto.VM]time.Time
 	seenRun   map[proto.VM]proto.Incarnation
@@ -125,7 +124,7 @@
 	s.keys[i] = proto.KeyAt(s.now, bits)
 }
 
-// restart begins a new run of a daemon, which remembers nothing.
+// restart starts a new run of a daemon with no state.
 func (s *claimSim) restart(v *simVM) {
 	v.self.Incarnation++
 	v.paused, v.destroyed = false, false
@@ -136,7 +135,7 @@
 	}
 	timing := DefaultClaimTiming()
 	if s.disabled == disableForget {
-		timing.MaxSkew = -time.Hour // the time up to which keys are refused then lies before them all
+		timing.MaxSkew = -time.Hour // then the time up to which keys are refused is before all of them
 	}
 	plan := RosterPlan{Slots: 2, Replicas: 3, Members: 8, Moves: 1}
 	v.writer = NewRosterWriter(s.store.For(string(v.self.VM)), plan, timing, v, v.replica)
@@ -144,7 +143,7 @@
 
 func (s *claimSim) connected(a, b *simVM) bool { return a.partition == b.partition }
 
-// beat is an exchange of heartbeats between all that run and are connected.
+// beat exchanges heartbeats between all daemons that are running and connected.
 func (s *claimSim) beat() {
 	for _, v := range s.vms {
 		if v.paused {
@@ -174,7 +173,7 @@
 	return nil
 }
 
-// send delivers a message at some later step; while a daemon is paused its messages wait.
+// send delivers a message at a later step; messages to a paused daemon wait.
 func (s *claimSim) send(from *simVM, to proto.VM, fn func(*simVM)) {
 	v := s.vmNamed(to)
 	run := v.self.Incarnation
@@ -249,7 +248,7 @@
 	}
 }
 
-// undoUse takes a use back: the attempt was certainly not started, so that the key may be granted again.
+// undoUse takes back a use: the attempt was certainly not started, so the key may be granted again.
 func (s *claimSim) undoUse(c *simClaim) bool {
 	s.uses[c.key]--
 	return true
@@ -350,7 +349,7 @@
 	}
 }
 
-// stabilize lets everything come to rest, so that a history starts from a roster whose slots are ready.
+// stabilize runs the simulation without faults, so that a history starts from a roster whose slots are ready.
 func (s *claimSim) stabilize() {
 	for range 12 {
 		s.now = s.now.Add(500 * time.Millisecond)
@@ -402,7 +401,8 @@
 	}
 }
 
-// Each mechanism is needed: without it some history runs a key twice. The search starts where one was found.
+// TestEachMechanismIsNeeded checks that without any one mechanism some history runs a key twice. The search starts at a
+// seed where such a history was found.
 func TestEachMechanismIsNeeded(t *testing.T) {
 	scenarios := []struct {
 		disabled disabled
@@ -426,7 +426,8 @@
 	}
 }
 
-// A replica that has handed over a slot must not grant for the old group, even before it learns of the new roster.
+// TestTransferredSlotStopsGranting checks that a replica that has handed over a slot no longer grants claims for the
+// old group, even before it learns of the new roster.
 func TestTransferredSlotStopsGranting(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	member := func(vm proto.VM) proto.RosterMember { return proto.RosterMember{VM: vm, Incarnation: 1} }
@@ -448,7 +449,8 @@
 	}
 }
 
-// A replica that has not read its slot yet must neither count its own claims for the next group nor hand them over.
+// TestUnreadSlotIsNotTransferred checks that a replica that has not read its slot yet neither counts its own claims for
+// the next group nor hands them over.
 func TestUnreadSlotIsNotTransferred(t *testing.T) {
 	member := func(vm proto.VM) proto.RosterMember { return proto.RosterMember{VM: vm, Incarnation: 1} }
 	group := []proto.RosterMember{member("a"), member("b"), member("c")}
--- a/coord/collect.go
+++ b/coord/collect.go
@@ -12,7 +12,7 @@
 	"emberlead/proto"
 )
 
-// vmsOf returns the names of the live daemons that a function picks.
+// vmsOf returns the VMs of the live daemons that are not stopping and that pick selects.
 func vmsOf(live []proto.Alive, pick func(proto.Alive) bool) []proto.VM {
 	var vms []proto.VM
 	for _, alive := range live {
@@ -23,7 +23,8 @@
 	return vms
 }
 
-// LoadCollector returns the daemon that reads a target's load: one of its zone, else of its region, else any.
+// LoadCollector returns the daemon that reads a target's load: one in its zone, otherwise one in its region, otherwise
+// any.
 func LoadCollector(target *proto.Target, live []proto.Alive) (proto.VM, bool) {
 	scopes := []func(proto.Alive) bool{
 		func(a proto.Alive) bool { return a.Zone == target.Zone },
@@ -38,7 +39,8 @@
 	return "", false
 }
 
-// Subset returns the targets that a daemon uses of a pool: nearest zones first, and there by rendezvous hashing.
+// Subset returns the targets of a pool that a daemon uses: the nearest zones first, and by rendezvous hashing among
+// targets at the same distance.
 func Subset(vm proto.VM, zone proto.Zone, targets []proto.Target, size int) []proto.Target {
 	if size <= 0 || len(targets) <= size {
 		return targets
@@ -76,7 +78,7 @@
 	return 2
 }
 
-// UsageCollector returns the daemon of a region that sums up what is spent for a workspace.
+// UsageCollector returns the daemon of a region that sums up the usage of a workspace.
 func UsageCollector(workspace, region string, live []proto.Alive) (proto.VM, bool) {
 	vms := vmsOf(live, func(a proto.Alive) bool { return a.Zone.Region() == region })
 	buckets := max(1, len(vms)/2)
@@ -102,16 +104,16 @@
 
 const usageIdleTimeout = 30 * time.Second
 
-// UsageTotals adds up what all daemons of a region spend, and tells each what the others spent.
+// UsageTotals sums up the usage of all daemons of a region and reports to each what the others used.
 type UsageTotals struct {
 	mu     sync.Mutex
 	totals map[usageKey]*usageTotal
 }
 
-// NewUsageTotals returns empty sums.
+// NewUsageTotals returns empty totals.
 func NewUsageTotals() *UsageTotals { return &UsageTotals{totals: map[usageKey]*usageTotal{}} }
 
-// Add takes in what a daemon spent and returns what the others spent for the same workspaces since it was last told.
+// Add records what a daemon used and returns what the others have used for the same workspaces since its last report.
 func (u *UsageTotals) Add(now time.Time, from proto.VM, rows []proto.UsageRow) []proto.UsageRow {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -133,7 +135,7 @@
 	}
 	usage := sum.byVM[from]
 	if usage == nil {
-		// A daemon that is new here is not told of what was spent before it came.
+		// A daemon that reports for the first time is not told about earlier usage.
 		usage = &daemonUsage{reported: sum.total}
 		sum.byVM[from] = usage
 	}
@@ -146,7 +148,7 @@
 	return unreported
 }
 
-// Sweep forgets workspaces that spent nothing lately.
+// Sweep drops the workspaces without recent usage.
 func (u *UsageTotals) Sweep(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/coord/config.go
+++ b/coord/config.go
@@ -20,19 +20,20 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// ConfigState is one daemon's copy of the accepted configuration. Its generation never goes down.
+// ConfigState is one daemon's copy of the accepted configuration. Its generation never decreases.
 type ConfigState struct {
 	mu         sync.Mutex
 	snapshot   *proto.Snapshot
 	files      map[string]proto.Change // the newest change of each file, with its body
 	stops      map[proto.VM]proto.Change
-	recent     []proto.Change // the last ones in order, without gaps
+	recent     []proto.Change // the latest changes in order, without gaps
 	synced     bool
 	onSnapshot func(*proto.Snapshot)
 	refused    int64
 }
 
-// NewConfigState returns a copy of generation 0 that does not know yet what was accepted.
+// NewConfigState returns an empty copy at generation 0 that is not synced yet; adopted is called with each snapshot
+// that takes effect.
 func NewConfigState(onSnapshot func(*proto.Snapshot)) *ConfigState {
 	return &ConfigState{
 		snapshot:   proto.EmptySnapshot(),
@@ -42,7 +43,7 @@
 	}
 }
 
-// Snapshot returns what is in force here.
+// Snapshot returns the configuration in force here.
 func (c *ConfigState) Snapshot() *proto.Snapshot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,14 +53,15 @@
 // Generation returns the generation in force here.
 func (c *ConfigState) Generation() proto.Generation { return c.Snapshot().Generation }
 
-// Synced tells whether the daemon has learnt what was accepted, from the store or from a peer that knew.
+// Synced reports whether the daemon has learned the accepted configuration, from the store or from a peer that knew it.
 func (c *ConfigState) Synced() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.synced
 }
 
-// MarkSynced marks that the store or a peer has told this daemon the accepted generation and it has it.
+// MarkSynced records the accepted generation according to the store or a peer; the state is synced if it has reached
+// that generation.
 func (c *ConfigState) MarkSynced(generation proto.Generation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,7 +89,8 @@
 	return copied
 }
 
-// ApplyChanges adopts the changes that follow the own generation in order; it returns false if one is missing or does not match its hash.
+// ApplyChanges applies the changes that follow the own generation, in order. It returns false if one is missing or
+// invalid; those before it stay applied.
 func (c *ConfigState) ApplyChanges(changes []proto.Change) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,7 +165,8 @@
 	}
 }
 
-// ApplyFull adopts a whole state; one that is not newer is ignored.
+// ApplyFull replaces the state with a complete one; a state that is not newer is ignored. It returns false if a change
+// in it is invalid.
 func (c *ConfigState) ApplyFull(generation proto.Generation, changes []proto.Change) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -186,7 +190,8 @@
 	return true
 }
 
-// After answers a daemon that has a lower generation, with the changes if they are still kept and else with the whole state.
+// After answers a daemon at a lower generation with the changes that it lacks, or with the complete state if they are
+// no longer kept.
 func (c *ConfigState) After(generation proto.Generation) proto.ChangesAnswer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/coord/config_test.go
+++ b/coord/config_test.go
@@ -24,7 +24,8 @@
 		name, name, len(name)*1000+int(name[0]), name, name, 1000+int(name[0]), name, 100+deadline, name)
 }
 
-// configSim has daemons that apply files at once, a store that is out or loses answers, and copies that hear of changes late.
+// configSim simulates daemons that apply files concurrently, a store that fails or loses answers, and copies that
+// receive changes late.
 type configSim struct {
 	random             *rand.Rand
 	clock              *clockwork.FakeClock
@@ -78,7 +79,7 @@
 	s.fake.LoseAnswers(0)
 	switch {
 	case err != nil && proto.KindOf(err) == proto.KindUnknown:
-		// The operator asks again with the same id once the store answers.
+		// The operator retries with the same ID once the store answers.
 		s.fake.SetDown(false)
 		applied, err = s.stores[i].Apply(context.Background(), s.copies[i], ApplyRequest{Body: body, ApplyID: req.ApplyID})
 		if err != nil {
@@ -111,7 +112,7 @@
 	case 3, 4:
 		_ = s.stores[i].CatchUp(context.Background(), s.copies[i])
 	case 5, 6:
-		// A peer's answer, sometimes of long ago.
+		// A peer's answer, sometimes for a much older generation.
 		answer := s.copies[j].After(s.copies[i].Generation() / proto.Generation(1+s.random.IntN(2)))
 		if answer.Full {
 			s.copies[i].ApplyFull(answer.Generation, answer.Changes)
@@ -129,7 +130,7 @@
 	}
 }
 
-// finish lets every copy catch up, and compares them with what was accepted.
+// finish lets every copy catch up and compares it with what was accepted.
 func (s *configSim) finish() {
 	s.fake.SetDown(false)
 	for i := range s.copies {
@@ -190,7 +191,8 @@
 	}
 }
 
-// A write whose answer was lost must not take effect after the operator was told that it did not.
+// TestLateWriteIsFenced checks that a write whose answer was lost cannot take effect after the operator was told that
+// it did not.
 func TestLateWriteIsFenced(t *testing.T) {
 	fake := fakes.NewStore()
 	store := NewConfigStore(&delayed{Client: fake.For("1")}, clockwork.NewFakeClock())
@@ -205,7 +207,7 @@
 	}
 }
 
-// delayed holds the first write back and says that its answer was lost.
+// delayed holds back the first write and reports that its answer was lost.
 type delayed struct {
 	*fakes.Client
 	held  proto.Transaction
@@ -220,7 +222,8 @@
 	return d.Client.Transact(ctx, tx)
 }
 
-// Changes that do not follow the own generation are left alone until those between have come.
+// TestGapInChangesIsNotAdopted checks that changes that do not follow the own generation are not applied before the
+// missing ones arrive.
 func TestGapInChangesIsNotAdopted(t *testing.T) {
 	change := func(g proto.Generation) proto.Change {
 		body := fileBody("a", int(g))
--- a/coord/doc.go
+++ b/coord/doc.go
@@ -1,5 +1,6 @@
-// Package coord makes the daemons act together: membership, spread of configuration, claims on keys, leases and stop plans.
+// Package coord coordinates the daemons: membership, distribution of the configuration, claims on idempotency keys,
+// leases and planned stops.
 //
-// The decisions take events and the time as arguments. What has to be agreed or
-// kept goes through the platform's table service and object store.
+// The decision logic takes events and the current time as arguments. State that needs agreement or durability is kept
+// in the platform's table service and object store.
 package coord
--- a/coord/errors.go
+++ b/coord/errors.go
@@ -5,7 +5,7 @@
 // source names this package in its errors.
 type source struct{}
 
-// Package returns the package's name.
+// Package returns the package name used in errors.
 func (source) Package() string { return "coord" }
 
 // Error is the error type of this package.
--- a/coord/fleet_test.go
+++ b/coord/fleet_test.go
@@ -8,7 +8,7 @@
 	"emberlead/proto"
 )
 
-// converged tells whether each live daemon holds exactly the live ones to be alive.
+// converged reports whether each running daemon considers exactly the running ones alive.
 func (s *meshSim) converged() bool {
 	live := 0
 	for _, vm := range s.vms {
@@ -24,7 +24,7 @@
 	return true
 }
 
-// converge runs until the views are right again, and returns how long that took.
+// converge runs until the views are correct again, and returns how long that took.
 func (s *meshSim) converge(timeout time.Duration) (time.Duration, bool) {
 	began := s.now
 	for s.now.Sub(began) < timeout {
@@ -36,7 +36,7 @@
 	return timeout, false
 }
 
-// restart starts a daemon anew, which knows three others by its settings.
+// restart starts a new run of a daemon, which knows three others from its settings.
 func (s *meshSim) restart(vm proto.VM, run proto.Incarnation) {
 	delete(s.dead, vm)
 	s.start(vm, run)
@@ -47,20 +47,20 @@
 	}
 }
 
-// fleetFault is a fault of many daemons at once or in turn.
+// fleetFault is a fault that affects many daemons, at once or one after another.
 type fleetFault struct {
 	name   string
 	inject func(s *meshSim)
-	// bytes are the most that each daemon may send in the seconds that are measured, for each daemon of the fleet, beside
-	// what it sends on calm days: the word of one daemon is some 50 bytes and goes over eight links.
+	// bytes is the most that each daemon may send during the measured time, per daemon of the fleet and in addition to
+	// what it sends without faults: an announcement is about 50 bytes and goes over eight links.
 	bytes float64
-	// sizes are the numbers of daemons that it is played with.
+	// sizes lists the numbers of daemons to run the fault with.
 	sizes []int
 }
 
 var (
 	allSizes = []int{30, 100, 298}
-	// fewSizes are for faults in which each daemon restarts while the others run, which takes long to play.
+	// fewSizes is for faults in which every daemon restarts while the others run, which take long to simulate.
 	fewSizes = []int{30, 100}
 )
 
@@ -99,8 +99,9 @@
 	}, 500, fewSizes},
 }
 
-// TestLargeFleetConverges plays faults of many daemons at three sizes: views are right again within seconds
-// whatever the size, and what is sent for a fault grows with the number of daemons that there is news of, and no faster.
+// TestLargeFleetConverges runs faults of many daemons at three fleet sizes. The views must be correct again within
+// seconds whatever the size, and the traffic caused by a fault must grow no faster than the number of daemons that
+// there is news about.
 func TestLargeFleetConverges(t *testing.T) {
 	calm := map[int]int{}
 	for _, fault := range fleetFaults {
--- a/coord/gossip.go
+++ b/coord/gossip.go
@@ -6,11 +6,12 @@
 	"emberlead/proto"
 )
 
-// batchesPerHeartbeat is the part of a heartbeat's interval for which news is gathered after some was passed on. Single news goes
-// on at once; when many daemons start or die together, each message costs more than what is in it.
+// batchesPerHeartbeat bounds how often updates are forwarded: after a batch was sent, updates are collected for this
+// fraction of the heartbeat interval. A single update is forwarded at once; when many daemons start or die together, the
+// cost per message exceeds that of its content.
 const batchesPerHeartbeat = 3
 
-// updateBatch holds what is to be passed on over the links.
+// updateBatch holds the updates to be forwarded over the links.
 type updateBatch struct {
 	alive  []receivedAlive
 	alarms []receivedAlarm
@@ -37,7 +38,7 @@
 	m.flushUpdates(now)
 }
 
-// flushUpdates sends the links what was gathered, unless that was done a moment ago; Tick comes back to it.
+// flushUpdates sends the batch over the links unless one was sent just before; Tick then sends it later.
 func (m *Members) flushUpdates(now time.Time) {
 	pending := &m.updates
 	if len(pending.alive)+len(pending.alarms) == 0 || now.Sub(pending.last) < m.timing.HeartbeatInterval/batchesPerHeartbeat {
@@ -51,7 +52,7 @@
 	*pending = updateBatch{last: now}
 }
 
-// newsFor leaves out what a daemon said, and what is about itself.
+// newsFor returns the updates for one daemon, without those that it sent or that concern itself.
 func (s *updateBatch) newsFor(vm proto.VM) proto.News {
 	var news proto.News
 	for _, h := range s.alive {
@@ -67,7 +68,7 @@
 	return news
 }
 
-// HandleNews takes in what another daemon passed on, and passes on what is news here.
+// HandleNews processes the updates that another daemon forwarded and forwards those that are new.
 func (m *Members) HandleNews(now time.Time, news proto.News, from proto.VM) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/coord/heartbeats.go
+++ b/coord/heartbeats.go
@@ -7,7 +7,7 @@
 	"emberlead/proto"
 )
 
-// HandleHeartbeat takes in a sign of life that came over a link.
+// HandleHeartbeat processes a heartbeat that was received over a link.
 func (m *Members) HandleHeartbeat(now time.Time, from proto.VM, beat proto.Heartbeat) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -20,7 +20,7 @@
 		return
 	}
 	if beat.Incarnation > mem.alive.Incarnation {
-		// The announcement was lost, or went out before this daemon listened.
+		// The announcement was lost, or was sent before this daemon was listening.
 		announcement := mem.alive
 		announcement.Incarnation, announcement.Sequence, announcement.Stopping = beat.Incarnation, 0, beat.Stopping
 		m.handleAlive(now, announcement, from)
@@ -54,14 +54,14 @@
 	}
 }
 
-// SendHeartbeats sends heartbeats at once, because there is news in them.
+// SendHeartbeats sends heartbeats at once, because their content has changed.
 func (m *Members) SendHeartbeats(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.sendHeartbeats(now)
 }
 
-// Tick sends heartbeats and raises alarms; it comes several times a second.
+// Tick sends heartbeats and raises alarms; it is called several times per second.
 func (m *Members) Tick(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -83,7 +83,8 @@
 	m.flushUpdates(now)
 }
 
-// viewChanged follows the last changes of the view: a daemon whose monitors died with it is judged by those it has now.
+// viewChanged updates the state derived from the view after it changed. A daemon whose monitors died together with it
+// is judged by the monitors that it has now.
 func (m *Members) viewChanged(now time.Time) {
 	if m.linkedVersion == m.version {
 		return
@@ -96,8 +97,8 @@
 	m.relink(now)
 }
 
-// vmsWithAlarms lists in order those about whom there are alarms: to hold one to be dead changes who judges the next, and
-// daemons with the same alarms are to come to the same view.
+// vmsWithAlarms returns, in order of name, the daemons with alarms about them. The order matters, because considering
+// one dead changes who judges the next, and daemons with the same alarms must reach the same view.
 func (m *Members) vmsWithAlarms() []proto.VM {
 	var vms []proto.VM
 	for vm, mem := range m.members {
@@ -109,8 +110,8 @@
 	return vms
 }
 
-// relink notes which links are new since the view changed, and announces this daemon over them: the other end may not
-// know it yet, and would send it nothing.
+// relink records which links are new since the view changed and announces this daemon over them: the other end may not
+// know it yet and would send it nothing.
 func (m *Members) relink(now time.Time) {
 	links := m.links()
 	linkedSince := make(map[proto.VM]time.Time, len(links))
@@ -125,8 +126,8 @@
 	m.linkedSince = linkedSince
 }
 
-// silentSince is from when on silence of a daemon counts: it was heard then, or came to have a link to this one,
-// before which it owed no heartbeat.
+// silentSince returns when the silence of a daemon began: when it was last heard, or when the link to it was created
+// if that is later, because it owed no heartbeats before.
 func (m *Members) silentSince(mem *member) time.Time {
 	if since := m.linkedSince[mem.alive.VM]; since.After(mem.lastSeen) {
 		return since
--- a/coord/lease.go
+++ b/coord/lease.go
@@ -14,16 +14,16 @@
 // LeaseTiming holds the intervals of leases.
 type LeaseTiming struct {
 	TTL time.Duration
-	// Margin covers clocks that run at different speeds and orders that are still under way.
+	// Margin covers clocks that run at different speeds and orders that are still in flight.
 	Margin time.Duration
 }
 
-// DefaultLeaseTiming returns the timing that daemons run with: one renewal each five seconds.
+// DefaultLeaseTiming returns the production timing, which renews a lease every five seconds.
 func DefaultLeaseTiming() LeaseTiming {
 	return LeaseTiming{TTL: 15 * time.Second, Margin: 3 * time.Second}
 }
 
-// leaseValue is the value of a lease's row.
+// leaseValue is the value stored in a lease's row.
 type leaseValue struct {
 	Holder      proto.VM          `json:"holder"`
 	Incarnation proto.Incarnation `json:"incarnation"`
@@ -32,8 +32,8 @@
 	Released    bool              `json:"released,omitempty"`
 }
 
-// Lease is one daemon's part in one lease. Nobody compares clocks of two daemons: the holder counts from
-// before its write was sent, and a challenger from when it first saw the row unchanged.
+// Lease is one daemon's view of one lease. Clocks of different daemons are never compared: the holder counts from
+// before it sent its write, and a challenger counts from when it first saw the row unchanged.
 type Lease struct {
 	mu          sync.Mutex
 	table       Table
@@ -44,7 +44,7 @@
 	value       leaseValue
 	version     uint64
 	seenAt      time.Time // when this version was first seen
-	heldUntil   time.Time // how long the lease is held by this run
+	heldUntil   time.Time // when the lease of this run expires
 	sentAt      map[uint64]time.Time
 }
 
@@ -53,7 +53,8 @@
 	return &Lease{table: table, name: name, self: self, incarnation: incarnation, timing: timing, sentAt: map[uint64]time.Time{}}
 }
 
-// Held returns the epoch if the lease is held for at least the given time from now; it is asked right before each order.
+// Held returns the epoch of the lease and whether this run holds it for at least the given time from now. Callers check
+// it right before each order.
 func (l *Lease) Held(clock func() time.Time, atLeast time.Duration) (proto.Epoch, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,7 +65,8 @@
 	return l.value.Holder == l.self && l.value.Incarnation == l.incarnation && !l.value.Released
 }
 
-// Step takes, renews or watches the lease; it fails with KindUnavailable, and the lease then runs out by itself.
+// Step acquires, renews, releases or watches the lease. It fails with KindUnavailable; a held lease that is not renewed
+// then expires.
 func (l *Lease) Step(ctx context.Context, clock func() time.Time, want bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -116,7 +118,7 @@
 	clear(l.sentAt)
 }
 
-// writeID tells the writes of one run apart.
+// writeID identifies a write among those of one run.
 func (l *Lease) writeID(v leaseValue) uint64 { return uint64(v.Epoch)<<32 | v.Renewal }
 
 func (l *Lease) write(ctx context.Context, clock func() time.Time, value leaseValue) error {
--- a/coord/lease_test.go
+++ b/coord/lease_test.go
@@ -15,21 +15,22 @@
 	"emberlead/proto"
 )
 
-// leaseSim has daemons whose clocks differ, writes that take long or lose their answer, and holders that pause.
+// leaseSim simulates daemons with different clocks, writes that are slow or lose their answer, and holders that pause.
 type leaseSim struct {
 	random  *rand.Rand
 	now     time.Time
 	store   *fakes.Store
 	leases  []*Lease
 	offsets []time.Duration
-	// epochs are the highest that a checking target has seen; orders is how many it took.
+	// epoch is the highest epoch that a target that checks epochs has seen, and orders counts the orders that it
+	// accepted.
 	epoch      proto.Epoch
 	holders    map[proto.Epoch]int
 	orders     int
 	violations []string
 }
 
-// slowTable makes every call take time, in which the caller may be paused.
+// slowTable makes every call take time, during which the caller may be paused.
 type slowTable struct {
 	Table
 	sim *leaseSim
@@ -82,7 +83,7 @@
 	s.passTime()
 }
 
-// check asks all at one instant: at most one may hold the lease.
+// check asks all daemons at one instant: at most one may hold the lease.
 func (s *leaseSim) check() {
 	holders := 0
 	for i, lease := range s.leases {
@@ -95,7 +96,7 @@
 	}
 }
 
-// order sends one that may arrive late; a target that checks must never go back to an older epoch.
+// order sends an order that may arrive late; a target that checks epochs must never see an older one.
 func (s *leaseSim) order(i int) {
 	epoch, held := s.leases[i].Held(s.clock(i), OrderTimeout)
 	if !held {
--- a/coord/main_test.go
+++ b/coord/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// historyFactor multiplies the number of random histories, for long runs by hand.
+// historyFactor multiplies the number of random histories, for long manual runs.
 var historyFactor = flag.Int("many", 1, "factor on the number of random histories")
 
 func histories(n int) int { return n * *historyFactor }
--- a/coord/members.go
+++ b/coord/members.go
@@ -11,37 +11,37 @@
 // MemberTiming holds the intervals of membership.
 type MemberTiming struct {
 	HeartbeatInterval time.Duration
-	// SilenceTimeout is how long a link may be silent before its daemon raises an alarm.
+	// SilenceTimeout is how long a link may be silent before an alarm is raised.
 	SilenceTimeout time.Duration
-	// PauseThreshold is how late its own tick may be before a daemon takes itself to have been paused.
+	// PauseThreshold is the delay between two ticks from which a daemon assumes that it was paused.
 	PauseThreshold time.Duration
-	// MaxListLag bounds how late the platform's list is: a VM that no list has shown for so long is gone.
+	// MaxListLag bounds how stale the platform's list is: a VM that was missing from every list for that long is gone.
 	MaxListLag time.Duration
-	// ForgetAfter is how long a dead daemon stays known once the platform no longer lists it.
+	// ForgetAfter is how long a dead daemon is remembered once the platform no longer lists it.
 	ForgetAfter time.Duration
 }
 
-// DefaultMemberTiming returns timing that notices a dead daemon within four seconds.
+// DefaultMemberTiming returns timing that detects a dead daemon within four seconds.
 func DefaultMemberTiming() MemberTiming {
 	return MemberTiming{HeartbeatInterval: time.Second, SilenceTimeout: 3 * time.Second, PauseThreshold: 1500 * time.Millisecond, MaxListLag: 30 * time.Second, ForgetAfter: 10 * time.Minute}
 }
 
-// announceEvery is after how many heartbeats a daemon announces itself again, in case that was lost.
+// announceEvery is the number of heartbeats between repeated announcements, in case an earlier one was lost.
 const announceEvery = 5
 
 type member struct {
 	alive     proto.Alive
-	announced bool // announced by itself, not only listed
+	announced bool // has announced itself, instead of being only on the VM list
 	dead      bool
 	deadAt    time.Time
 	alarms    map[proto.VM]proto.Alarm
 	lastSeen  time.Time
 	alarming  bool
-	// agreement compares its view of who is dead with the own one.
+	// agreement compares the daemon's set of dead runs with that of this daemon.
 	agreement agreement
 }
 
-// Members is one daemon's view of the others. Safety never rests on it: views may differ.
+// Members is one daemon's view of the others. Views may differ between daemons, so safety must never depend on it.
 type Members struct {
 	mu                sync.Mutex
 	self              proto.Alive
@@ -50,9 +50,9 @@
 	peers             Peers
 	members           map[proto.VM]*member
 	graph             *graph
-	linkedSince       map[proto.VM]time.Time // since when this daemon links to another
-	linkedVersion     uint64                 // the version of the view that linked is of
-	deadDigestSent    uint64                 // of those that are dead in that view
+	linkedSince       map[proto.VM]time.Time // when the link to each linked daemon was created
+	linkedVersion     uint64                 // the view's version that linkedSince belongs to
+	deadDigestSent    uint64                 // digest of the runs considered dead in that version, sent in heartbeats
 	updates           updateBatch
 	orderCache        orderCache
 	raisesIncarnation bool
@@ -66,7 +66,7 @@
 	heartbeat         func() proto.Heartbeat
 	firstListAt       time.Time
 	lastListAt        time.Time
-	lastListedAt      map[proto.VM]time.Time // by own reads
+	lastListedAt      map[proto.VM]time.Time // by this daemon's own reads
 	entries           map[proto.VM]proto.VMEntry
 	enteredAt         map[proto.VM]time.Time
 	heartbeatCount    uint64
@@ -75,14 +75,14 @@
 	deniedAt          time.Time
 }
 
-// MembersOption changes a view at construction.
+// MembersOption configures a Members.
 type MembersOption func(*Members)
 
-// WithIncarnationBump lets a daemon take a higher number for its run when others know of one that is not below its own, as
-// they do after its clock went back. Nothing else may rest on the number of the run then.
+// WithIncarnationBump lets a daemon raise its incarnation when others know one that is not below it, which happens
+// after its clock was set back. Nothing else may depend on the value of the incarnation then.
 func WithIncarnationBump() MembersOption { return func(m *Members) { m.raisesIncarnation = true } }
 
-// NewMembers returns a view that holds only the daemon itself; beat supplies what heartbeats say.
+// NewMembers returns a view that holds only the daemon itself; beat supplies the content of heartbeats.
 func NewMembers(self proto.Alive, timing MemberTiming, rings Rings, peers Peers, heartbeat func() proto.Heartbeat, options ...MembersOption) *Members {
 	m := &Members{
 		self: self, timing: timing, rings: rings, peers: peers, heartbeat: heartbeat,
@@ -96,7 +96,7 @@
 	return m
 }
 
-// invalidateGraph marks the links as to be worked out anew, which is done when they are next asked for.
+// invalidateGraph invalidates the link graph, which is recomputed when it is next needed.
 func (m *Members) invalidateGraph() {
 	m.graph = nil
 	m.version++
@@ -119,7 +119,7 @@
 	return nodes
 }
 
-// Version changes whenever the view does.
+// Version returns a number that changes whenever the view does.
 func (m *Members) Version() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -133,7 +133,7 @@
 	return m.links()
 }
 
-// Live returns the daemons that are not dead, this one included, in order of name.
+// Live returns the daemons that are not considered dead, including this one, sorted by name.
 func (m *Members) Live() []proto.Alive {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -152,7 +152,7 @@
 	return live
 }
 
-// Lookup returns where to reach a daemon.
+// Lookup returns the last announcement of a daemon, which says where to reach it.
 func (m *Members) Lookup(vm proto.VM) (proto.Alive, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -163,7 +163,8 @@
 	return mem.alive, true
 }
 
-// IsSilent tells whether a daemon is dead, or links to this one and has not been heard for a time.
+// IsSilent reports whether a daemon is unknown or considered dead, or is linked to this one and was not heard for
+// longer than the given time.
 func (m *Members) IsSilent(now time.Time, vm proto.VM, since time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -174,7 +175,7 @@
 	return slices.Contains(m.links(), vm) && now.Sub(m.silentSince(mem)) > since
 }
 
-// AllSilent tells whether there are other live daemons and none has been heard for a time.
+// AllSilent reports whether other daemons are known and none of them was heard within the given time.
 func (m *Members) AllSilent(now time.Time, since time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -191,7 +192,8 @@
 	return others
 }
 
-// Dead tells whether the view holds a run of a daemon to be dead, which may be wrong if the daemon is paused or cut off.
+// Dead reports whether the view considers a run of a daemon dead. This may be wrong if the daemon is paused or
+// unreachable.
 func (m *Members) Dead(vm proto.VM, incarnation proto.Incarnation) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -207,7 +209,7 @@
 	m.announce()
 }
 
-// Announce tells the links that this daemon is alive.
+// Announce announces this daemon over all links.
 func (m *Members) Announce() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -222,7 +224,7 @@
 	}
 }
 
-// HandleAlive takes in an announcement and passes it on if it is news.
+// HandleAlive processes an announcement and forwards it if it is new.
 func (m *Members) HandleAlive(now time.Time, a proto.Alive, from proto.VM) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -262,14 +264,14 @@
 	}
 }
 
-// sendCorrection tells a daemon that speaks for an earlier run than the last one known what is known of it.
+// sendCorrection sends a daemon that speaks for an older run the newest announcement known for it.
 func (m *Members) sendCorrection(mem *member, spoken proto.Incarnation, from proto.VM) {
 	if from == mem.alive.VM && spoken < mem.alive.Incarnation {
 		m.peers.Send(from, mem.alive)
 	}
 }
 
-// raiseIncarnation takes a number above that of a run of this daemon that others know.
+// raiseIncarnation takes an incarnation above that of a run of this daemon that others know.
 func (m *Members) raiseIncarnation(known proto.Incarnation) {
 	if !m.raisesIncarnation || known <= m.self.Incarnation {
 		return
@@ -278,7 +280,7 @@
 	m.announce()
 }
 
-// introduce tells a daemon that has just started what this one knows.
+// introduce sends the known membership to a daemon that has just started.
 func (m *Members) introduce(vm proto.VM) {
 	m.peers.Send(vm, m.self)
 	var announced proto.News
@@ -293,7 +295,7 @@
 	m.peers.Send(vm, m.allEntries())
 }
 
-// MemberCounts are the totals since the start.
+// MemberCounts holds the current size of the view, and the alarms and deaths since the start.
 type MemberCounts struct {
 	Known  int   `json:"known"`
 	Dead   int   `json:"dead"`
@@ -302,7 +304,7 @@
 	Deaths int64 `json:"deaths"`
 }
 
-// Counts returns the totals.
+// Counts returns the current counts.
 func (m *Members) Counts() MemberCounts {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/coord/members_test.go
+++ b/coord/members_test.go
@@ -10,7 +10,7 @@
 	"emberlead/proto"
 )
 
-// meshSim delivers messages between Members at the next tick, unless a daemon is dead, paused or cut off.
+// meshSim delivers messages between Members at the next tick, unless a daemon is dead, paused or partitioned.
 type meshSim struct {
 	now     time.Time
 	members map[proto.VM]*Members
@@ -22,7 +22,7 @@
 	isCut   func(a, b proto.VM) bool
 	timing  MemberTiming
 	sent    int
-	// bytes are those of all messages that were sent, counted if weigh is set.
+	// bytes is the encoded size of all sent messages; it is counted only if weigh is set.
 	bytes      int
 	countBytes bool
 }
@@ -68,7 +68,7 @@
 	}
 	for _, vm := range s.vms {
 		s.start(vm, 1)
-		// The list is taken in before anyone listens, as a daemon that starts does.
+		// The list is processed before any daemon listens, as when a daemon starts.
 		s.members[vm].HandleVMList(s.now, list)
 	}
 	s.queue = nil
@@ -121,7 +121,7 @@
 	}
 }
 
-// step is how often daemons tick: a third of the least interval of theirs at most, and five times a second otherwise.
+// step returns the tick interval: a third of the heartbeat interval, but at most 200 ms.
 func (s *meshSim) step() time.Duration {
 	return min(200*time.Millisecond, s.timing.HeartbeatInterval/3)
 }
@@ -132,7 +132,7 @@
 	}
 }
 
-// countDead returns how many of the live daemons hold one to be dead.
+// countDead returns how many of the running daemons consider one dead, and how many are running.
 func (s *meshSim) countDead(vm proto.VM) (dead, live int) {
 	for _, other := range s.vms {
 		if s.isDown(other) || other == vm {
@@ -174,7 +174,7 @@
 			}
 			s.run(6 * time.Second)
 			for vm := range s.dead {
-				// Only its own region judges a daemon, but the word goes everywhere.
+				// Only its own region judges a daemon, but the news must spread everywhere.
 				if dead, live := s.countDead(vm); dead < live {
 					t.Errorf("%s is dead, and %d of %d know", vm, dead, live)
 				}
@@ -220,7 +220,7 @@
 			t.Fatalf("%s holds %d daemons dead while regions are apart", vm, counts.Deaths)
 		}
 	}
-	// A death inside a region is noticed there all the same, and elsewhere once the regions are joined again.
+	// A death within a region must still be detected there; other regions learn of it once they are reconnected.
 	s.dead["vm-10"] = true
 	s.run(6 * time.Second)
 	dead, _ := s.countDead("vm-10")
@@ -262,7 +262,7 @@
 	}
 }
 
-// A daemon whose announcement was lost is known by its heartbeats.
+// TestLostAnnouncementIsRecovered checks that a daemon whose announcement was lost becomes known by its heartbeats.
 func TestLostAnnouncementIsRecovered(t *testing.T) {
 	s := newMesh(3, 1, 3, DefaultMemberTiming())
 	s.start("vm-1", 2)
@@ -286,7 +286,8 @@
 	}
 }
 
-// The list goes from daemon to daemon by change, and a reader that lags does not contradict the others.
+// TestListUpdatesAreForwarded checks that updates of the list spread between the daemons, and that a reader that lags
+// does not contradict the others.
 func TestListUpdatesAreForwarded(t *testing.T) {
 	s := newMesh(60, 2, 4, DefaultMemberTiming())
 	s.run(15 * time.Second)
@@ -334,8 +335,8 @@
 	}
 }
 
-// TestRestartWithLowerIncarnation starts a daemon anew with a lower number than its last run had: others would
-// hold all that it says to be that run's.
+// TestRestartWithLowerIncarnation restarts a daemon whose clock was set back with a lower incarnation than its last
+// run, so that the others would attribute everything that it says to that run.
 func TestRestartWithLowerIncarnation(t *testing.T) {
 	s := newMesh(8, 1, 4, quickTiming())
 	s.start("vm-3", 5)
--- a/coord/node.go
+++ b/coord/node.go
@@ -13,20 +13,20 @@
 	"emberlead/proto"
 )
 
-// NodeTiming holds the intervals of a node's own work.
+// NodeTiming holds the intervals of a node's periodic work.
 type NodeTiming struct {
 	TickInterval   time.Duration
-	PollInterval   time.Duration // of the accepted generation
-	ListInterval   time.Duration // of the VM list
-	RosterInterval time.Duration // of the roster
+	PollInterval   time.Duration // between reads of the accepted generation
+	ListInterval   time.Duration // between reads of the VM list
+	RosterInterval time.Duration // between revisions of the roster
 	SweepInterval  time.Duration
-	// IsolationTimeout is how long a daemon serves on that can reach neither the store nor another daemon.
+	// IsolationTimeout is how long a daemon keeps serving while it can reach neither the store nor another daemon.
 	IsolationTimeout time.Duration
-	// PollersPerZone is the number of daemons in a zone that read the store.
+	// PollersPerZone is the number of daemons in a zone that poll the store.
 	PollersPerZone int
 }
 
-// DefaultNodeTiming returns the intervals that daemons run with.
+// DefaultNodeTiming returns the production intervals.
 func DefaultNodeTiming() NodeTiming {
 	return NodeTiming{
 		TickInterval: 200 * time.Millisecond, PollInterval: time.Second, ListInterval: 2 * time.Second, RosterInterval: time.Second,
@@ -34,7 +34,7 @@
 	}
 }
 
-// Deps are what every part of a node needs.
+// Deps holds the dependencies shared by all parts of a node.
 type Deps struct {
 	Self     proto.Alive
 	Clock    clockwork.Clock
@@ -43,7 +43,7 @@
 	Peers    Peers
 }
 
-// Node is one daemon's part in acting together with the others.
+// Node coordinates one daemon with the others.
 type Node struct {
 	deps        Deps
 	timing      NodeTiming
@@ -69,7 +69,7 @@
 	onDemand  func([]proto.DemandRow)
 }
 
-// NodeOption changes a Node at construction.
+// NodeOption configures a Node.
 type NodeOption func(*nodeConfig)
 
 type nodeConfig struct {
@@ -84,7 +84,7 @@
 	demand       func([]proto.DemandRow)
 }
 
-// WithNodeTiming sets the intervals of the node's own work.
+// WithNodeTiming sets the intervals of the node's periodic work.
 func WithNodeTiming(t NodeTiming) NodeOption { return func(c *nodeConfig) { c.nodeTiming = t } }
 
 // WithMemberTiming sets the intervals of membership.
@@ -93,25 +93,25 @@
 // WithClaimTiming sets the intervals of claims.
 func WithClaimTiming(t ClaimTiming) NodeOption { return func(c *nodeConfig) { c.claimTiming = t } }
 
-// WithRosterPlan sets the sizes of the roster.
+// WithRosterPlan sets the size limits of the roster.
 func WithRosterPlan(p RosterPlan) NodeOption { return func(c *nodeConfig) { c.rosterPlan = p } }
 
-// WithSnapshotHandler sets what is told of each snapshot that comes into force.
+// WithSnapshotHandler sets the function that is called with each configuration snapshot that takes effect.
 func WithSnapshotHandler(fn func(*proto.Snapshot)) NodeOption {
 	return func(c *nodeConfig) { c.onSnapshot = fn }
 }
 
-// WithReportHandlers sets what is told of other daemons' usage and of targets' loads.
+// WithReportHandlers sets the functions that are called with the usage of other daemons and with the load of targets.
 func WithReportHandlers(usage func([]proto.UsageRow), loads func(proto.Loads)) NodeOption {
 	return func(c *nodeConfig) { c.usage, c.loads = usage, loads }
 }
 
-// WithDemandHandler sets what is told of other daemons' demand for models.
+// WithDemandHandler sets the function that is called with the model demand of other daemons.
 func WithDemandHandler(fn func([]proto.DemandRow)) NodeOption {
 	return func(c *nodeConfig) { c.demand = fn }
 }
 
-// NewNode returns a node that knows only itself.
+// NewNode returns a node whose membership holds only itself.
 func NewNode(deps Deps, options ...NodeOption) *Node {
 	c := nodeConfig{
 		nodeTiming: DefaultNodeTiming(), memberTiming: DefaultMemberTiming(), claimTiming: DefaultClaimTiming(),
@@ -127,7 +127,8 @@
 		if c.onSnapshot != nil {
 			c.onSnapshot(s)
 		}
-		// The news goes out at once; the lock of the changes is held here.
+		// Heartbeats carry the new generation and are sent at once. They need their own goroutine because the lock of
+		// the configuration state is held here.
 		go n.Members.SendHeartbeats(deps.Clock.Now())
 	})
 	n.ConfigStore = NewConfigStore(deps.Platform, deps.Clock)
@@ -149,7 +150,7 @@
 	return beat
 }
 
-// Start announces the daemon to those that the settings or the platform's list name.
+// Start announces the daemon to the seeds from its settings or the platform's list.
 func (n *Node) Start(seeds []proto.Alive) {
 	now := n.deps.Clock.Now()
 	for _, seed := range seeds {
@@ -161,13 +162,13 @@
 	n.Members.Announce()
 }
 
-// Stop announces that the daemon is stopping, so that others take over what it owns.
+// Stop announces that the daemon is stopping, so that others take over the tasks that it owns.
 func (n *Node) Stop() {
 	n.stopping.Store(true)
 	n.Members.AnnounceStop()
 }
 
-// Handle takes in a message and returns the answer if it was a call.
+// Handle processes a message and, if it was a call, returns the answer.
 func (n *Node) Handle(_ context.Context, from proto.VM, m proto.Message) proto.Message {
 	now := n.deps.Clock.Now()
 	switch msg := m.(type) {
@@ -230,7 +231,7 @@
 	}
 }
 
-// ReportUsage sends what this daemon spent to the collectors of its region.
+// ReportUsage sends the usage of this daemon to the usage collectors of its region.
 func (n *Node) ReportUsage(rows []proto.UsageRow) {
 	live := n.Members.Live()
 	region := n.deps.Self.Zone.Region()
@@ -249,10 +250,10 @@
 	}
 }
 
-// Stopping tells whether the daemon has announced that it is stopping.
+// Stopping reports whether the daemon has announced that it is stopping.
 func (n *Node) Stopping() bool { return n.stopping.Load() }
 
-// Tick does what is due by time and needs no store; it comes every NodeTiming.Tick.
+// Tick runs the periodic work that needs no store; it is called every NodeTiming.TickInterval.
 func (n *Node) Tick(now time.Time) {
 	n.Members.Tick(now)
 	n.mu.Lock()
@@ -269,7 +270,8 @@
 
 func anyDaemon(proto.Alive) bool { return true }
 
-// HasTransferableClaims tells whether others can still take over claims that this run of the daemon keeps.
+// HasTransferableClaims reports whether this run of the daemon keeps claims and enough other daemons are left to take
+// them over.
 func (n *Node) HasTransferableClaims() bool {
 	others := vmsOf(n.Members.Live(), func(a proto.Alive) bool { return a.VM != n.deps.Self.VM })
 	for _, slot := range n.Replica.Roster().Slots {
--- a/coord/owner.go
+++ b/coord/owner.go
@@ -8,21 +8,22 @@
 )
 
 const (
-	// maxCandidates is how many daemons are kept in order for a task; the first of them that can, does it. That all are
-	// stopping or left out at once is no common case, and all daemons are ordered anew then.
+	// maxCandidates is how many daemons are cached in order for each task; the first of them that is eligible runs the
+	// task. If all of them are stopping or skipped, which is rare, the full order is computed instead.
 	maxCandidates = 16
-	// maxCachedOrders bounds the orders that are kept: there are a few for each pool.
+	// maxCachedOrders bounds the cached orders; there are a few per pool.
 	maxCachedOrders = 512
 )
 
-// orderCache keeps who comes first for each task in one view: it takes time in proportion to the number of daemons to work
-// out, and each request needs some of them.
+// orderCache caches the candidates of each task for one version of the view. Computing an order takes time linear in the
+// number of daemons, and each request needs several.
 type orderCache struct {
 	version    uint64
 	candidates map[string][]proto.VM
 }
 
-// candidatesFor returns the live daemons that come first for a task by rendezvous hashing, of one zone or of all.
+// candidatesFor returns the live daemons that rank first for a task, in the given zone or, if it is empty, in all
+// zones.
 func (m *Members) candidatesFor(task string, zone proto.Zone) []proto.VM {
 	key := task + "@" + string(zone)
 	if m.orderCache.version != m.version || len(m.orderCache.candidates) >= maxCachedOrders {
@@ -37,7 +38,7 @@
 	return ranked
 }
 
-// ranked returns all live daemons of a zone, or all, in their order for a task.
+// ranked returns all live daemons ranked for a task, in the given zone or, if it is empty, in all zones.
 func (m *Members) ranked(task string, zone proto.Zone) []proto.VM {
 	var live []proto.VM
 	for vm, mem := range m.members {
@@ -48,8 +49,9 @@
 	return rankVMs(task, live)
 }
 
-// Owner returns the daemon that does a task for all, by rendezvous hashing over those that live and are not stopping;
-// views may differ for a moment, so two daemons may hold themselves to be the owner. A skip leaves daemons out.
+// Owner returns the daemon that runs a task on behalf of all, by rendezvous hashing over the daemons that are live and
+// not stopping. Daemons for which skip returns true are excluded. Views may differ for a moment, so two daemons may
+// both consider themselves the owner.
 func (m *Members) Owner(task string, skip func(proto.VM) bool) proto.VM {
 	m.mu.Lock()
 	ranked := m.notStopping(m.candidatesFor(task, ""))
@@ -66,7 +68,7 @@
 	return ""
 }
 
-// notStopping leaves out the daemons that are stopping.
+// notStopping filters out the daemons that are stopping.
 func (m *Members) notStopping(order []proto.VM) []proto.VM {
 	notStopping := make([]proto.VM, 0, len(order))
 	for _, vm := range order {
@@ -77,8 +79,8 @@
 	return notStopping
 }
 
-// IsAmongFirst tells whether this daemon is one of the first so many of its zone for a task, among those that live and are
-// not stopping. A skip leaves daemons out.
+// IsAmongFirst reports whether this daemon ranks among the first daemons of its zone for a task, up to the given
+// number, of those that are live and not stopping. Daemons for which skip returns true are excluded.
 func (m *Members) IsAmongFirst(task string, limit int, skip func(proto.VM) bool) bool {
 	m.mu.Lock()
 	zone := m.self.Zone
@@ -94,8 +96,8 @@
 	return len(ranked) <= limit || slices.Contains(ranked[:limit], m.self.VM)
 }
 
-// FirstPerZone returns the first so many daemons of each zone for a task, among those that live and are not stopping, in
-// order of zone.
+// FirstPerZone returns, zone by zone in order of name, the first daemons of each zone for a task, up to the given
+// number, of those that are live and not stopping.
 func (m *Members) FirstPerZone(task string, limit int) []proto.VM {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -107,7 +109,7 @@
 	return selected
 }
 
-// liveZones returns the zones of the live daemons in order.
+// liveZones returns the sorted zones of the live daemons.
 func (m *Members) liveZones() []proto.Zone {
 	liveZones := map[proto.Zone]bool{}
 	for _, mem := range m.members {
--- a/coord/owner_test.go
+++ b/coord/owner_test.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// TestOwnersFollowView compares the kept orders with ones worked out anew, while daemons come, die, stop and are
-// left out.
+// TestOwnersFollowView compares the cached orders with freshly computed ones while daemons join, die, stop and are
+// skipped.
 func TestOwnersFollowView(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	s := newMesh(40, 1, 4, quickTiming())
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestFirstPerZoneMatchesIsAmongFirst compares what one daemon says of all zones with what each daemon
-// says of itself.
+// TestFirstPerZoneMatchesIsAmongFirst compares what one daemon computes for all zones with what each daemon computes
+// for itself.
 func TestFirstPerZoneMatchesIsAmongFirst(t *testing.T) {
 	s := newMesh(40, 2, 3, quickTiming())
 	var want []proto.VM
--- a/coord/placement.go
+++ b/coord/placement.go
@@ -14,25 +14,26 @@
 )
 
 const (
-	// PlacementLeases is the number of leases that the pools are shared out to.
+	// PlacementLeases is the number of leases that the pools are distributed over.
 	PlacementLeases = 4
-	// OrderTimeout is the longest that one order takes.
+	// OrderTimeout is the timeout of one order.
 	OrderTimeout = 2 * time.Second
 )
 
-// TargetClient sends orders to targets and reads back what they have.
+// TargetClient sends orders to targets and reads their state.
 type TargetClient interface {
 	Order(ctx context.Context, address netip.AddrPort, order proto.Order) error
 	Load(ctx context.Context, address netip.AddrPort) (proto.Load, error)
 }
 
-// Placer works out which models each target of a pool should have.
+// Placer decides which models each target of a pool should have.
 type Placer interface {
-	// Place returns the targets to change, few at a time; the current models are what the targets report.
+	// Place returns the new models of the targets to change, a few targets at a time; current holds the models that the
+	// targets report.
 	Place(now time.Time, pool *proto.Pool, demand map[string]time.Duration, current map[string][]string) map[string][]string
 }
 
-// PlacementController gives orders for the pools whose lease this daemon holds.
+// PlacementController sends the orders that place models on targets, for the pools whose lease this daemon holds.
 type PlacementController struct {
 	deps    Deps
 	members *Members
@@ -46,7 +47,7 @@
 	counts PlacementCounts
 }
 
-// PlacementCounts are the totals since the start.
+// PlacementCounts holds the number of leases held now and the totals since the start.
 type PlacementCounts struct {
 	Held    int   `json:"leasesHeld"`
 	Sent    int64 `json:"sent"`
@@ -55,7 +56,7 @@
 	Skipped int64 `json:"skipped"`
 }
 
-// NewPlacementController returns the order sender of a daemon.
+// NewPlacementController returns the placement controller of a daemon.
 func NewPlacementController(deps Deps, node *Node, targets TargetClient, placer Placer, timing LeaseTiming) *PlacementController {
 	pc := &PlacementController{deps: deps, members: node.Members, changes: node.Config, targets: targets, placer: placer, demand: map[string]map[string]time.Duration{}}
 	for i := range pc.leases {
@@ -73,7 +74,7 @@
 	return vm, ok && vm == pc.deps.Self.VM
 }
 
-// Counts returns the totals.
+// Counts returns the current counts.
 func (pc *PlacementController) Counts() PlacementCounts {
 	pc.mu.Lock()
 	defer pc.mu.Unlock()
@@ -86,7 +87,7 @@
 	return c
 }
 
-// AddDemand takes in what daemons spent by pool and model.
+// AddDemand records the demand that daemons report by pool and model.
 func (pc *PlacementController) AddDemand(rows []proto.DemandRow) {
 	pc.mu.Lock()
 	defer pc.mu.Unlock()
@@ -98,7 +99,7 @@
 	}
 }
 
-// ReportDemand sends what this daemon spent to the daemons that order the pools.
+// ReportDemand sends this daemon's demand to the daemons that place models in the pools.
 func (pc *PlacementController) ReportDemand(rows []proto.DemandRow) {
 	batches := map[proto.VM][]proto.DemandRow{}
 	for _, row := range rows {
@@ -113,7 +114,7 @@
 	}
 }
 
-// Reconcile keeps the leases and sends the orders that are due. Pools of a single model need neither.
+// Reconcile keeps the leases and sends the orders that are due. Pools with a single model need neither.
 func (pc *PlacementController) Reconcile(ctx context.Context, stopping bool) {
 	pools := pc.poolsByLease()
 	for i, lease := range pc.leases {
@@ -158,7 +159,8 @@
 	}
 }
 
-// readModels asks the targets what they have, since the last holder may have ordered since this daemon last knew.
+// readModels reads the current models from the targets, because the previous lease holder may have sent orders since this
+// daemon last read them.
 func (pc *PlacementController) readModels(ctx context.Context, pool *proto.Pool) map[string][]string {
 	current := map[string][]string{}
 	for i := range pool.Targets {
@@ -169,8 +171,9 @@
 	return current
 }
 
-// sendOrder checks the lease right before the order. A target that checks epochs refuses what a paused holder sends
-// later; for one that does not, the order must be over before the lease is, and says only what is wanted.
+// sendOrder checks the lease right before the order. A target that checks epochs rejects orders that a paused holder
+// sends late. For a target that does not, the order must end before the lease does, and it only states the desired
+// models.
 func (pc *PlacementController) sendOrder(ctx context.Context, lease *Lease, index int, target *proto.Target, models []string) {
 	epoch, held := lease.Held(pc.deps.Clock.Now, OrderTimeout)
 	if !held {
--- a/coord/placement_test.go
+++ b/coord/placement_test.go
@@ -13,7 +13,7 @@
 	"emberlead/proto"
 )
 
-// memoryTargets are stand-ins without sockets.
+// memoryTargets holds fake targets without sockets.
 type memoryTargets struct {
 	targets map[netip.AddrPort]*fakes.Target
 	clock   clockwork.Clock
@@ -30,7 +30,7 @@
 	return m.targets[address].Load(m.clock.Now()), nil
 }
 
-// firstModelPlacer gives every target the first model.
+// firstModelPlacer gives every target the first model of its pool.
 type firstModelPlacer struct{}
 
 func (firstModelPlacer) Place(_ time.Time, pool *proto.Pool, _ map[string]time.Duration, current map[string][]string) map[string][]string {
@@ -41,8 +41,8 @@
 	return changes
 }
 
-// A holder that was paused in the middle of its orders is refused by a target that has seen its successor's, and
-// sends nothing of its own accord once its lease is over.
+// TestPausedHolderIsFenced pauses a holder in the middle of sending orders. A target that has seen an order of its
+// successor must reject its late orders, and the holder must send none itself once its lease has expired.
 func TestPausedHolderIsFenced(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(time.Unix(1_700_000_000, 0))
 	store := fakes.NewStore()
@@ -68,7 +68,7 @@
 	if got := first.Counts(); got.Sent != 1 || got.Held != 1 {
 		t.Fatalf("first %+v", got)
 	}
-	// The first is paused; the second sees the row unchanged for the lease and its margin, and takes over.
+	// The first holder is paused. The second sees the row unchanged for the TTL and its margin, and then takes over.
 	step(secondLease)
 	clock.Advance(10 * time.Second)
 	step(secondLease)
@@ -81,7 +81,8 @@
 	if got := second.Counts(); got.Sent != 1 {
 		t.Fatalf("second %+v", got)
 	}
-	// The first wakes. Its lease is over, so it sends nothing; what it had under way is refused by the target.
+	// The first holder resumes. Its lease has expired, so it sends nothing, and the target rejects the order that was
+	// in flight.
 	first.sendOrder(ctx, firstLease, 0, &spec, []string{"small"})
 	if got := first.Counts(); got.Sent != 1 || got.Skipped != 1 {
 		t.Fatalf("first after its pause %+v", got)
--- a/coord/poll.go
+++ b/coord/poll.go
@@ -7,11 +7,11 @@
 	"emberlead/proto"
 )
 
-// Poll reads the store if this daemon is one of its zone's pollers, or knows nothing yet.
+// Poll reads the store if this daemon polls for its zone or has no configuration yet.
 func (n *Node) Poll(ctx context.Context) {
 	now := n.deps.Clock.Now()
 	if !n.isPoller() && n.Config.Synced() {
-		// News of the list can be lost on the way, so everyone reads it now and then.
+		// Updates of the list can be lost in transit, so every daemon reads it occasionally.
 		if now.Sub(n.nextList) > rareListInterval {
 			n.pollList(ctx, now)
 		}
@@ -38,10 +38,10 @@
 	n.Members.HandleVMList(now, list)
 }
 
-// rareListInterval is how often a daemon reads the VM list that need not.
+// rareListInterval is the interval at which daemons that do not poll read the VM list.
 const rareListInterval = time.Minute
 
-// isPoller tells whether this daemon is one that reads the store for its zone, or that writes the roster.
+// isPoller reports whether this daemon polls the store for its zone or writes the roster.
 func (n *Node) isPoller() bool {
 	if writer, ok := firstRanked("roster", vmsOf(n.Members.Live(), anyDaemon)); ok && writer == n.deps.Self.VM {
 		return true
@@ -56,10 +56,10 @@
 	return true
 }
 
-// startupDelay is how long a new daemon looks around before it writes the first roster.
+// startupDelay is how long a new daemon waits for news of the others before it writes the first roster.
 const startupDelay = 1500 * time.Millisecond
 
-// ReviseRoster changes the roster if this daemon is the one to do so, and otherwise reads it while it has none.
+// ReviseRoster updates the roster if this daemon is its writer; any other daemon reads the roster until it has one.
 func (n *Node) ReviseRoster(ctx context.Context) {
 	writer, ok := firstRanked("roster", vmsOf(n.Members.Live(), anyDaemon))
 	var err error
@@ -79,12 +79,14 @@
 // LastStoreRead returns when this daemon last read the store.
 func (n *Node) LastStoreRead() time.Time { return time.Unix(0, n.lastStoreRead.Load()) }
 
-// Isolated tells whether the daemon can reach neither the store nor any other daemon, so that it cannot know what is in force.
+// Isolated reports whether the daemon can reach neither the store nor any other daemon, so that it cannot know which
+// configuration is in force.
 func (n *Node) Isolated(now time.Time) bool {
 	return now.Sub(n.LastStoreRead()) > n.timing.IsolationTimeout && n.Members.AllSilent(now, n.timing.IsolationTimeout)
 }
 
-// Ready tells whether the daemon knows what is in force and is neither isolated nor stopping.
+// Ready reports whether the daemon knows the configuration in force and is neither isolated nor stopping; if not ready,
+// it also returns the reason.
 func (n *Node) Ready(now time.Time) (bool, string) {
 	switch {
 	case n.stopping.Load():
--- a/coord/ports.go
+++ b/coord/ports.go
@@ -21,12 +21,12 @@
 	Get(ctx context.Context, hash string) ([]byte, error)
 }
 
-// Directory is the platform's late list of VMs.
+// Directory is the platform's VM list, which may be stale.
 type Directory interface {
 	VMs(ctx context.Context) (proto.VMList, error)
 }
 
-// Platform is all of the platform that coordination needs.
+// Platform combines the platform services that coordination needs.
 type Platform interface {
 	Table
 	Objects
@@ -35,8 +35,8 @@
 
 // Peers sends messages to other daemons.
 type Peers interface {
-	// Send queues a message and returns at once; the message may be lost.
+	// Send queues a message and returns without waiting; the message may be lost.
 	Send(to proto.VM, m proto.Message)
-	// Call waits for the answer; it fails with KindUnavailable.
+	// Call sends a message and waits for the answer; it fails with KindUnavailable.
 	Call(ctx context.Context, to proto.VM, m proto.Message) (proto.Message, error)
 }
--- a/coord/pull.go
+++ b/coord/pull.go
@@ -9,7 +9,8 @@
 
 const pullTimeout = 2 * time.Second
 
-// pullChanges asks a daemon with a higher generation until there is nothing newer, and passes the news on at once.
+// pullChanges fetches changes from a daemon with a higher generation until that daemon has nothing newer. Each change
+// that is applied is announced at once.
 func (n *Node) pullChanges(from proto.VM) {
 	defer n.pullingChanges.Store(false)
 	for {
@@ -50,7 +51,8 @@
 	}
 }
 
-// TransferClaims reads the claims of slots that this daemon has come to keep, and reports those that it has.
+// TransferClaims reads the claims of slots newly assigned to this daemon and reports the slots that it has read in
+// full.
 func (n *Node) TransferClaims(ctx context.Context) {
 	for _, pending := range n.Replica.Pending() {
 		for _, member := range pending.From {
--- a/coord/ready.go
+++ b/coord/ready.go
@@ -6,7 +6,7 @@
 	"emberlead/proto"
 )
 
-// readyReports are the replicas' words that they have read a slot, by slot.
+// readyReports records, by slot, which replicas have reported reading the slot in full.
 type readyReports struct {
 	mu    sync.Mutex
 	slots map[int]*readySlot
--- a/coord/replica.go
+++ b/coord/replica.go
@@ -9,19 +9,19 @@
 	"emberlead/state"
 )
 
-// ClaimTiming holds the intervals of claims on keys.
+// ClaimTiming holds the timing and size limits of claims on keys.
 type ClaimTiming struct {
-	// Retention is how long a key is remembered, counted from the time that it carries.
+	// Retention is how long a key is remembered, counted from the timestamp in the key.
 	Retention time.Duration
-	// MaxSkew is how far ahead a caller's clock, and how far apart the daemons' clocks may be.
+	// MaxSkew bounds how far a caller's clock may be ahead and how far the daemons' clocks may be apart.
 	MaxSkew time.Duration
-	// RoundTimeout is how long one round of asking replicas takes at most.
+	// RoundTimeout bounds one round of asking the replicas.
 	RoundTimeout time.Duration
 	// MaxAnswerBytes bounds the answers kept with the claims of one slot.
 	MaxAnswerBytes int
 }
 
-// DefaultClaimTiming returns the timing that daemons run with.
+// DefaultClaimTiming returns the production timing.
 func DefaultClaimTiming() ClaimTiming {
 	return ClaimTiming{
 		Retention: time.Hour, MaxSkew: 5 * time.Second, RoundTimeout: time.Second, MaxAnswerBytes: 2 << 20,
@@ -30,19 +30,19 @@
 
 const transferPage = 1000
 
-// slotState is a replica's part in one slot.
+// slotState is the state of one slot at a replica.
 type slotState struct {
 	mu     sync.Mutex
-	since  proto.Epoch // of the group that this replica serves; 0 if none
+	since  proto.Epoch // epoch of the group that this replica serves; 0 if none
 	ready  bool
-	sealed proto.Epoch // newest group that asked to take over
-	// completeFor is the previous group whose claims this replica held in full when it moved on.
+	sealed proto.Epoch // epoch of the newest group that asked to take over
+	// completeFor is the epoch of the previous group whose claims this replica held in full when it moved on.
 	completeFor proto.Epoch
 	claims      *state.ClaimStore
 	readFrom    map[proto.VM]bool // members of the previous group whose claims were read
 }
 
-// Replica keeps the claims of the slots whose groups this run of the daemon belongs to.
+// Replica keeps the claims of the slots whose groups include this run of the daemon.
 type Replica struct {
 	self   proto.RosterMember
 	timing ClaimTiming
@@ -57,14 +57,14 @@
 	return &Replica{self: self, timing: timing}
 }
 
-// Roster returns the roster as the replica knows it.
+// Roster returns the roster known to the replica.
 func (r *Replica) Roster() proto.Roster {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.roster
 }
 
-// Epoch returns the epoch of the roster as the replica knows it.
+// Epoch returns the epoch of the roster known to the replica.
 func (r *Replica) Epoch() proto.Epoch {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -80,7 +80,7 @@
 	return r.slots[i]
 }
 
-// Adopt takes over a newer roster; an older one is ignored.
+// Adopt installs a newer roster; an older one is ignored.
 func (r *Replica) Adopt(roster proto.Roster) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -117,7 +117,7 @@
 	s.updateReady(slot)
 }
 
-// updateReady makes the slot ready once the claims of most of the previous group are here.
+// updateReady marks the slot ready once it holds the claims of a majority of the previous group.
 func (s *slotState) updateReady(slot *proto.Slot) {
 	if slot.Forced {
 		s.claims.Forget(slot.ForgottenBefore)
@@ -127,9 +127,9 @@
 	s.ready = 2*len(s.readFrom) > len(slot.Previous)
 }
 
-// sources are the members to read from. Once the previous group is done with, any ready
-// member of the own group has its claims, and one is enough: claims granted since then are
-// held by most of the group without this replica.
+// sources returns the members to read claims from. Once the previous group has been dropped, every ready member of the
+// current group has its claims, so reading one member is enough: claims granted since then are held by a majority of
+// the group even without this replica.
 func (r *Replica) sources(slot *proto.Slot) (members []proto.RosterMember, previousSince proto.Epoch) {
 	if len(slot.Previous) == 0 {
 		return slot.Group, slot.Since
@@ -137,14 +137,14 @@
 	return slot.Previous, slot.PreviousSince
 }
 
-// Pending is a slot whose claims are still to be read from members of the previous group.
+// Pending is a slot whose claims still have to be read from members of the previous group.
 type Pending struct {
 	Slot int
 	Ask  proto.TransferAsk
 	From []proto.RosterMember
 }
 
-// Pending returns the slots that this replica has to read.
+// Pending returns the slots that this replica still has to read.
 func (r *Replica) Pending() []Pending {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -167,7 +167,7 @@
 	return pending
 }
 
-// Claim answers an ask to grant a key; now is the time of day, by which callers date keys.
+// Claim decides on a claim to a key; now is the wall clock time, because callers put wall clock timestamps into keys.
 func (r *Replica) Claim(now time.Time, ask proto.ClaimAsk) proto.ClaimAnswer {
 	answer := proto.ClaimAnswer{Result: proto.ClaimNotReady, Roster: r.Epoch()}
 	s := r.slot(ask.Slot)
@@ -192,7 +192,7 @@
 	return answer
 }
 
-// Settle takes in how a claim ended.
+// Settle records the outcome of a claim.
 func (r *Replica) Settle(m proto.Settle) {
 	s := r.slot(m.Slot)
 	if s == nil {
@@ -203,7 +203,7 @@
 	s.claims.Settle(m.Key, m.Claim, m.Released, m.Answer)
 }
 
-// Transfer stops granting for the group that is being replaced, and hands over a page of its claims.
+// Transfer stops granting claims for the group that is being replaced and returns a page of its claims.
 func (r *Replica) Transfer(ask proto.TransferAsk) proto.TransferAnswer {
 	s := r.slot(ask.Slot)
 	if s == nil {
@@ -211,7 +211,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// A replica that was never ready in the previous group has nothing to vouch for.
+	// A replica that was never ready in the previous group does not hold a complete set of claims to hand over.
 	if complete := s.since == ask.PreviousSince && s.ready || s.completeFor == ask.PreviousSince && s.completeFor != 0; !complete {
 		return proto.TransferAnswer{}
 	}
@@ -220,7 +220,7 @@
 	return proto.TransferAnswer{Ready: true, Records: records, More: more, ForgottenBefore: s.claims.Forgotten()}
 }
 
-// TakeTransfer merges a page; after the last page of a member it returns whether the slot became ready.
+// TakeTransfer merges a page of claims. After the last page of a member it returns whether the slot became ready.
 func (r *Replica) TakeTransfer(ask proto.TransferAsk, from proto.RosterMember, answer proto.TransferAnswer) bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -244,7 +244,7 @@
 	return s.ready
 }
 
-// ReadySlots returns the slots with a previous group that this replica has read in full.
+// ReadySlots returns the slots with a previous group whose claims this replica has read in full.
 func (r *Replica) ReadySlots() []proto.SlotReady {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -260,7 +260,7 @@
 	return ready
 }
 
-// Sweep forgets old claims.
+// Sweep drops expired claims.
 func (r *Replica) Sweep(now time.Time) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -273,7 +273,7 @@
 	}
 }
 
-// ReplicaCounts are what a replica holds.
+// ReplicaCounts holds the current totals of a replica.
 type ReplicaCounts struct {
 	Epoch  proto.Epoch `json:"epoch"`
 	Slots  int         `json:"slots"`
@@ -281,7 +281,7 @@
 	Claims int         `json:"claims"`
 }
 
-// Counts returns what the replica holds.
+// Counts returns the current totals of the replica.
 func (r *Replica) Counts() ReplicaCounts {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/coord/resolve.go
+++ b/coord/resolve.go
@@ -7,8 +7,8 @@
 	"emberlead/proto"
 )
 
-// resolveUnknown finds out by the apply id whether a write whose answer was lost took effect.
-// If it did not, the head row is rewritten first, so that the write cannot take effect later.
+// resolveUnknown finds out by the apply ID whether a write whose answer was lost took effect. If it did not,
+// resolveUnknown rewrites the head row first, so that the write cannot take effect later.
 func (s *ConfigStore) resolveUnknown(ctx context.Context, c *ConfigState, change proto.Change, headVersion uint64) (ApplyResult, error) {
 	for range maxApplyAttempts {
 		row, _, err := s.readChange(ctx, logRow(change.Generation))
@@ -30,7 +30,7 @@
 	return ApplyResult{ApplyID: change.ApplyID}, newError("apply", proto.KindUnknown, "the answer to the write was lost")
 }
 
-// confirmOutcome reads once more after the head has moved on, when the write can no longer take effect.
+// confirmOutcome reads once more after the head row has changed, when the write can no longer take effect.
 func (s *ConfigStore) confirmOutcome(ctx context.Context, c *ConfigState, change proto.Change) (ApplyResult, error) {
 	row, _, err := s.readChange(ctx, logRow(change.Generation))
 	if err != nil {
--- a/coord/ring.go
+++ b/coord/ring.go
@@ -10,19 +10,18 @@
 	"emberlead/proto"
 )
 
-// Rings decide which daemons link to each other. Each ring orders the daemons by
-// a hash of its own, and a daemon links to the next and the last one in each, so
-// that the links of all rings together are a random graph of fixed degree. Up to
-// 2*RegionRings+1 daemons of a region this comes to a full mesh.
+// Rings define which daemons link to each other. Each ring orders the daemons by its own hash, and a daemon links to
+// its successor and predecessor in every ring, so the links of all rings form a random graph of fixed degree. In a
+// region of up to 2*Region+1 daemons this is a full mesh.
 type Rings struct {
-	Region int // rings among the daemons of one region
-	Global int // rings among all daemons
+	Region int // number of rings among the daemons of one region
+	Global int // number of rings among all daemons
 }
 
-// DefaultRings returns four rings in each region and one over all.
+// DefaultRings returns four rings per region and one global ring.
 func DefaultRings() Rings { return Rings{Region: 4, Global: 1} }
 
-// ringNode is a daemon's place for the rings.
+// ringNode is a daemon as the rings see it.
 type ringNode struct {
 	vm     proto.VM
 	region string
@@ -51,7 +50,7 @@
 	return vms
 }
 
-// graph holds the links of every daemon, the same on every daemon with the same view.
+// graph holds the links of every daemon; daemons with the same view compute the same graph.
 type graph struct {
 	regional map[proto.VM][]proto.VM
 	global   map[proto.VM][]proto.VM
@@ -101,7 +100,7 @@
 	}
 }
 
-// links returns all daemons that one links to.
+// links returns all daemons that the given one links to.
 func (g *graph) links(vm proto.VM) []proto.VM {
 	all := slices.Clone(g.regional[vm])
 	for _, other := range g.global[vm] {
@@ -112,7 +111,7 @@
 	return all
 }
 
-// rankVMs orders VMs by rendezvous hashing for a purpose, so that all daemons with one view pick the same.
+// rankVMs orders VMs for a purpose by rendezvous hashing, so that all daemons with the same view choose the same ones.
 func rankVMs(purpose string, vms []proto.VM) []proto.VM {
 	nodes := make([]ringNode, len(vms))
 	for i, vm := range vms {
@@ -121,7 +120,7 @@
 	return ringOrder(purpose, nodes)
 }
 
-// firstRanked returns the VM that rendezvous hashing picks for a purpose.
+// firstRanked returns the VM that ranks first for a purpose.
 func firstRanked(purpose string, vms []proto.VM) (proto.VM, bool) {
 	var best proto.VM
 	var lowest uint64
--- a/coord/roster.go
+++ b/coord/roster.go
@@ -12,25 +12,25 @@
 
 const rowRoster = "claims/roster"
 
-// View is what a daemon holds of the others when it plans the roster.
+// View is what planning the roster needs to know about the other daemons.
 type View interface {
-	// Live returns the daemons that are not dead.
+	// Live returns the daemons that are not considered dead.
 	Live() []proto.Alive
-	// RunEnded tells whether a run of a daemon is certainly over, so that it can never grant again.
+	// RunEnded reports whether a run of a daemon has certainly ended, so that it can never grant a claim again.
 	RunEnded(now time.Time, vm proto.VM, incarnation proto.Incarnation) bool
-	// IsListed tells whether the platform lists the VM.
+	// IsListed reports whether the platform lists the VM.
 	IsListed(vm proto.VM) bool
 }
 
-// RosterPlan holds the sizes of a roster.
+// RosterPlan holds the size limits of a roster.
 type RosterPlan struct {
 	// Slots is the number of slots; it is fixed when the roster is first written.
 	Slots int
 	// Replicas is the number of daemons in a slot's group.
 	Replicas int
-	// Members bounds the daemons that keep claims.
+	// Members bounds the number of daemons that keep claims.
 	Members int
-	// Moves bounds the slots that one change moves only for balance.
+	// Moves bounds the slots that one revision moves for balance alone.
 	Moves int
 }
 
@@ -39,12 +39,12 @@
 	return RosterPlan{Slots: 32, Replicas: 3, Members: 64, Moves: 4}
 }
 
-// planner works out the next roster from the last one.
+// planner computes the next roster from the last one.
 type planner struct {
 	plan   RosterPlan
 	timing ClaimTiming
 	now    time.Time
-	// wallNow is the time of day, by which callers date keys.
+	// wallNow is the wall clock time, by which callers timestamp keys.
 	wallNow time.Time
 	members View
 	live    []proto.RosterMember
@@ -53,7 +53,7 @@
 	initial bool
 }
 
-// next returns the roster that should follow, and whether it differs.
+// next returns the roster that should follow, and whether it differs from the old one.
 func (p *planner) next(old proto.Roster) (proto.Roster, bool) {
 	updated := proto.Roster{Epoch: old.Epoch + 1, Slots: slices.Clone(old.Slots)}
 	if len(updated.Slots) == 0 {
@@ -103,8 +103,8 @@
 	return slot.Previous
 }
 
-// isLost tells whether so many of a group are certainly over that most of it can never be read. Members that
-// only look dead may be paused and grant once they wake, so a group is never given up for those.
+// isLost reports whether so many members of a group have certainly ended that a majority of it can never be read. Members
+// that only look dead may be paused and grant claims once they resume, so a group is never given up because of them.
 func (p *planner) isLost(group []proto.RosterMember) bool {
 	ended := 0
 	for _, member := range group {
@@ -115,7 +115,7 @@
 	return len(group) > 0 && 2*(len(group)-ended) <= len(group)
 }
 
-// liveMembers keeps the members that are live and not stopping.
+// liveMembers returns the members that are live and not stopping.
 func (p *planner) liveMembers(group []proto.RosterMember) []proto.RosterMember {
 	var kept []proto.RosterMember
 	for _, member := range group {
@@ -126,7 +126,8 @@
 	return kept
 }
 
-// fill adds live members up to the number of replicas, from other zones first and the least loaded of those.
+// fill adds live members up to the number of replicas, preferring zones that the group does not cover yet and then the
+// members with the fewest slots.
 func (p *planner) fill(group []proto.RosterMember) []proto.RosterMember {
 	group = slices.Clone(group)
 	for len(group) < p.plan.Replicas {
@@ -180,7 +181,7 @@
 	return true
 }
 
-// dropPrevious drops the previous group once every live member of the group has read its claims.
+// dropPrevious drops the previous group once every live member of the current group has read its claims.
 func (p *planner) dropPrevious(index int, slot *proto.Slot) bool {
 	ready := p.ready(index, slot.Since)
 	for _, member := range p.liveMembers(slot.Group) {
@@ -195,7 +196,7 @@
 	return true
 }
 
-// balance gives a few slots to a live member that has less than half of its part, so that new VMs take their share.
+// balance moves a few slots to live members that have less than half of their share, so that new VMs take over work.
 func (p *planner) balance(slots []proto.Slot, epoch proto.Epoch) bool {
 	if p.initial || len(p.live) <= p.plan.Replicas {
 		return false
@@ -239,19 +240,20 @@
 	members View
 	replica *Replica
 	reports *readyReports
-	// wallTime returns the time of day at a moment.
+	// wallTime converts a time of the clock to wall clock time.
 	wallTime func(now time.Time) time.Time
 }
 
-// RosterOption changes a RosterKeeper at construction.
+// RosterOption configures a RosterWriter.
 type RosterOption func(*RosterWriter)
 
-// WithWallTime has the keeper date what it forgets by a time of day that differs from its clock's time.
+// WithWallTime sets how times of the clock are converted to wall clock time, which dates the keys that a forced change
+// of group refuses.
 func WithWallTime(wallTime func(now time.Time) time.Time) RosterOption {
 	return func(w *RosterWriter) { w.wallTime = wallTime }
 }
 
-// NewRosterWriter returns a keeper of the roster's row.
+// NewRosterWriter returns a writer of the roster's row.
 func NewRosterWriter(table Table, plan RosterPlan, timing ClaimTiming, members View, replica *Replica, options ...RosterOption) *RosterWriter {
 	w := &RosterWriter{table: table, plan: plan, timing: timing, members: members, replica: replica, reports: newReadyReports()}
 	w.wallTime = func(now time.Time) time.Time { return now }
@@ -275,7 +277,8 @@
 	return row.Version, nil
 }
 
-// ReviseRoster writes the next roster if the last one has to change. Whatever the answer says, the roster is taken from a read.
+// ReviseRoster writes the next roster if the last one has to change. Whatever the write returned, the roster is adopted
+// from a read.
 func (w *RosterWriter) ReviseRoster(ctx context.Context, now time.Time) error {
 	version, err := w.Read(ctx)
 	if err != nil {
@@ -302,7 +305,7 @@
 	return err
 }
 
-// Next returns the roster that should follow the one that the replica has.
+// Next returns the roster that should follow the replica's, and whether it differs.
 func (w *RosterWriter) Next(now time.Time) (proto.Roster, bool) {
 	p := &planner{plan: w.plan, timing: w.timing, now: now, wallNow: w.wallTime(now), members: w.members, ready: w.reports.readyVMs}
 	for _, alive := range w.members.Live() {
@@ -316,7 +319,7 @@
 	return p.next(w.replica.Roster())
 }
 
-// spreadOverZones picks members zone by zone in turn, in the order of rendezvous hashing.
+// spreadOverZones picks members from the zones in turn, within a zone in the order of rendezvous hashing.
 func spreadOverZones(live []proto.RosterMember, limit int) []proto.RosterMember {
 	byVM := map[proto.VM]proto.RosterMember{}
 	vms := make([]proto.VM, len(live))
@@ -344,5 +347,5 @@
 	return picked
 }
 
-// Report takes in that a replica has read a slot.
+// Report records that a replica has read a slot in full.
 func (w *RosterWriter) Report(from proto.VM, m proto.SlotReady) { w.reports.record(from, m) }
--- a/coord/shares.go
+++ b/coord/shares.go
@@ -9,52 +9,54 @@
 	"emberlead/state"
 )
 
-// ShareTiming holds the times by which a census counts.
+// ShareTiming holds the time limits of a ShareTracker.
 type ShareTiming struct {
-	// Window is the span over which the common limits are counted.
+	// Window is the period over which the shared limits are counted.
 	Window time.Duration
-	// Lease is how long a daemon may use its share after the last write of its row that the platform has acknowledged.
+	// Lease is how long a daemon may use its share after the last write of its row that the platform acknowledged.
 	Lease time.Duration
-	// MaxReadAge is how old the last read of the rows may be for this daemon to use its share. A daemon whose VM is new waits
-	// for as long before it uses one, so that all others have read its row by then or use none themselves.
+	// MaxReadAge is how old the last read of the rows may be for this daemon to use its share. A daemon on a new VM
+	// waits as long before using one, so that by then every other daemon has read its row or uses no share itself.
 	MaxReadAge time.Duration
 }
 
-// ShareTracker counts the VMs that may be using a share of a limit that all daemons keep together. It never counts too few:
-// silence proves nothing, since a daemon that is not heard may go on using its share, so a VM is counted until a read
-// of the platform's rows shows that its lease is over, and its use of the last window with it.
+// ShareTracker counts the VMs that may be using a share of a limit that all daemons share. It never counts too few:
+// silence proves nothing, because a daemon that is not heard may still use its share. So a VM is counted until a read
+// of the platform's rows shows that its lease is over, and that its use of the last window is over as well.
 type ShareTracker struct {
 	mu     sync.Mutex
 	timing ShareTiming
 	self   proto.VM
 	others map[proto.VM]*trackedVM
-	// rowSent is when the own row that the platform acknowledged last was sent, read when the rows that were read last were
-	// asked for; both zero before.
+	// rowSent is when the last acknowledged write of this daemon's row was sent, and readAsked is when the last read of
+	// all rows was requested; both are zero before the first one.
 	rowSent, readAsked time.Time
-	// lastListed is when the own row was last known to tell the others of this VM.
+	// lastListed is when this daemon's row was last known to announce this VM to the others.
 	lastListed time.Time
-	// establishedAt is since when all others count this VM, and this daemon all of them, as far as both use anything; zero as long as
-	// that is open. What this daemon may use it does so a while later, since it knows nothing of what its last run used.
+	// establishedAt is since when all other daemons count this VM and this daemon counts all of them, as far as they use
+	// anything; zero while that is unknown. The daemon uses its share only a window later, because it does not know
+	// what its previous run used.
 	establishedAt time.Time
-	// era is that of the platform's store: what the rows of an earlier one proved, they prove no more.
+	// era is the era of the platform's store; rows of an earlier era prove nothing.
 	era uint64
-	// ranksFirst holds for which tasks this VM comes first of those that are counted.
+	// ranksFirst caches for which tasks this VM ranks first among the counted ones.
 	ranksFirst map[string]bool
 }
 
-// trackedVM is a VM as the census knows it.
+// trackedVM is a VM known to the tracker.
 type trackedVM struct {
-	// version is that of its row, zero before one was read, and since is when this daemon first saw that version.
+	// version is the version of its row, zero before the first read, and since is when this daemon first saw that
+	// version.
 	version proto.Revision
 	since   time.Time
 }
 
-// NewShareTracker returns a census that counts only the own VM, which has no share yet.
+// NewShareTracker returns a tracker that counts only its own VM, which has no share yet.
 func NewShareTracker(self proto.VM, timing ShareTiming) *ShareTracker {
 	return &ShareTracker{self: self, timing: timing, others: map[proto.VM]*trackedVM{}, ranksFirst: map[string]bool{}}
 }
 
-// ObserveVMs notes VMs whose daemons have announced themselves.
+// ObserveVMs counts VMs whose daemons have announced themselves.
 func (t *ShareTracker) ObserveVMs(now time.Time, vms ...proto.VM) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -73,9 +75,9 @@
 	return s
 }
 
-// Start says since when this run could have a share. A daemon that has just started knows nothing of what its last run
-// used, so it has none until that is out of the window; on a VM that the others may not know, it also waits until all of
-// them have read of it.
+// Start sets since when this run can have a share. A daemon that has just started does not know what its previous run
+// used, so it has no share until that is out of the window. On a VM that the others may not know, it also waits until
+// all of them have read its row.
 func (t *ShareTracker) Start(now time.Time, known bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -89,13 +91,14 @@
 	}
 }
 
-// MaxRowAge returns how old the row of a VM may be for its next run to count as known to the others: they count the VM for
-// as long again.
+// MaxRowAge returns how old the row of a VM may be for its next run to count as known to the others: they count the VM
+// for as long again.
 func (t ShareTiming) MaxRowAge() time.Duration { return t.Lease / 2 }
 
-// StoreRestored notes that the platform's store is in a newer era: it was restored from a copy. Rows that were written since the copy
-// are gone, the own one and those of VMs that were never read here among them, and not all daemons know that yet. So this one has no
-// share until its row was written anew, and until all that rely on rows of the earlier era have read none for too long.
+// StoreRestored records that the platform's store is in a newer era because it was restored from a copy. Rows written
+// after that copy are gone, possibly including the row of this daemon and those of VMs that this daemon has never read,
+// and not all daemons know that yet. So this daemon has no share until its row is written again and until every daemon
+// that relies on rows of the earlier era has gone without a read for too long to use its share.
 func (t *ShareTracker) StoreRestored(now time.Time, era uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -109,7 +112,8 @@
 	}
 }
 
-// RowWritten notes that the platform acknowledged the own row in an era of its store; the row was sent at a time.
+// RowWritten records that the platform acknowledged this daemon's row in an era of its store; sent is when the row was
+// sent.
 func (t *ShareTracker) RowWritten(sent time.Time, era uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -117,7 +121,7 @@
 		return
 	}
 	if sent.Sub(t.lastListed) > t.timing.MaxRowAge() {
-		// Others may have ceased to count this VM, and have to read of it first.
+		// Others may no longer count this VM, so they have to read its row first.
 		t.establishedAt = latest(t.establishedAt, sent.Add(t.timing.MaxReadAge))
 	}
 	t.rowSent, t.lastListed = sent, sent
@@ -130,8 +134,8 @@
 	return a
 }
 
-// ObserveRows takes in all rows, with their versions, as of a moment after asked in an era of the store, and returns the VMs that are counted no more:
-// their rows have not changed for so long that their leases are over.
+// ObserveRows takes all rows with their versions, as of a moment after asked, in an era of the store. It returns the
+// VMs that are no longer counted: their rows have not changed for so long that their leases are over.
 func (t *ShareTracker) ObserveRows(asked, now time.Time, era uint64, rows map[proto.VM]proto.Revision) (expired []proto.VM) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -145,7 +149,7 @@
 		}
 	}
 	for vm, s := range t.others {
-		// The row was not written between the two reads; a write before the first one gave a lease that is over.
+		// The row was not written between the two reads, and the lease of a write before the first read is over.
 		if asked.Sub(s.since) > t.timing.Lease+t.timing.Window {
 			expired = append(expired, vm)
 		}
@@ -158,33 +162,34 @@
 	return expired
 }
 
-// Share is a daemon's part of a limit that all daemons keep together.
+// Share is a daemon's part of a limit that all daemons share.
 type Share struct {
-	// VMCount is the number of VMs that are counted, the own one included.
+	// VMCount is the number of counted VMs, including this daemon's own.
 	VMCount int
-	// Usable says that this daemon may use its part, one of Counted equal ones; Reason says why not.
+	// Usable says that this daemon may use its part, one of VMCount equal ones; if not, Reason says why.
 	Usable bool
 	Reason ShareReason
-	// RowAge and ReadAge are how long ago the own row was written and all rows were read.
+	// RowAge and ReadAge are how long ago this daemon's row was written and all rows were read.
 	RowAge, ReadAge time.Duration
 }
 
-// ShareReason tells why a daemon may not use its share now.
+// ShareReason is why a daemon may not use its share now.
 type ShareReason string
 
-// Reasons for which a share may not be used.
+// Reasons why a share may not be used.
 const (
 	// ShareUsable means that the share may be used.
 	ShareUsable ShareReason = ""
-	// ShareStarting means that what the last run on the VM used may still count, or that others may not know of the VM.
+	// ShareStarting means that usage of the VM's previous run may still count, or that other daemons may not know the
+	// VM.
 	ShareStarting ShareReason = "the daemon has started too lately"
-	// ShareRowExpired means that the own row could not be written for too long.
+	// ShareRowExpired means that this daemon's row could not be written for too long.
 	ShareRowExpired ShareReason = "the own row was not written for too long"
 	// ShareReadExpired means that the rows could not be read for too long.
 	ShareReadExpired ShareReason = "the rows of the daemons were not read for too long"
 )
 
-// Share returns the own part of a common limit.
+// Share returns this daemon's part of a shared limit.
 func (t *ShareTracker) Share(now time.Time) Share {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -193,7 +198,7 @@
 	return s
 }
 
-// reason tells why this daemon may not use now what is counted over a window.
+// reason returns why this daemon may not use now what is counted over the given window.
 func (t *ShareTracker) reason(now time.Time, window time.Duration) ShareReason {
 	switch {
 	case t.establishedAt.IsZero() || now.Before(t.establishedAt.Add(window)):
@@ -206,13 +211,14 @@
 	return ShareUsable
 }
 
-// maxCachedTasks bounds for how many tasks it is remembered whether the own VM comes first; a task is named for each cold target.
+// maxCachedTasks bounds the tasks whose ownership is cached; there is one task for each cold target.
 const maxCachedTasks = 20_000
 
-// OwnsExclusively tells whether this daemon may do now what only one of all daemons may do at a time, in touch with the others or not: its
-// VM comes first for the task of all that are counted. Each daemon that may use anything is counted by all others that may, so
-// two never hold this at once; and after another one held it, at least the settling time passes. A VM that has died for good keeps
-// its tasks until its lease is over, and nobody does them until then.
+// OwnsExclusively reports whether this daemon may now do what only one daemon may do at a time, even while it cannot
+// reach the others: its VM ranks first for the task among all counted ones. Each daemon that may use anything is
+// counted by all others that may, so two daemons never own a task at the same time, and at least the settle time passes
+// between two owners. A VM that is gone for good keeps its tasks until its lease is over, and nobody does them until
+// then.
 func (t *ShareTracker) OwnsExclusively(now time.Time, task string, settle time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/coord/shares_test.go
+++ b/coord/shares_test.go
@@ -19,7 +19,7 @@
 	shareTestStart  = time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC)
 )
 
-// revisions are those of rows of a store that tells of no eras.
+// revisions returns the revisions of rows in a store without eras.
 func revisions(versions map[proto.VM]uint64) map[proto.VM]proto.Revision {
 	rows := map[proto.VM]proto.Revision{}
 	for vm, version := range versions {
@@ -28,7 +28,7 @@
 	return rows
 }
 
-// establishedTracker is that of a daemon which has run for long among others.
+// establishedTracker returns the tracker of a daemon that has run among others for an hour.
 func establishedTracker(self proto.VM, others ...proto.VM) *ShareTracker {
 	c := NewShareTracker(self, testShareTiming)
 	early := shareTestStart.Add(-time.Hour)
@@ -109,7 +109,7 @@
 	at := shareTestStart.Add(10*time.Minute + time.Second)
 	c.ObserveRows(at, at, 0, revisions(map[proto.VM]uint64{"a": 1, "b": 2}))
 	wantShare(t, c, at, 2, ShareRowExpired)
-	// The others may have ceased to count it, so it starts like a new one.
+	// The other daemons may no longer count this one, so it starts like a new one.
 	c.RowWritten(at, 0)
 	wantShare(t, c, at, 2, ShareStarting)
 	late := at.Add(56 * time.Second)
@@ -124,8 +124,8 @@
 	wantShare(t, c, shareTestStart, 3, ShareUsable)
 }
 
-// shareSim plays a deployment whose daemons start, die, are paused and are cut off from the store for a time. Links
-// between daemons carry nothing, so that all they know is what the rows say.
+// shareSim simulates a deployment whose daemons start, die, are paused and are temporarily cut off from the store.
+// Links between daemons carry nothing, so the daemons know only what the rows say.
 type shareSim struct {
 	random *rand.Rand
 	now    time.Time
@@ -133,26 +133,27 @@
 	wrote  map[proto.VM]time.Time
 	marked map[proto.VM]uint64
 	next   uint64
-	// era is that of the store, and copies are of its rows at earlier moments, from one of which it is restored now and then.
+	// era is the era of the store; copies holds its rows at earlier times, and it is occasionally restored from one of
+	// them.
 	era    uint64
 	copies []shareRows
-	// done is how often a task was done.
+	// done counts how often a task was done.
 	done    int
 	daemons map[proto.VM]*shareDaemon
-	// held are the latest moments at which each VM's daemon could use a part of the limit, with the part.
+	// used holds, for each VM, the recent times at which its daemon could use a part of the limit, and that part.
 	used map[proto.VM][]usedPart
-	// owners holds for each task who did it last, and when.
+	// owners holds, for each task, which VM did it last, and when.
 	owners map[string]lastOwner
 }
 
-// shareRows are the rows of the platform's store as of a moment.
+// shareRows holds the rows of the platform's store at one time.
 type shareRows struct {
 	rows   map[proto.VM]uint64
 	wrote  map[proto.VM]time.Time
 	marked map[proto.VM]uint64
 }
 
-// keepCopy copies the rows; copies are some seconds apart, and a few are kept.
+// keepCopy copies the rows; the copies are taken seconds apart, and the last 15 are kept.
 func (w *shareSim) keepCopy() {
 	w.copies = append(w.copies, shareRows{maps.Clone(w.rows), maps.Clone(w.wrote), maps.Clone(w.marked)})
 	if len(w.copies) > 15 {
@@ -160,7 +161,7 @@
 	}
 }
 
-// restore brings the store back from a copy of up to half a minute before.
+// restore restores the store from a copy that is up to half a minute old.
 func (w *shareSim) restore() {
 	if len(w.copies) == 0 {
 		return
@@ -176,10 +177,11 @@
 	at time.Time
 }
 
-// taskSettle is how long a task of the histories rests between two VMs that do it.
+// taskSettle is the minimum time between two VMs doing the same task.
 const taskSettle = 9 * time.Second
 
-// doTasks has each daemon that may do a task do it, and tells of two VMs that do so within the settling time.
+// doTasks lets each daemon do the tasks that it may do, and returns an error message if two VMs do the same one within
+// the settle time.
 func (w *shareSim) doTasks() string {
 	for i := range 6 {
 		task := fmt.Sprint("task-", i)
@@ -259,7 +261,7 @@
 	}
 }
 
-// observeEra has a daemon learn of the store's era by an answer.
+// observeEra lets a daemon learn the store's era from an answer.
 func (w *shareSim) observeEra(d *shareDaemon) {
 	if d.era == w.era {
 		return
@@ -290,7 +292,8 @@
 	}
 }
 
-// totalUsed notes what each daemon may use now, and returns what all may have used within a window, in parts of the limit.
+// totalUsed records what each daemon may use now, and returns what all of them may have used within a window, as a
+// fraction of the limit.
 func (w *shareSim) totalUsed() float64 {
 	for vm, d := range w.daemons {
 		if s := d.tracker.Share(w.now); s.Usable && !w.now.Before(d.pausedUntil) {
@@ -312,8 +315,8 @@
 	return sum
 }
 
-// TestSharesNeverExceedLimit plays random histories, in half of which the store is restored from copies. What a daemon may use in a window is the largest
-// share that it had then.
+// TestSharesNeverExceedLimit runs random histories, in half of which the store is restored from copies. The most that a
+// daemon may use in a window is the largest share that it had in that window.
 func TestSharesNeverExceedLimit(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(7)
 	parameters.MinSuccessfulTests = 40
@@ -340,7 +343,7 @@
 	properties.TestingRun(t)
 }
 
-// TestTaskHasOneOwner plays such histories of tasks that one VM may do at a time.
+// TestTaskHasOneOwner runs the same histories and checks tasks that only one VM may do at a time.
 func TestTaskHasOneOwner(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(11)
 	parameters.MinSuccessfulTests = 30
@@ -370,7 +373,8 @@
 	properties.TestingRun(t)
 }
 
-// TestTasksAreDistributed has all daemons run undisturbed: each task is done by one of them, and all have some.
+// TestTasksAreDistributed runs all daemons undisturbed: each task must be done by exactly one of them, and all must
+// have some.
 func TestTasksAreDistributed(t *testing.T) {
 	vms := []proto.VM{"a", "b", "c", "d"}
 	counts := map[proto.VM]int{}
@@ -394,8 +398,9 @@
 	}
 }
 
-// TestRestoredStoreInvalidatesOlderRows has a VM whose row was written after the copy was made: others that start now do not know
-// of it, so it must not use its share before they do, nor they theirs while it may not have heard of the restoration.
+// TestRestoredStoreInvalidatesOlderRows restores the store from a copy that lacks the row of a VM. Daemons that start
+// after that do not know the VM, so it must not use its share before they do, and they must not use theirs while it may
+// not have heard of the restore.
 func TestRestoredStoreInvalidatesOlderRows(t *testing.T) {
 	c := establishedTracker("a", "b")
 	wantShare(t, c, shareTestStart, 2, ShareUsable)
@@ -414,7 +419,7 @@
 	wantShare(t, c, usable, 2, ShareUsable)
 	c.StoreRestored(usable, 2)
 	wantShare(t, c, usable, 2, ShareUsable)
-	// A row may have been on its way when the store came back.
+	// A row may have been in flight when the store was restored.
 	c.StoreRestored(usable, 3)
 	c.RowWritten(usable.Add(-time.Second), 3)
 	c.ObserveRows(usable, usable, 3, revisions(map[proto.VM]uint64{"a": 9}))
--- a/coord/vmlist.go
+++ b/coord/vmlist.go
@@ -6,7 +6,8 @@
 	"emberlead/proto"
 )
 
-// RunEnded tells whether a run of a daemon is certainly over: a later run has announced itself, or the platform no longer lists the VM.
+// RunEnded reports whether a run of a daemon has certainly ended: a later run has announced itself, or the platform no
+// longer lists the VM.
 func (m *Members) RunEnded(now time.Time, vm proto.VM, incarnation proto.Incarnation) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -23,7 +24,7 @@
 	return now.Sub(since) > m.timing.MaxListLag
 }
 
-// IsListed tells whether the platform lists the VM, as far as this daemon knows.
+// IsListed reports whether the platform lists the VM, as far as this daemon knows.
 func (m *Members) IsListed(vm proto.VM) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -31,18 +32,18 @@
 	return ok
 }
 
-// Leaving returns the VMs that the platform lists as leaving, targets' VMs included.
+// Leaving returns the VMs that the platform lists as leaving, including the VMs of targets.
 func (m *Members) Leaving() map[proto.VM]bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.leaving
 }
 
-// keepReceivedFor is how long what was heard of the list is kept against an own read that does not show it: reads lag, some
-// more than others, and their readers must not contradict each other in turn.
+// keepReceivedFor is how long entries received from other daemons are kept against an own read that does not show them.
+// Reads lag by different amounts, and their readers must not keep contradicting each other.
 const keepReceivedFor = 10 * time.Second
 
-// HandleVMList takes in an own read of the platform's list, and passes on what changed.
+// HandleVMList processes this daemon's own read of the platform's list and forwards the changes.
 func (m *Members) HandleVMList(now time.Time, list proto.VMList) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -64,7 +65,7 @@
 	m.applyListed(now, change, m.self.VM, true)
 }
 
-// HandleListed takes in what another daemon read, and passes on what was news here.
+// HandleListed processes what another daemon read and forwards what is new.
 func (m *Members) HandleListed(now time.Time, change proto.Listed, from proto.VM) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -75,7 +76,7 @@
 	var news proto.Listed
 	for _, entry := range change.VMs {
 		old, known := m.entries[entry.VM]
-		// A VM that is leaving does not come back, so a late read that does not show it yet is not believed.
+		// A leaving VM does not come back, so a stale read that does not show it as leaving is ignored.
 		if known && (old == entry || own && old.Leaving && now.Sub(m.enteredAt[entry.VM]) < keepReceivedFor) {
 			continue
 		}
@@ -125,7 +126,7 @@
 	}
 }
 
-// allEntries returns all that is known of the platform's list.
+// allEntries returns all known entries of the platform's list.
 func (m *Members) allEntries() proto.Listed {
 	all := proto.Listed{VMs: make([]proto.VMEntry, 0, len(m.entries))}
 	for _, entry := range m.entries {
--- a/coord/wallclock.go
+++ b/coord/wallclock.go
@@ -6,14 +6,14 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// WallClock is a clock that also tells the time of day, which its own time need not follow when that is set.
+// WallClock is a clock that also tells the wall clock time, which can be set independently of the clock's own time.
 type WallClock interface {
 	clockwork.Clock
-	// WallTime returns the time by which callers date what they send.
+	// WallTime returns the wall clock time, by which callers timestamp what they send.
 	WallTime() time.Time
 }
 
-// wallTime is the time that the dates of callers' keys are set against.
+// wallTime returns the wall clock time, against which the timestamps in callers' keys are compared.
 func wallTime(clock clockwork.Clock) time.Time {
 	if dated, ok := clock.(WallClock); ok {
 		return dated.WallTime()
--- a/coord/wallclock_test.go
+++ b/coord/wallclock_test.go
@@ -7,7 +7,7 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// fakeWallClock is a clock beside a time of day that was set.
+// fakeWallClock is a clock whose wall clock time is offset.
 type fakeWallClock struct {
 	*clockwork.FakeClock
 	offset time.Duration
@@ -15,8 +15,8 @@
 
 func (c fakeWallClock) WallTime() time.Time { return c.Now().Add(c.offset) }
 
-// TestKeysAreDatedByWallClock has the time of day of a VM be set after its daemon started: keys of callers whose clocks are
-// right are neither from the future nor too old.
+// TestKeysAreDatedByWallClock sets the wall clock of a VM after its daemon started: keys of callers with correct clocks
+// must count neither as from the future nor as too old.
 func TestKeysAreDatedByWallClock(t *testing.T) {
 	fake := clockwork.NewFakeClock()
 	for _, set := range []time.Duration{0, time.Hour, -time.Hour} {
--- a/state/claimstore.go
+++ b/state/claimstore.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// MaxKeptAnswer is the size in bytes up to which an answer is kept with its claim.
+	// MaxKeptAnswer is the largest answer in bytes that is kept with its claim.
 	MaxKeptAnswer = 16 << 10
-	recordBytes   = 160 // bytes of a record without its answer
+	recordBytes   = 160 // size in bytes of a record without its answer
 )
 
-// ClaimStore remembers the claims on the keys of one slot until they are older than the retention.
+// ClaimStore holds the claims on the keys of one slot until they are older than the retention.
 type ClaimStore struct {
 	mu        sync.Mutex
 	retention time.Duration
@@ -26,7 +26,7 @@
 	forgotten time.Time
 }
 
-// NewClaimStore returns an empty ledger that keeps answers while it holds less than the given bytes.
+// NewClaimStore returns an empty store that keeps answers while it holds less than the given number of bytes.
 func NewClaimStore(retention time.Duration, maxBytes int) *ClaimStore {
 	return &ClaimStore{
 		retention: retention,
@@ -43,7 +43,7 @@
 	return len(s.records)
 }
 
-// Claim grants a key that no other request holds; a key from before the forgotten time is never granted.
+// Claim grants a key that no other request holds. A key that is not newer than the forgotten time is never granted.
 func (s *ClaimStore) Claim(key proto.Key, fingerprint uint64, claim proto.ClaimID) (proto.ClaimResult, []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,7 +76,8 @@
 	s.bytes += recordBytes + len(record.Answer)
 }
 
-// Settle marks a claim as released or done; a release of a claim not yet seen is kept, so that the claim cannot come after it.
+// Settle marks a claim as released or done. The release of an unknown claim is recorded, so that the claim cannot be
+// granted if it arrives later.
 func (s *ClaimStore) Settle(key proto.Key, claim proto.ClaimID, released bool, answer []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +102,8 @@
 	}
 }
 
-// Sweep forgets the records whose keys are older than the retention, and from then on refuses keys that old, whatever the clock says later.
+// Sweep drops the records whose keys are older than the retention. From then on keys of that age are refused, even if
+// the clock is set back later.
 func (s *ClaimStore) Sweep(now time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,7 +137,7 @@
 	return s.forgotten
 }
 
-// Forget refuses keys up to a time as too old.
+// Forget refuses keys up to the given time as too old.
 func (s *ClaimStore) Forget(before time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,7 +165,7 @@
 	return page, more
 }
 
-// Merge takes in records of another replica; where two differ, the one that forbids more is kept.
+// Merge adds the records of another replica; where two records differ, the more restrictive one is kept.
 func (s *ClaimStore) Merge(records []proto.ClaimRecord) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,7 +190,7 @@
 		s.bytes += len(other.Answer) - len(own.Answer)
 		*own = *other
 	case own.Claim == other.Claim:
-		// Only the holder releases, so its release counts wherever it arrived.
+		// Only the holder releases a claim, so its release counts at whichever replica it arrived.
 		if other.State == proto.ClaimStateReleased {
 			own.State = proto.ClaimStateReleased
 		}
--- a/state/clock.go
+++ b/state/clock.go
@@ -8,25 +8,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// minDrift is by how much the time of day must have moved against the steady clock before the clock looks whether the VM
-// was suspended. The look is a call to the kernel, which each reading of the clock is spared; a suspension that is shorter
-// leaves leases and windows off by less than this.
+// minDrift is how far the wall clock must have moved against the monotonic clock before the clock checks whether the VM
+// was suspended. The check is a system call, which this avoids on every other reading of the clock. A shorter
+// suspension makes leases and windows wrong by less than this.
 const minDrift = 10 * time.Millisecond
 
-// Clock is the clock of a daemon. Its time goes on while the VM is suspended, when the steady clock that Go measures times by stands
-// still, and no change of the time of day moves it. So leases, ages and windows, on which other daemons count, are as old as they are
-// for these.
+// Clock is the clock of a daemon. Its time continues while the VM is suspended, when the monotonic clock that Go uses
+// to measure durations stops, and it is unaffected by changes of the wall clock. So leases, ages and windows that other
+// daemons rely on are as old here as they are for those daemons.
 //
-// Its timers are of the steady clock; those whose time has come during a suspension fire once it is noticed, which is when the
-// time is next asked for.
+// Its timers run on the monotonic clock. Timers that came due during a suspension fire once the suspension is noticed,
+// which happens the next time the clock is read.
 type Clock struct {
 	clockwork.Clock
-	// uptime is the time since the start of the VM, suspensions included.
+	// uptime returns the time since the VM booted, including suspensions.
 	uptime func() (time.Duration, error)
-	// drift is how much the time of day has gained on the steady clock, from a moment on that stays the same.
+	// drift returns how far the wall clock has gained on the monotonic clock since a fixed moment.
 	drift func() time.Duration
 
-	// wallStart is the time of day at the clock's start, without a reading of the steady clock, and began that reading.
+	// wallStart is the wall clock time at the clock's start, without a monotonic reading, and monoStart is the monotonic
+	// reading.
 	wallStart, monoStart time.Time
 	uptimeAtStart        time.Duration
 	driftAtStart         time.Duration
@@ -37,10 +38,10 @@
 	timers    map[*clockTimer]bool
 }
 
-// ClockOption changes a Clock at construction.
+// ClockOption configures a Clock.
 type ClockOption func(*Clock)
 
-// WithSources has the clock measure by another steady clock, uptime and drift than those of the VM; tests use it.
+// WithSources replaces the VM's monotonic clock, uptime and drift; tests use it.
 func WithSources(monotonic clockwork.Clock, uptime func() (time.Duration, error), drift func() time.Duration) ClockOption {
 	return func(c *Clock) { c.Clock, c.uptime, c.drift = monotonic, uptime, drift }
 }
@@ -62,14 +63,14 @@
 	c.wallStart = c.monoStart.Round(0)
 	c.driftAtStart = c.drift()
 	c.lastDrift = c.driftAtStart
-	// Without an uptime the clock is the steady one.
+	// Without an uptime, the clock follows the monotonic clock.
 	if uptime, err := c.uptime(); err == nil {
 		c.uptimeAtStart = uptime
 	}
 	return c
 }
 
-// readUptime reads the time since the VM's start, suspensions included.
+// readUptime reads the time since the VM booted, including suspensions.
 func readUptime() (time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
@@ -78,7 +79,7 @@
 	return time.Duration(t.Nano()), nil
 }
 
-// Now returns the time, which goes on while the VM is suspended.
+// Now returns the time, which continues while the VM is suspended.
 func (c *Clock) Now() time.Time {
 	c.mu.Lock()
 	resumed := c.checkSuspension()
@@ -90,12 +91,13 @@
 	return now
 }
 
-// now is the time as far as suspensions are known; the lock is held.
+// now returns the time according to the suspensions known so far; c.mu must be held.
 func (c *Clock) now() time.Time {
 	return c.wallStart.Add(c.Clock.Now().Sub(c.monoStart) + c.suspended)
 }
 
-// checkSuspension finds out whether the VM was suspended since it last looked, and tells whether it was; the lock is held.
+// checkSuspension determines whether the VM was suspended since the last check, and reports whether it was; c.mu must
+// be held.
 func (c *Clock) checkSuspension() bool {
 	drift := c.drift()
 	if (drift - c.lastDrift).Abs() < minDrift {
@@ -106,7 +108,7 @@
 	if err != nil {
 		return false
 	}
-	// The steady clock is read last, so that a delay between the two readings does not count as a suspension.
+	// The monotonic clock is read last, so that a delay between the two readings does not count as a suspension.
 	suspended := uptime - c.uptimeAtStart - c.Clock.Now().Sub(c.monoStart)
 	if suspended-c.suspended < minDrift/2 {
 		return false
@@ -115,28 +117,28 @@
 	return true
 }
 
-// WallTime returns the time of day, by which others date what they send. It follows changes of that, and is no measure of how
-// much time has passed.
+// WallTime returns the wall clock time, by which others timestamp what they send. It follows changes of the wall clock
+// and does not measure how much time has passed.
 func (c *Clock) WallTime() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.wallStart.Add(c.Clock.Now().Sub(c.monoStart) + c.drift() - c.driftAtStart)
 }
 
-// Suspended returns for how long the VM was suspended since the clock's start, as far as that was noticed.
+// Suspended returns how long the VM was suspended since the clock's start, as far as that was noticed.
 func (c *Clock) Suspended() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.suspended
 }
 
-// Since returns the time that has passed since a moment.
+// Since returns the time elapsed since t.
 func (c *Clock) Since(t time.Time) time.Duration { return c.Now().Sub(t) }
 
-// Until returns the time that is left until a moment.
+// Until returns the time left until t.
 func (c *Clock) Until(t time.Time) time.Duration { return t.Sub(c.Now()) }
 
-// clockTimer is a timer that fires at a moment of the clock, whatever the VM does meanwhile.
+// clockTimer is a timer that fires at a time of the clock, even if the VM is suspended in between.
 type clockTimer struct {
 	clock *Clock
 	due   time.Time
@@ -146,12 +148,12 @@
 	inner   clockwork.Timer
 }
 
-// AfterFunc calls a function after a time, which may be in a goroutine that must not wait.
+// AfterFunc calls a function after a duration; the function may run in a goroutine that must not block.
 func (c *Clock) AfterFunc(d time.Duration, fn func()) clockwork.Timer {
 	return c.startTimer(d, &clockTimer{clock: c, fire: fn})
 }
 
-// NewTimer returns a timer that sends the time after a time.
+// NewTimer returns a timer that sends the time on its channel after a duration.
 func (c *Clock) NewTimer(d time.Duration) clockwork.Timer {
 	t := &clockTimer{clock: c, channel: make(chan time.Time, 1)}
 	t.fire = func() {
@@ -163,10 +165,10 @@
 	return c.startTimer(d, t)
 }
 
-// After returns a channel that gets the time after a time.
+// After returns a channel that receives the time after a duration.
 func (c *Clock) After(d time.Duration) <-chan time.Time { return c.NewTimer(d).Chan() }
 
-// Sleep waits for a time.
+// Sleep blocks for a duration.
 func (c *Clock) Sleep(d time.Duration) { <-c.After(d) }
 
 func (c *Clock) startTimer(d time.Duration, t *clockTimer) clockwork.Timer {
@@ -178,7 +180,7 @@
 	return t
 }
 
-// expire fires the timer if it is due; it may have been stopped, or set to a later moment, just now.
+// expire fires the timer if it is due; it may just have been stopped or reset.
 func (t *clockTimer) expire() {
 	c := t.clock
 	c.mu.Lock()
@@ -197,7 +199,7 @@
 	}
 }
 
-// fireDue fires the timers whose time came while the VM was suspended.
+// fireDue fires the timers that came due while the VM was suspended.
 func (c *Clock) fireDue() {
 	c.mu.Lock()
 	now := c.now()
@@ -207,10 +209,10 @@
 	c.mu.Unlock()
 }
 
-// Chan returns the channel of a timer that has one.
+// Chan returns the timer's channel, or nil for a timer that calls a function.
 func (t *clockTimer) Chan() <-chan time.Time { return t.channel }
 
-// Stop keeps the timer from firing, and tells whether it did.
+// Stop prevents the timer from firing and reports whether it was still pending.
 func (t *clockTimer) Stop() bool {
 	t.clock.mu.Lock()
 	defer t.clock.mu.Unlock()
@@ -220,7 +222,7 @@
 	return pending
 }
 
-// Reset has the timer fire after another time, and tells whether it was still to fire.
+// Reset restarts the timer with a new duration and reports whether it was still pending.
 func (t *clockTimer) Reset(d time.Duration) bool {
 	t.clock.mu.Lock()
 	defer t.clock.mu.Unlock()
--- a/state/clock_test.go
+++ b/state/clock_test.go
@@ -10,7 +10,7 @@
 
 var clockStart = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// fakeVM is a VM that can be suspended and have its time of day changed.
+// fakeVM is a VM that can be suspended and whose wall clock can be changed.
 type fakeVM struct {
 	monotonic  *clockwork.FakeClock
 	suspended  atomic.Int64
@@ -68,7 +68,7 @@
 	}
 }
 
-// TestWallTimeFollowsWallClock sets the time of day and suspends the VM.
+// TestWallTimeFollowsWallClock changes the wall clock and suspends the VM.
 func TestWallTimeFollowsWallClock(t *testing.T) {
 	vm, clock := newFakeVM()
 	vm.monotonic.Advance(time.Second)
@@ -132,7 +132,7 @@
 	}
 }
 
-// TestRealClock only looks whether its sources work here.
+// TestRealClock only checks that the clock's sources work on this system.
 func TestRealClock(t *testing.T) {
 	clock := NewClock()
 	if clock.uptimeAtStart == 0 {
--- a/state/decay.go
+++ b/state/decay.go
@@ -11,7 +11,7 @@
 	lastAdded time.Time
 }
 
-// Add decays the sum to the given instant and adds an amount.
+// Add decays the sum to the given time and adds an amount.
 func (d *DecayingSum) Add(now time.Time, halfLife time.Duration, amount float64) {
 	d.value = d.Value(now, halfLife) + amount
 	if now.After(d.lastAdded) {
@@ -19,12 +19,12 @@
 	}
 }
 
-// DecayFactor returns what is left of 1 after a time.
+// DecayFactor returns the fraction that is left after the given age.
 func DecayFactor(age, halfLife time.Duration) float64 {
 	return math.Exp2(-float64(max(0, age)) / float64(halfLife))
 }
 
-// Value returns the sum as of the given instant; an instant before the last addition counts as that one.
+// Value returns the sum at the given time; a time before the last addition counts as the time of that addition.
 func (d *DecayingSum) Value(now time.Time, halfLife time.Duration) float64 {
 	if d.value == 0 || !now.After(d.lastAdded) {
 		return d.value
@@ -41,7 +41,7 @@
 
 const meanWindow = 32
 
-// Add takes in one sample; the first samples count in equal parts.
+// Add adds a sample; the first meanWindow samples have equal weight.
 func (m *Mean) Add(sample float64) {
 	m.count++
 	weight := 1 / float64(min(m.count, meanWindow))
@@ -52,7 +52,7 @@
 	}
 }
 
-// Count returns the number of samples taken in.
+// Count returns the number of samples.
 func (m *Mean) Count() int { return m.count }
 
 // Mean returns the weighted mean.
@@ -61,7 +61,7 @@
 // Deviation returns the weighted mean absolute deviation.
 func (m *Mean) Deviation() float64 { return m.deviation }
 
-// Bucket is a token bucket that is filled by events instead of by time.
+// Bucket is a token bucket that is refilled by events instead of by time.
 type Bucket struct {
 	tokens   float64
 	capacity float64
@@ -70,7 +70,7 @@
 // NewBucket returns a full bucket of the given capacity.
 func NewBucket(capacity float64) Bucket { return Bucket{tokens: capacity, capacity: capacity} }
 
-// Deposit adds a part of a token.
+// Deposit adds a fraction of a token.
 func (b *Bucket) Deposit(fraction float64) { b.tokens = min(b.capacity, b.tokens+fraction) }
 
 // Take removes one token if there is one.
--- a/state/doc.go
+++ b/state/doc.go
@@ -1,2 +1,3 @@
-// Package state holds sharded containers, decaying sums, heaps and the ledger of idempotency keys; each shard has a lock of its own.
+// Package state holds in-memory data structures: sharded maps with a lock per shard, decaying sums, heaps, the records
+// of claimed idempotency keys, and a clock that includes suspensions of the VM.
 package state
--- a/state/heap.go
+++ b/state/heap.go
@@ -21,7 +21,7 @@
 	return h.items[0], true
 }
 
-// Each runs a function on every item, in no order.
+// Each calls a function for every item, in no particular order.
 func (h *Heap[T]) Each(fn func(T)) {
 	for _, item := range h.items {
 		fn(item)
@@ -57,8 +57,8 @@
 	return top, true
 }
 
-// Find returns the index of the first of the leading items that a function picks, or -1. The leading items are
-// near the least ones, but not in order.
+// Find returns the index of the first of the leading items that pick selects, or -1. The leading items are close to the
+// least ones but not sorted.
 func (h *Heap[T]) Find(limit int, pick func(T) bool) int {
 	for i, item := range h.items[:min(limit, len(h.items))] {
 		if pick(item) {
@@ -89,7 +89,7 @@
 	}
 }
 
-// RemoveIf removes the items that a function picks and returns how many those were.
+// RemoveIf removes the items for which drop returns true and returns their number.
 func (h *Heap[T]) RemoveIf(drop func(T) bool) int {
 	kept := h.items[:0]
 	for _, item := range h.items {
--- a/state/sharded.go
+++ b/state/sharded.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// ShardCount is the number of shards of a Sharded map; a power of two.
+// ShardCount is the number of shards of a ShardedMap; it must be a power of two.
 const ShardCount = 32
 
 type shard[K comparable, V any] struct {
@@ -10,13 +10,13 @@
 	items map[K]V
 }
 
-// ShardedMap is a map in shards, each under its own lock.
+// ShardedMap is a map split into shards that each have their own lock.
 type ShardedMap[K comparable, V any] struct {
 	hash   func(K) uint64
 	shards [ShardCount]shard[K, V]
 }
 
-// NewShardedMap returns an empty map that places keys by the given hash.
+// NewShardedMap returns an empty map that assigns keys to shards by the given hash.
 func NewShardedMap[K comparable, V any](hash func(K) uint64) *ShardedMap[K, V] {
 	s := &ShardedMap[K, V]{hash: hash}
 	for i := range s.shards {
@@ -25,7 +25,7 @@
 	return s
 }
 
-// With runs a function on the key's shard under its lock.
+// With calls a function with the key's shard while holding its lock.
 func (s *ShardedMap[K, V]) With(key K, fn func(items map[K]V)) {
 	sh := &s.shards[s.hash(key)%ShardCount]
 	sh.mu.Lock()
@@ -59,7 +59,7 @@
 	return n
 }
 
-// EachShard runs a function on every shard in turn, each under its lock.
+// EachShard calls a function with every shard in turn, each under its lock.
 func (s *ShardedMap[K, V]) EachShard(fn func(items map[K]V)) {
 	for i := range s.shards {
 		sh := &s.shards[i]
