--- a/core/backlog.go
+++ b/core/backlog.go
@@ -98,18 +98,18 @@
 }
 
 // fillFraction returns the fraction of the remaining time that requests of the given work may fill.
-func (b *backlog) fillFraction(work, relative float64) float64 {
-	relative = min(maxRelativeUse, max(minRelativeUse, relative))
-	return min(maxFill, meanFill*b.meanWork/(work*relative))
+func (b *backlog) fillFraction(work, relativeUse float64) float64 {
+	relativeUse = min(maxRelativeUse, max(minRelativeUse, relativeUse))
+	return min(maxFill, meanFill*b.meanWork/(work*relativeUse))
 }
 
 // admits reports whether all committed work and one more request can start in time.
-func (b *backlog) admits(now, latest time.Time, slots, work, relative float64) bool {
+func (b *backlog) admits(now, latest time.Time, slots, work, relativeUse float64) bool {
 	if work <= 0 || b.meanWork <= 0 || b.share <= 0 {
 		return true
 	}
 	b.advance(now)
-	rate := slots * b.share * b.fillFraction(work, relative)
+	rate := slots * b.share * b.fillFraction(work, relativeUse)
 	sum := work + runningRemainder*b.running
 	ownBucket := b.index(bucketOf(latest))
 	// Idle slots accept a request regardless of the estimate.
--- a/core/bench_test.go
+++ b/core/bench_test.go
@@ -11,8 +11,8 @@
 	"emberlead/proto"
 )
 
-// benchPool returns an engine pool whose targets have reported loads, and a ticket for it.
-func benchPool(b *testing.B, targets int) (*pool, *Ticket) {
+// newBenchPool returns an engine pool whose targets have reported loads, and a ticket for it.
+func newBenchPool(b *testing.B, targets int) (*pool, *Ticket) {
 	b.Helper()
 	tuning := DefaultTuning()
 	random := rand.New(rand.NewPCG(1, 1))
@@ -35,7 +35,7 @@
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{8, 35, 128, 600} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
-			p, ticket := benchPool(b, n)
+			p, ticket := newBenchPool(b, n)
 			now := time.Unix(1_700_000_001, 0)
 			b.ReportAllocs()
 			for b.Loop() {
@@ -109,7 +109,7 @@
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
 			for b.Loop() {
 				b.ReportMetric(heapOf(func() any {
-					p, _ := benchPool(b, n)
+					p, _ := newBenchPool(b, n)
 					return p
 				}), "heapBytes")
 			}
--- a/core/engine_test.go
+++ b/core/engine_test.go
@@ -68,101 +68,101 @@
 }
 
 func newSimulation(seed uint64) *simulation {
-	h := &simulation{engine: New(WithSeed(seed), WithZone("r/0")), random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1_700_000_000, 0), observed: map[proto.RequestID]*observed{}}
-	h.engine.Configure(proto.EmptySnapshot().WithFile(1, testFile(3)), h.now, 0)
-	return h
+	sim := &simulation{engine: New(WithSeed(seed), WithZone("r/0")), random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1_700_000_000, 0), observed: map[proto.RequestID]*observed{}}
+	sim.engine.Configure(proto.EmptySnapshot().WithFile(1, testFile(3)), sim.now, 0)
+	return sim
 }
 
-func (h *simulation) fail(format string, args ...any) {
-	h.failures = append(h.failures, fmt.Sprintf(format, args...))
+func (sim *simulation) fail(format string, args ...any) {
+	sim.failures = append(sim.failures, fmt.Sprintf(format, args...))
 }
 
-func (h *simulation) arrive() {
-	service := []string{"plain", "stream", "once"}[h.random.IntN(3)]
-	id := NewRequestID(h.now, h.random)
-	stream := h.random.IntN(2) == 0
+func (sim *simulation) arrive() {
+	service := []string{"plain", "stream", "once"}[sim.random.IntN(3)]
+	id := NewRequestID(sim.now, sim.random)
+	stream := sim.random.IntN(2) == 0
 	deadline := 2 * time.Second
 	if service == "once" {
 		deadline = time.Second
 	}
-	h.observed[id] = &observed{service: service, stream: stream, once: service == "once", deadline: h.now.Add(deadline), starts: map[int]int{}}
-	a := Arrival{ID: id, Workspace: []string{"a", "b"}[h.random.IntN(2)], Service: service, Repeatable: true, Stream: stream, Prefix: "p"}
-	if h.random.IntN(2) == 0 {
+	sim.observed[id] = &observed{service: service, stream: stream, once: service == "once", deadline: sim.now.Add(deadline), starts: map[int]int{}}
+	a := Arrival{ID: id, Workspace: []string{"a", "b"}[sim.random.IntN(2)], Service: service, Repeatable: true, Stream: stream, Prefix: "p"}
+	if sim.random.IntN(2) == 0 {
 		a.Key = id
 	}
-	h.handle(a)
+	sim.handle(a)
 }
 
-func (h *simulation) schedule(fn func()) { h.pending = append(h.pending, fn) }
+func (sim *simulation) schedule(fn func()) { sim.pending = append(sim.pending, fn) }
 
-func (h *simulation) handle(ev Event) {
-	for _, action := range h.engine.Handle(h.now, ev) {
+func (sim *simulation) handle(ev Event) {
+	for _, action := range sim.engine.Handle(sim.now, ev) {
 		switch a := action.(type) {
 		case Start:
-			h.started(a)
+			sim.started(a)
 		case Claim:
-			verdict := ClaimGranted
-			if h.random.IntN(5) == 0 {
-				verdict = []ClaimResult{ClaimTaken, ClaimNoQuorum, ClaimTooOld, ClaimMismatch}[h.random.IntN(4)]
+			result := ClaimGranted
+			if sim.random.IntN(5) == 0 {
+				result = []ClaimResult{ClaimTaken, ClaimNoQuorum, ClaimTooOld, ClaimMismatch}[sim.random.IntN(4)]
 			}
-			h.schedule(func() { h.handle(ClaimAnswered{Request: a.Request, Result: verdict}) })
+			sim.schedule(func() { sim.handle(ClaimAnswered{Request: a.Request, Result: result}) })
 		case Chunk:
-			h.chunk(a)
+			sim.chunk(a)
 		case Finish:
-			h.finished(a)
+			sim.finished(a)
 		}
 	}
 }
 
-func (h *simulation) output(a *Start) []byte {
+func (sim *simulation) output(a *Start) []byte {
 	return fmt.Appendf(nil, `"%s of %s"`, a.Stage.Name, a.ID.Request)
 }
 
-func (h *simulation) started(a Start) {
-	s := h.observed[a.ID.Request]
+func (sim *simulation) started(a Start) {
+	s := sim.observed[a.ID.Request]
 	s.starts[a.ID.Stage]++
 	if s.once && a.Stage.Name == "two" && s.starts[a.ID.Stage] > 1 {
-		h.fail("a stage that may run only once may have started %d times", s.starts[a.ID.Stage])
+		sim.fail("a stage that may run only once may have started %d times", s.starts[a.ID.Stage])
 	}
 	if s.finished > 0 {
-		h.fail("an attempt started after the end")
+		sim.fail("an attempt started after the end")
 	}
-	switch h.random.IntN(10) {
+	switch sim.random.IntN(10) {
 	case 0:
-		h.schedule(func() {
+		sim.schedule(func() {
 			s.starts[a.ID.Stage]--
-			h.handle(AttemptEnded{Attempt: a.ID, Status: StatusNotStarted})
+			sim.handle(AttemptEnded{Attempt: a.ID, Status: StatusNotStarted})
 		})
 	case 1:
-		h.schedule(func() { h.handle(AttemptEnded{Attempt: a.ID, Status: StatusUnknown}) })
+		sim.schedule(func() { sim.handle(AttemptEnded{Attempt: a.ID, Status: StatusUnknown}) })
 	case 2:
-		h.schedule(func() { h.handle(AttemptEnded{Attempt: a.ID, Status: StatusFailed, Busy: time.Millisecond}) })
+		sim.schedule(func() { sim.handle(AttemptEnded{Attempt: a.ID, Status: StatusFailed, Busy: time.Millisecond}) })
 	case 3: // never answers
 	default:
-		h.answer(a)
+		sim.answer(a)
 	}
 }
 
 // answer sends a complete answer, sometimes twice, with chunks that may be duplicated, missing or late.
-func (h *simulation) answer(a Start) {
+func (sim *simulation) answer(a Start) {
 	if a.Stream {
 		for from := a.Offset; from < testTokens; from += 4 {
 			chunk := AttemptChunk{Attempt: a.ID, Offset: from, Text: text(a.ID.Request, from, from+4), Tokens: 4}
-			if h.random.IntN(15) > 0 {
-				h.schedule(func() { h.handle(chunk) })
+			if sim.random.IntN(15) > 0 {
+				sim.schedule(func() { sim.handle(chunk) })
 			}
-			if h.random.IntN(15) == 0 {
-				h.schedule(func() { h.handle(chunk) })
+			if sim.random.IntN(15) == 0 {
+				sim.schedule(func() { sim.handle(chunk) })
 			}
 		}
 	}
-	ended := AttemptEnded{Attempt: a.ID, Status: StatusDone, Output: h.output(&a), Busy: time.Millisecond}
+	ended := AttemptEnded{Attempt: a.ID, Status: StatusDone, Output: sim.output(&a), Busy: time.Millisecond}
 	if a.Stream {
 		ended.Tokens = testTokens
 	}
-	h.schedule(func() { h.handle(ended) })
-	if h.random.IntN(10) == 0 {
-		h.schedule(func() { h.handle(ended) })
+	sim.schedule(func() { sim.handle(ended) })
+	if sim.random.IntN(10) == 0 {
+		sim.schedule(func() { sim.handle(ended) })
 	}
 }
 
@@ -178,22 +178,22 @@
 	return encodeText(all)
 }
 
-func (h *simulation) chunk(c Chunk) {
-	s := h.observed[c.Request]
+func (sim *simulation) chunk(c Chunk) {
+	s := sim.observed[c.Request]
 	if c.Offset != s.chunks || c.Text != text(c.Request, c.Offset, c.Offset+c.Tokens) || s.finished > 0 {
-		h.fail("chunk at %d after %d of %q", c.Offset, s.chunks, c.Text)
+		sim.fail("chunk at %d after %d of %q", c.Offset, s.chunks, c.Text)
 	}
 	s.chunks += c.Tokens
 }
 
-func (h *simulation) finished(f Finish) {
-	s := h.observed[f.Request]
+func (sim *simulation) finished(f Finish) {
+	s := sim.observed[f.Request]
 	s.finished++
 	if s.finished > 1 {
-		h.fail("a request ended twice")
+		sim.fail("a request ended twice")
 	}
-	if h.now.After(s.deadline.Add(50 * time.Millisecond)) {
-		h.fail("a request ended %s after its deadline", h.now.Sub(s.deadline))
+	if sim.now.After(s.deadline.Add(50 * time.Millisecond)) {
+		sim.fail("a request ended %s after its deadline", sim.now.Sub(s.deadline))
 	}
 	if f.Failure == nil {
 		want := fmt.Appendf(nil, `"two of %s"`, f.Request)
@@ -201,7 +201,7 @@
 			want = wholeText(f.Request)
 		}
 		if !bytes.Equal(f.Output, want) {
-			h.fail("output %s, want %s", f.Output, want)
+			sim.fail("output %s, want %s", f.Output, want)
 		}
 		return
 	}
@@ -210,59 +210,59 @@
 		possible += n
 	}
 	if f.Failure.Outcome == proto.OutcomeNotRun && possible > 0 {
-		h.fail("refused as not run, but %d attempts may have started", possible)
+		sim.fail("refused as not run, but %d attempts may have started", possible)
 	}
 	if status := f.Failure.Status(); (status == 429 || status == 503) && f.Failure.Outcome != proto.OutcomeNotRun {
-		h.fail("status %d with outcome %s", status, f.Failure.Outcome)
+		sim.fail("status %d with outcome %s", status, f.Failure.Outcome)
 	}
 }
 
 // step delivers one pending answer, mostly in order, sometimes a random one, or generates a new event.
-func (h *simulation) step() {
-	switch n := h.random.IntN(10); {
+func (sim *simulation) step() {
+	switch n := sim.random.IntN(10); {
 	case n < 2:
-		h.arrive()
+		sim.arrive()
 	case n < 4:
-		h.now = h.now.Add(time.Duration(h.random.IntN(40)) * time.Millisecond)
-		h.handle(Tick{})
-	case n == 4 && len(h.observed) > 0 && h.random.IntN(20) == 0:
-		for id := range h.observed {
-			h.handle(CallerLeft{Request: id})
+		sim.now = sim.now.Add(time.Duration(sim.random.IntN(40)) * time.Millisecond)
+		sim.handle(Tick{})
+	case n == 4 && len(sim.observed) > 0 && sim.random.IntN(20) == 0:
+		for id := range sim.observed {
+			sim.handle(CallerLeft{Request: id})
 			break
 		}
-	case len(h.pending) > 0:
+	case len(sim.pending) > 0:
 		i := 0
-		if h.random.IntN(5) == 0 {
-			i = h.random.IntN(len(h.pending))
+		if sim.random.IntN(5) == 0 {
+			i = sim.random.IntN(len(sim.pending))
 		}
-		next := h.pending[i]
-		h.pending = append(h.pending[:i], h.pending[i+1:]...)
+		next := sim.pending[i]
+		sim.pending = append(sim.pending[:i], sim.pending[i+1:]...)
 		next()
 	}
 }
 
-func (h *simulation) end() {
+func (sim *simulation) end() {
 	for range 400 {
-		h.now = h.now.Add(20 * time.Millisecond)
-		h.handle(Tick{})
+		sim.now = sim.now.Add(20 * time.Millisecond)
+		sim.handle(Tick{})
 	}
-	for len(h.pending) > 0 {
-		next := h.pending[0]
-		h.pending = h.pending[1:]
+	for len(sim.pending) > 0 {
+		next := sim.pending[0]
+		sim.pending = sim.pending[1:]
 		next()
 	}
-	for id, s := range h.observed {
+	for id, s := range sim.observed {
 		if s.finished != 1 {
-			h.fail("request %s ended %d times", id, s.finished)
+			sim.fail("request %s ended %d times", id, s.finished)
 		}
 	}
-	if n := h.engine.OpenRequests(); n != 0 {
-		h.fail("%d requests are still open", n)
+	if n := sim.engine.OpenRequests(); n != 0 {
+		sim.fail("%d requests are still open", n)
 	}
-	for _, p := range h.engine.Pools(h.now) {
+	for _, p := range sim.engine.Pools(sim.now) {
 		for _, t := range p.Targets {
 			if t.Inflight != 0 {
-				h.fail("target %s still counts %d attempts", t.Target, t.Inflight)
+				sim.fail("target %s still counts %d attempts", t.Target, t.Inflight)
 			}
 		}
 	}
@@ -274,16 +274,16 @@
 	properties := gopter.NewProperties(parameters)
 	delivered := int64(0)
 	properties.Property("own result only, once, in time, and not run means not run", prop.ForAll(func(seed uint64) string {
-		h := newSimulation(seed)
+		sim := newSimulation(seed)
 		for range 600 {
-			h.step()
+			sim.step()
 		}
-		h.end()
-		for _, w := range h.engine.Stats().Report().Workspaces {
+		sim.end()
+		for _, w := range sim.engine.Stats().Report().Workspaces {
 			delivered += w.Delivered
 		}
-		if len(h.failures) > 0 {
-			return h.failures[0]
+		if len(sim.failures) > 0 {
+			return sim.failures[0]
 		}
 		return ""
 	}, gen.UInt64()))
--- a/core/placement_test.go
+++ b/core/placement_test.go
@@ -8,21 +8,21 @@
 	"emberlead/proto"
 )
 
-// place runs rounds of placement with targets that obey at once. It updates have and returns the number of changes.
-func place(p *Placement, pool *proto.Pool, have map[string][]string, from time.Time, rounds int, demand func(round int) map[string]time.Duration) int {
+// place runs rounds of placement with targets that obey at once. It updates assigned and returns the number of changes.
+func place(p *Placement, pool *proto.Pool, assigned map[string][]string, from time.Time, rounds int, demand func(round int) map[string]time.Duration) int {
 	moved := 0
 	for round := range rounds {
-		for target, models := range p.Place(from.Add(time.Duration(round)*2*time.Second), pool, demand(round), have) {
-			have[target] = models
+		for target, models := range p.Place(from.Add(time.Duration(round)*2*time.Second), pool, demand(round), assigned) {
+			assigned[target] = models
 			moved++
 		}
 	}
 	return moved
 }
 
-func count(have map[string][]string, model string) int {
+func countModel(assigned map[string][]string, model string) int {
 	n := 0
-	for _, models := range have {
+	for _, models := range assigned {
 		if len(models) == 1 && models[0] == model {
 			n++
 		}
@@ -45,11 +45,11 @@
 		return map[string]time.Duration{"large": 2 * time.Second}
 	}
 	scenarios := []struct {
-		name              string
-		demand            func(int) map[string]time.Duration
-		rounds            int
-		leastLarge        int
-		mostLarge, mostMv int
+		name               string
+		demand             func(int) map[string]time.Duration
+		rounds             int
+		minLarge           int
+		maxLarge, maxMoves int
 	}{
 		{"even demand moves nothing", even, 60, 4, 4, 0},
 		{"a shift is followed, and one target stays", shifted, 60, 7, 7, 3},
@@ -61,13 +61,13 @@
 	for _, scenario := range scenarios {
 		t.Run(scenario.name, func(t *testing.T) {
 			p := NewPlacement(DefaultPlacementTuning())
-			have := map[string][]string{}
+			assigned := map[string][]string{}
 			for i := range 8 {
-				have[fmt.Sprintf("t-%d", i)] = []string{pool.Models[i%2]}
+				assigned[fmt.Sprintf("t-%d", i)] = []string{pool.Models[i%2]}
 			}
 			now := time.Unix(1_700_000_000, 0)
-			moved := place(p, pool, have, now, scenario.rounds, scenario.demand)
-			if n := count(have, "large"); n < scenario.leastLarge || n > scenario.mostLarge || moved > scenario.mostMv {
+			moved := place(p, pool, assigned, now, scenario.rounds, scenario.demand)
+			if n := countModel(assigned, "large"); n < scenario.minLarge || n > scenario.maxLarge || moved > scenario.maxMoves {
 				t.Fatalf("%d have the large model after %d moves", n, moved)
 			}
 		})
@@ -77,9 +77,9 @@
 // Targets that hold several models or none are assigned one model each, evenly.
 func TestPlacementAssignsUnassignedTargets(t *testing.T) {
 	pool := &proto.Pool{Name: "generate", Models: []string{"a", "b"}}
-	have := map[string][]string{"t-1": {"a", "b"}, "t-2": {"a", "b"}, "t-3": nil, "t-4": {"other"}}
-	place(NewPlacement(DefaultPlacementTuning()), pool, have, time.Unix(1_700_000_000, 0), 1, func(int) map[string]time.Duration { return nil })
-	if count(have, "a") != 2 || count(have, "b") != 2 {
-		t.Fatalf("%v", have)
+	assigned := map[string][]string{"t-1": {"a", "b"}, "t-2": {"a", "b"}, "t-3": nil, "t-4": {"other"}}
+	place(NewPlacement(DefaultPlacementTuning()), pool, assigned, time.Unix(1_700_000_000, 0), 1, func(int) map[string]time.Duration { return nil })
+	if countModel(assigned, "a") != 2 || countModel(assigned, "b") != 2 {
+		t.Fatalf("%v", assigned)
 	}
 }
--- a/core/pool.go
+++ b/core/pool.go
@@ -204,11 +204,11 @@
 func (p *pool) admits(now, latest time.Time, workspace string, work float64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	relative := 1.0
+	relativeUse := 1.0
 	if p.tuning.FairQueueing {
-		relative = p.usage.relative(workspace, now)
+		relativeUse = p.usage.relativeUse(workspace, now)
 	}
-	return p.backlog.admits(now, latest, p.slots(now), work, relative)
+	return p.backlog.admits(now, latest, p.slots(now), work, relativeUse)
 }
 
 func (p *pool) commit(now, latest time.Time, work float64) commitment {
@@ -302,7 +302,7 @@
 		return nil, nil
 	}
 	expired = p.queue.Expire(func(t *Ticket) bool {
-		return t.withdrawn || p.tuning.Admission && t.hopeless(now)
+		return t.withdrawn || p.tuning.Admission && t.missesDeadline(now)
 	})
 	return expired, p.dispatch(now)
 }
--- a/core/queue.go
+++ b/core/queue.go
@@ -30,7 +30,7 @@
 const minWorkFraction = 0.6
 
 // missesDeadline reports whether the ticket can no longer finish in time.
-func (t *Ticket) hopeless(now time.Time) bool {
+func (t *Ticket) missesDeadline(now time.Time) bool {
 	return t.Deadline.Sub(now) < time.Duration(minWorkFraction*float64(t.Remaining))
 }
 
@@ -41,7 +41,7 @@
 	Next(now time.Time) *Ticket
 	// Alternative returns another ticket that may be served before the given one and for which match returns true, or
 	// nil.
-	Alternative(ticket *Ticket, pick func(*Ticket) bool) *Ticket
+	Alternative(ticket *Ticket, match func(*Ticket) bool) *Ticket
 	// Remove removes a ticket that Next or Alternative returned.
 	Remove(ticket *Ticket)
 	Len() int
@@ -186,11 +186,11 @@
 		return other
 	}
 	now := t.Need.Now
-	own := q.usage.recent(t.Workspace, now) / t.Weight
+	ownUse := q.usage.recent(t.Workspace, now) / t.Weight
 	for _, workspace := range q.order {
 		lane := q.lanes[workspace]
 		first, _ := lane.Peek()
-		if workspace == t.Workspace || q.usage.recent(workspace, now)/first.Weight > max(own, q.meanUse(now))*q.slack {
+		if workspace == t.Workspace || q.usage.recent(workspace, now)/first.Weight > max(ownUse, q.meanUse(now))*q.slack {
 			continue
 		}
 		if other := alternative(lane, match); other != nil {
--- a/core/scenario_test.go
+++ b/core/scenario_test.go
@@ -29,7 +29,7 @@
 	})
 }
 
-func arg(t *testing.T, d *datadriven.TestData, name, fallback string) string {
+func stringArg(t *testing.T, d *datadriven.TestData, name, fallback string) string {
 	t.Helper()
 	value := fallback
 	if d.HasArg(name) {
@@ -38,7 +38,7 @@
 	return value
 }
 
-func number(t *testing.T, d *datadriven.TestData, name string) int {
+func intArg(t *testing.T, d *datadriven.TestData, name string) int {
 	t.Helper()
 	n := 0
 	if d.HasArg(name) {
@@ -51,45 +51,45 @@
 	s.out.Reset()
 	switch d.Cmd {
 	case "config":
-		s.engine.Configure(proto.EmptySnapshot().WithFile(1, testFile(number(t, d, "targets"))), s.now, 0)
+		s.engine.Configure(proto.EmptySnapshot().WithFile(1, testFile(intArg(t, d, "targets"))), s.now, 0)
 	case "stop":
-		in, err := time.ParseDuration(arg(t, d, "in", "0s"))
+		untilStop, err := time.ParseDuration(stringArg(t, d, "in", "0s"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		snapshot := s.engine.Snapshot()
-		plan := proto.StopPlan{VM: proto.VM(arg(t, d, "vm", "")), At: s.now.Add(in)}
+		plan := proto.StopPlan{VM: proto.VM(stringArg(t, d, "vm", "")), At: s.now.Add(untilStop)}
 		s.engine.Configure(snapshot.WithStop(snapshot.Generation+1, plan), s.now, 0)
 		s.handle(StopCheck{Lead: time.Second})
 	case "listed":
 		leaving := map[proto.VM]bool{}
 		if d.HasArg("vm") {
-			leaving[proto.VM(arg(t, d, "vm", ""))] = true
+			leaving[proto.VM(stringArg(t, d, "vm", ""))] = true
 		}
 		s.engine.SetLeavingVMs(leaving)
 		s.handle(StopCheck{Lead: time.Second})
 	case "arrive":
 		s.arrive(t, d)
 	case "claim":
-		verdicts := map[string]ClaimResult{"granted": ClaimGranted, "taken": ClaimTaken, "tooOld": ClaimTooOld, "unreachable": ClaimNoQuorum}
-		s.handle(ClaimAnswered{Request: s.ids[arg(t, d, "of", "")], Result: verdicts[arg(t, d, "verdict", "granted")]})
+		results := map[string]ClaimResult{"granted": ClaimGranted, "taken": ClaimTaken, "tooOld": ClaimTooOld, "unreachable": ClaimNoQuorum}
+		s.handle(ClaimAnswered{Request: s.ids[stringArg(t, d, "of", "")], Result: results[stringArg(t, d, "verdict", "granted")]})
 	case "chunk":
-		s.handle(AttemptChunk{Attempt: s.starts[arg(t, d, "of", "")], Offset: number(t, d, "offset"), Text: arg(t, d, "text", ""), Tokens: number(t, d, "tokens")})
+		s.handle(AttemptChunk{Attempt: s.starts[stringArg(t, d, "of", "")], Offset: intArg(t, d, "offset"), Text: stringArg(t, d, "text", ""), Tokens: intArg(t, d, "tokens")})
 	case "end":
-		fates := map[string]AttemptStatus{"done": StatusDone, "notStarted": StatusNotStarted, "failed": StatusFailed, "unknown": StatusUnknown}
-		s.handle(AttemptEnded{Attempt: s.starts[arg(t, d, "of", "")], Status: fates[arg(t, d, "fate", "done")], Output: []byte(arg(t, d, "output", "{}")), Tokens: number(t, d, "tokens"), Busy: time.Millisecond})
+		statuses := map[string]AttemptStatus{"done": StatusDone, "notStarted": StatusNotStarted, "failed": StatusFailed, "unknown": StatusUnknown}
+		s.handle(AttemptEnded{Attempt: s.starts[stringArg(t, d, "of", "")], Status: statuses[stringArg(t, d, "fate", "done")], Output: []byte(stringArg(t, d, "output", "{}")), Tokens: intArg(t, d, "tokens"), Busy: time.Millisecond})
 	case "exported":
-		s.handle(Exported{Attempt: s.starts[arg(t, d, "of", "")], Handle: arg(t, d, "handle", "")})
+		s.handle(Exported{Attempt: s.starts[stringArg(t, d, "of", "")], Handle: stringArg(t, d, "handle", "")})
 	case "leave":
-		s.handle(CallerLeft{Request: s.ids[arg(t, d, "of", "")]})
+		s.handle(CallerLeft{Request: s.ids[stringArg(t, d, "of", "")]})
 	case "sleep":
-		length, err := time.ParseDuration(arg(t, d, "for", "0s"))
+		length, err := time.ParseDuration(stringArg(t, d, "for", "0s"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.now = s.now.Add(length)
 	case "wait":
-		length, err := time.ParseDuration(arg(t, d, "for", "0s"))
+		length, err := time.ParseDuration(stringArg(t, d, "for", "0s"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -106,12 +106,12 @@
 }
 
 func (s *scenarioRunner) arrive(t *testing.T, d *datadriven.TestData) {
-	name := arg(t, d, "name", "")
+	name := stringArg(t, d, "name", "")
 	var bits [10]byte
 	bits[9] = byte(len(s.ids) + 1)
 	id := proto.KeyAt(s.now, bits)
 	s.ids[name], s.names[id] = id, name
-	a := Arrival{ID: id, Workspace: "a", Service: arg(t, d, "service", "plain"), Repeatable: true, Stream: d.HasArg("stream")}
+	a := Arrival{ID: id, Workspace: "a", Service: stringArg(t, d, "service", "plain"), Repeatable: true, Stream: d.HasArg("stream")}
 	if d.HasArg("key") {
 		a.Key = id
 	}
--- a/core/usage.go
+++ b/core/usage.go
@@ -68,7 +68,7 @@
 }
 
 // relativeUse returns a workspace's weighted usage divided by that of all active workspaces together; 1 is a fair share.
-func (u *usage) relative(workspace string, now time.Time) float64 {
+func (u *usage) relativeUse(workspace string, now time.Time) float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	weights := 0.0
