--- a/relay/accept.go
+++ b/relay/accept.go
@@ -68,7 +68,7 @@
 	control := http.NewResponseController(f.w)
 	// Connection deadlines use the system clock, which may differ from the daemon's own clock.
 	if err := control.SetReadDeadline(time.Now().Add(bodyReadTimeout)); err != nil {
-		f.server.log.Debug("no deadline can be set on a body", "request", f.req.ID, "error", err)
+		f.server.log.Debug("failed to set the read deadline for a request body", "request", f.req.ID, "error", err)
 	}
 	body := r.Body
 	if maxBytes > 0 {
@@ -83,7 +83,7 @@
 		return &failure{status: http.StatusRequestTimeout, reason: "the body did not arrive: " + err.Error()}
 	}
 	if err := control.SetReadDeadline(time.Time{}); err != nil {
-		f.server.log.Debug("a deadline cannot be removed", "request", f.req.ID, "error", err)
+		f.server.log.Debug("failed to clear the read deadline of a connection", "request", f.req.ID, "error", err)
 	}
 	f.req.Body = data
 	return nil
--- a/relay/admitask.go
+++ b/relay/admitask.go
@@ -71,7 +71,7 @@
 	m, err := p.peers.Call(ctx, owner, ask)
 	answer, ok := m.(proto.AdmitAnswer)
 	if err != nil || !ok {
-		p.log.Info("a request is begun without asking", "pool", ask.Pool, "owner", owner, "error", err)
+		p.log.Info("request admitted without a decision: the owner of the pool did not answer", "pool", ask.Pool, "owner", owner, "error", err)
 		return proto.AdmitAnswer{}, ""
 	}
 	p.recordBusy(ask.Pool, answer.AdmissionRequired)
--- a/relay/answer.go
+++ b/relay/answer.go
@@ -43,7 +43,7 @@
 	f.w.WriteHeader(response.status)
 	f.committed = true
 	if _, err := f.w.Write(response.body); err != nil {
-		f.logInfo("the answer could not be written to the caller", "error", err)
+		f.logInfo("failed to write the response to the caller", "error", err)
 	}
 }
 
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -121,7 +121,7 @@
 	if f.forwardFallback() {
 		return nil, false
 	}
-	s.log.Debug("no further attempt", "request", f.req.ID, "reason", last.reason)
+	s.log.Debug("no further attempt for the request", "request", f.req.ID, "reason", last.reason)
 	if f.timeLeft() < minAttemptTime {
 		return f.timeoutFailure(last.reason), false
 	}
--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -358,5 +358,5 @@
 	for _, k := range all[:len(all)/crashDropDivisor] {
 		c.removeEnd(k.request, k.run)
 	}
-	c.log.Warn("ends of targets are forgotten, since there are too many", "forgotten", len(all)/crashDropDivisor, "left", c.size)
+	c.log.Warn("crash tracker is full, dropped its oldest least suspected entries", "forgotten", len(all)/crashDropDivisor, "left", c.size)
 }
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -85,7 +85,7 @@
 	update := x.read(response)
 	// Closing the body first makes the connection available to other requests.
 	if err := response.Body.Close(); err != nil {
-		x.server.log.Debug("the body of an answer is not closed", "request", x.requestID, "error", err)
+		x.server.log.Debug("failed to close a response body", "request", x.requestID, "error", err)
 	}
 	x.send(update)
 }
