--- a/coord/alarms_test.go
+++ b/coord/alarms_test.go
@@ -56,16 +56,16 @@
 			s.run(4 * time.Second)
 			after := s.messageRate(5 * time.Second)
 			if wrong := s.falseDeaths(); wrong > 0 {
-				t.Errorf("%d times a live daemon is held dead", wrong)
+				t.Errorf("%d pairs of daemons where one wrongly considers the other dead", wrong)
 			}
 			for vm := range s.dead {
 				if dead, live := s.countDead(vm); dead < live {
-					t.Errorf("%s is dead, and %d of %d know", vm, dead, live)
+					t.Errorf("%s is dead, and %d of %d daemons know", vm, dead, live)
 				}
 			}
-			t.Logf("messages a second and daemon: %.0f before, %.0f after", calm, after)
+			t.Logf("messages per second and daemon: %.0f before, %.0f after", calm, after)
 			if after > 1.5*calm {
-				t.Errorf("%.0f messages a second and daemon four seconds after the deaths, %.0f before", after, calm)
+				t.Errorf("%.0f messages per second and daemon four seconds after the deaths, %.0f before", after, calm)
 			}
 		})
 	}
@@ -89,11 +89,11 @@
 		pairs += live
 	}
 	if wrong := s.falseDeaths(); wrong > 0 {
-		t.Errorf("%d times a live daemon is held dead", wrong)
+		t.Errorf("%d pairs of daemons where one wrongly considers the other dead", wrong)
 	}
-	t.Logf("%d of %d pairs do not know", unaware, pairs)
+	t.Logf("%d of %d pairs are unaware of the death", unaware, pairs)
 	if unaware*10 > pairs {
-		t.Errorf("%d of %d pairs of a live daemon and a dead one do not know of the death", unaware, pairs)
+		t.Errorf("in %d of %d pairs of a live and a dead daemon, the live one does not know of the death", unaware, pairs)
 	}
 }
 
@@ -145,12 +145,12 @@
 			s.isCut = func(a, b proto.VM) bool { return half[a] != half[b] }
 			s.run(6 * time.Second)
 			if s.falseDeaths() == 0 {
-				t.Fatal("the parts do not hold each other to be dead, so nothing is tested")
+				t.Fatal("the two sides do not consider each other dead, so nothing is tested")
 			}
 			s.isCut = func(proto.VM, proto.VM) bool { return false }
 			s.run(6 * time.Second)
 			if wrong := s.falseDeaths(); wrong > 0 {
-				t.Errorf("%d times a live daemon is held dead", wrong)
+				t.Errorf("%d pairs of daemons where one wrongly considers the other dead", wrong)
 			}
 		})
 	}
@@ -177,7 +177,7 @@
 	}
 	// Each daemon sends about 140 heartbeats, and the announcements of all others arrive over eight links.
 	if each := s.sent / daemons; each > 600 {
-		t.Errorf("%d messages a daemon in five seconds", each)
+		t.Errorf("%d messages per daemon in five seconds", each)
 	}
-	t.Logf("%d messages a daemon in five seconds", s.sent/daemons)
+	t.Logf("%d messages per daemon in five seconds", s.sent/daemons)
 }
--- a/coord/bench_test.go
+++ b/coord/bench_test.go
@@ -115,7 +115,7 @@
 				whole = append(whole, proto.Change{Generation: proto.Generation(i + 1), Kind: proto.ChangeFile, Name: name, Hash: HashOf(body), Body: body})
 			}
 			if !c.ApplyFull(proto.Generation(n), whole) {
-				b.Fatal("the files were refused")
+				b.Fatal("the files were rejected")
 			}
 			g := n
 			for b.Loop() {
--- a/coord/claim.go
+++ b/coord/claim.go
@@ -236,13 +236,13 @@
 		return
 	}
 	if c.dead(member.VM, member.Incarnation) {
-		replies <- groupReply{from: member.VM, err: newError("claim", proto.KindUnavailable, "%s looks dead", member.VM)}
+		replies <- groupReply{from: member.VM, err: newError("claim", proto.KindUnavailable, "%s is considered dead", member.VM)}
 		return
 	}
 	m, err := c.peers.Call(ctx, member.VM, ask)
 	answer, ok := m.(proto.ClaimAnswer)
 	if err == nil && !ok {
-		err = newError("claim", proto.KindInvalid, "%s answered with another message", member.VM)
+		err = newError("claim", proto.KindInvalid, "%s answered with an unexpected message type", member.VM)
 	}
 	replies <- groupReply{from: member.VM, answer: answer, err: err}
 }
--- a/coord/claims_test.go
+++ b/coord/claims_test.go
@@ -30,7 +30,7 @@
 
 const (
 	disableNothing  disabled = ""
-	disableRunEnded disabled = "certain end"
+	disableRunEnded disabled = "certain end of runs"
 	disableMajority disabled = "majority"
 	disableTransfer disabled = "transfer"
 	disableForget   disabled = "forget"
@@ -397,7 +397,7 @@
 	}, gen.UInt64()))
 	properties.TestingRun(t)
 	if granted < parameters.MinSuccessfulTests {
-		t.Fatalf("only %d claims were granted in %d histories, which proves little", granted, parameters.MinSuccessfulTests)
+		t.Fatalf("only %d claims were granted in %d histories, too few to test anything", granted, parameters.MinSuccessfulTests)
 	}
 }
 
@@ -421,7 +421,7 @@
 					return
 				}
 			}
-			t.Fatal("no history needed it")
+			t.Fatal("no history runs a key twice without it")
 		})
 	}
 }
@@ -438,14 +438,14 @@
 		return proto.ClaimAsk{Since: 1, Key: proto.KeyAt(now, [10]byte{n}), Claim: proto.ClaimID{Holder: "e", Attempt: int(n)}}
 	}
 	if got := a.Claim(now, ask(1)).Result; got != proto.ClaimGranted {
-		t.Fatalf("before: %d", got)
+		t.Fatalf("result before the transfer: %d, want granted", got)
 	}
 	transferred := a.Transfer(proto.TransferAsk{Since: 2, PreviousSince: 1})
 	if !transferred.Ready || len(transferred.Records) != 1 {
 		t.Fatalf("handed over %+v", transferred)
 	}
 	if got := a.Claim(now, ask(2)).Result; got != proto.ClaimStale {
-		t.Fatalf("after: %d, want stale", got)
+		t.Fatalf("result after the transfer: %d, want stale", got)
 	}
 }
 
@@ -464,9 +464,9 @@
 	}
 	ask := proto.TransferAsk{Since: 3, PreviousSince: 2}
 	if a.TakeTransfer(ask, member("b"), proto.TransferAnswer{Ready: true}) {
-		t.Fatal("one of three is no majority, since its own claims do not count")
+		t.Fatal("the slot became ready after reading one of three members, although its own claims do not count")
 	}
 	if !a.TakeTransfer(ask, member("c"), proto.TransferAnswer{Ready: true}) {
-		t.Fatal("two of three are a majority")
+		t.Fatal("the slot did not become ready after reading two of three members")
 	}
 }
--- a/coord/config_test.go
+++ b/coord/config_test.go
@@ -57,7 +57,7 @@
 	s.highest[i] = 0
 	s.copies[i] = NewConfigState(func(snapshot *proto.Snapshot) {
 		if snapshot.Generation <= s.highest[i] {
-			s.violations = append(s.violations, fmt.Sprintf("generation %d came into force after %d", snapshot.Generation, s.highest[i]))
+			s.violations = append(s.violations, fmt.Sprintf("generation %d took effect after %d", snapshot.Generation, s.highest[i]))
 		}
 		s.highest[i] = snapshot.Generation
 	})
@@ -83,7 +83,7 @@
 		s.fake.SetDown(false)
 		applied, err = s.stores[i].Apply(context.Background(), s.copies[i], ApplyRequest{Body: body, ApplyID: req.ApplyID})
 		if err != nil {
-			s.violations = append(s.violations, "asking again: "+err.Error())
+			s.violations = append(s.violations, "retrying: "+err.Error())
 			return
 		}
 	case err != nil:
@@ -199,7 +199,7 @@
 	c := NewConfigState(nil)
 	_, err := store.Apply(context.Background(), c, ApplyRequest{Body: fileBody("a", 1)})
 	if proto.KindOf(err) != proto.KindUnavailable {
-		t.Fatalf("told %v", err)
+		t.Fatalf("got error %v, want kind unavailable", err)
 	}
 	late := store.platform.(*delayed)
 	if err := late.Client.Transact(context.Background(), late.held); proto.KindOf(err) != proto.KindConflict {
--- a/coord/fleet_test.go
+++ b/coord/fleet_test.go
@@ -66,7 +66,7 @@
 
 var fleetFaults = []fleetFault{
 	{"calm", func(s *meshSim) { s.run(10 * time.Second) }, 0, allSizes},
-	{"a fifth killed and back after 4 s", func(s *meshSim) {
+	{"a fifth killed and restarted after 4 s", func(s *meshSim) {
 		for i := 0; i < len(s.vms); i += 5 {
 			s.dead[s.vms[i]] = true
 		}
@@ -84,14 +84,14 @@
 			}
 		}
 	}, 1000, fewSizes},
-	{"all restarted together", func(s *meshSim) {
+	{"all restarted at once", func(s *meshSim) {
 		s.queue = nil
 		for _, vm := range s.vms {
 			s.restart(vm, 2)
 		}
 		s.run(10 * time.Second)
 	}, 400, allSizes},
-	{"a zone cut off for 5 s", func(s *meshSim) {
+	{"a zone partitioned for 5 s", func(s *meshSim) {
 		s.isCut = func(a, b proto.VM) bool { return (s.zone[a] == "region-0/zone-0") != (s.zone[b] == "region-0/zone-0") }
 		s.run(5 * time.Second)
 		s.isCut = func(proto.VM, proto.VM) bool { return false }
@@ -113,16 +113,16 @@
 				fault.inject(s)
 				messages, bytes := s.sent/daemons, s.bytes/daemons
 				took, ok := s.converge(10 * time.Second)
-				t.Logf("%d messages and %d bytes a daemon in 10 s, settled %s later", messages, bytes, took)
+				t.Logf("%d messages and %d bytes per daemon in 10 s, converged %s later", messages, bytes, took)
 				if !ok {
-					t.Error("the views are not right ten seconds after the fault")
+					t.Error("the views have not converged ten seconds after the fault")
 				}
 				if fault.bytes == 0 {
 					calm[daemons] = bytes
 					return
 				}
 				if limit := calm[daemons] + int(fault.bytes*float64(daemons)); bytes > limit {
-					t.Errorf("%d bytes a daemon, want at most %d", bytes, limit)
+					t.Errorf("%d bytes per daemon, want at most %d", bytes, limit)
 				}
 			})
 		}
--- a/coord/lease_test.go
+++ b/coord/lease_test.go
@@ -103,7 +103,7 @@
 		return
 	}
 	if epoch < s.epoch {
-		s.violations = append(s.violations, fmt.Sprintf("an order of epoch %d after one of %d", epoch, s.epoch))
+		s.violations = append(s.violations, fmt.Sprintf("an order of epoch %d was accepted after one of epoch %d", epoch, s.epoch))
 	}
 	if other, ok := s.holders[epoch]; ok && other != i {
 		s.violations = append(s.violations, fmt.Sprintf("epoch %d has two holders", epoch))
@@ -118,7 +118,7 @@
 	parameters.MinSuccessfulTests = histories(300)
 	orders := 0
 	properties := gopter.NewProperties(parameters)
-	properties.Property("never two holders, epochs never fall", prop.ForAll(func(seed uint64) string {
+	properties.Property("never two holders, epochs never decrease", prop.ForAll(func(seed uint64) string {
 		s := newLeaseSim(seed)
 		for range 300 {
 			s.step()
--- a/coord/members_test.go
+++ b/coord/members_test.go
@@ -50,7 +50,7 @@
 }
 
 func (p meshPeers) Call(context.Context, proto.VM, proto.Message) (proto.Message, error) {
-	return nil, newError("call", proto.KindUnavailable, "not in this test")
+	return nil, newError("call", proto.KindUnavailable, "not supported in this test")
 }
 
 func newMesh(n, regions, zones int, timing MemberTiming) *meshSim {
@@ -152,10 +152,10 @@
 		daemons, regions, z int
 		kill                int
 	}{
-		{"the venture's four halls", 8, 1, 4, 1},
-		{"a zone of four", 8, 1, 4, 2},
-		{"sixty in two regions", 60, 2, 4, 3},
-		{"two hundred in four regions", 200, 4, 4, 6},
+		{"eight daemons in four zones, one killed", 8, 1, 4, 1},
+		{"eight daemons in four zones, two killed", 8, 1, 4, 2},
+		{"sixty daemons in two regions", 60, 2, 4, 3},
+		{"two hundred daemons in four regions", 200, 4, 4, 6},
 	}
 	for _, scenario := range scenarios {
 		t.Run(scenario.name, func(t *testing.T) {
@@ -163,7 +163,7 @@
 			s.run(10 * time.Second)
 			for _, vm := range s.vms {
 				if dead, _ := s.countDead(vm); dead > 0 {
-					t.Fatalf("%s is held dead by %d and is not", vm, dead)
+					t.Fatalf("%s is alive, but %d daemons consider it dead", vm, dead)
 				}
 				if links := len(s.members[vm].Links()); links > 10 {
 					t.Fatalf("%s has %d links", vm, links)
@@ -192,21 +192,21 @@
 	s.run(10 * time.Second)
 	for _, vm := range s.vms {
 		if counts := s.members[vm].Counts(); counts.Deaths > 0 {
-			t.Fatalf("a pause of 2 s made %s hold %d daemons dead", vm, counts.Deaths)
+			t.Fatalf("after a pause of 2 s %s has recorded %d deaths", vm, counts.Deaths)
 		}
 	}
 	s.paused["vm-3"] = true
 	s.run(20 * time.Second)
 	if dead, live := s.countDead("vm-3"); dead < live {
-		t.Fatalf("%d of %d know of a pause of 20 s", dead, live)
+		t.Fatalf("%d of %d daemons noticed a pause of 20 s", dead, live)
 	}
 	s.paused["vm-3"] = false
 	s.run(5 * time.Second)
 	if dead, _ := s.countDead("vm-3"); dead > 0 {
-		t.Fatalf("%d still hold the daemon dead that woke", dead)
+		t.Fatalf("%d daemons still consider the resumed daemon dead", dead)
 	}
 	if counts := s.members["vm-3"].Counts(); counts.Deaths > 0 || counts.Alarms > 0 {
-		t.Fatalf("the daemon that woke holds %d others dead and raised %d alarms", counts.Deaths, counts.Alarms)
+		t.Fatalf("the resumed daemon recorded %d deaths and raised %d alarms", counts.Deaths, counts.Alarms)
 	}
 }
 
@@ -217,7 +217,7 @@
 	s.run(60 * time.Second)
 	for _, vm := range s.vms {
 		if counts := s.members[vm].Counts(); counts.Deaths > 0 {
-			t.Fatalf("%s holds %d daemons dead while regions are apart", vm, counts.Deaths)
+			t.Fatalf("%s recorded %d deaths while the regions were partitioned", vm, counts.Deaths)
 		}
 	}
 	// A death within a region must still be detected there; other regions learn of it once they are reconnected.
@@ -225,7 +225,7 @@
 	s.run(6 * time.Second)
 	dead, _ := s.countDead("vm-10")
 	if dead != 29 {
-		t.Fatalf("%d of its own region's 29 know", dead)
+		t.Fatalf("%d of the 29 other daemons in its region know of the death", dead)
 	}
 }
 
@@ -254,10 +254,10 @@
 			hops++
 		}
 		if len(reached) != n {
-			t.Errorf("%d of %d are reached", len(reached), n)
+			t.Errorf("%d of %d daemons are reached", len(reached), n)
 		}
 		if hops > 9 {
-			t.Errorf("news takes %d hops among %d", hops, n)
+			t.Errorf("news takes %d hops among %d daemons", hops, n)
 		}
 	}
 }
@@ -302,20 +302,20 @@
 	s.run(2 * time.Second)
 	for _, vm := range s.vms {
 		if !s.members[vm].Leaving()["target"] {
-			t.Fatalf("%s does not know that the target leaves", vm)
+			t.Fatalf("%s does not know that the target is leaving", vm)
 		}
 	}
 	s.queue = nil
 	s.members["vm-1"].HandleVMList(s.now, list(false))
 	s.members["vm-2"].HandleVMList(s.now, list(true))
 	if len(s.queue) > 0 || !s.members["vm-1"].Leaving()["target"] {
-		t.Fatalf("a read that lags, and one without news, sent %d messages", len(s.queue))
+		t.Fatalf("a stale read and a read without changes sent %d messages", len(s.queue))
 	}
 	s.run(12 * time.Second)
 	s.members["vm-1"].HandleVMList(s.now, list(false))
 	s.run(2 * time.Second)
 	if s.members["vm-50"].Leaving()["target"] {
-		t.Fatal("a stop that was called off is not known after a while")
+		t.Fatal("the cancelled stop did not spread to the other daemons")
 	}
 }
 
@@ -324,14 +324,14 @@
 	m := s.members["vm-0"]
 	without := proto.VMList{VMs: []proto.VMEntry{{VM: "vm-0", Entry: true}, {VM: "vm-2", Entry: true}}}
 	if m.RunEnded(s.now.Add(time.Hour), "vm-1", 1) {
-		t.Fatal("over without a read for an hour")
+		t.Fatal("the run counts as ended without a read for an hour")
 	}
 	for range 20 {
 		s.now = s.now.Add(2 * time.Second)
 		m.HandleVMList(s.now, without)
 	}
 	if !m.RunEnded(s.now, "vm-1", 1) || m.RunEnded(s.now, "vm-2", 1) {
-		t.Fatal("a VM that left the list 40 s ago must be over, and one on it not")
+		t.Fatal("the run must have ended on a VM that left the list 40 s ago, and not on a listed one")
 	}
 }
 
@@ -354,7 +354,7 @@
 		}
 		for _, a := range live {
 			if a.VM == "vm-3" && a.Incarnation <= 5 {
-				t.Errorf("%s knows run %d of vm-3, its last", vm, a.Incarnation)
+				t.Errorf("%s still knows run %d of vm-3", vm, a.Incarnation)
 			}
 		}
 	}
--- a/coord/placement.go
+++ b/coord/placement.go
@@ -123,7 +123,7 @@
 		}
 		_, mine := pc.preferredHolder(i)
 		if err := lease.Step(ctx, pc.deps.Clock.Now, mine && !stopping); err != nil {
-			pc.deps.Log.Debug("a lease could not be kept", "lease", leaseName(i), "error", err)
+			pc.deps.Log.Debug("failed to update a lease", "lease", leaseName(i), "error", err)
 		}
 		for _, pool := range pools[i] {
 			pc.placeModels(ctx, lease, i, pool)
@@ -186,7 +186,7 @@
 	switch proto.KindOf(err) {
 	case "":
 		pc.updateCounts(func(c *PlacementCounts) { c.Sent++ })
-		pc.deps.Log.Info("ordered models", "target", target.Name, "models", models, "epoch", epoch)
+		pc.deps.Log.Info("sent model order to target", "target", target.Name, "models", models, "epoch", epoch)
 	case proto.KindDenied:
 		pc.updateCounts(func(c *PlacementCounts) { c.Fenced++ })
 	default:
--- a/coord/placement_test.go
+++ b/coord/placement_test.go
@@ -73,7 +73,7 @@
 	clock.Advance(10 * time.Second)
 	step(secondLease)
 	if second.Counts().Held != 0 {
-		t.Fatal("taken over before the lease was over")
+		t.Fatal("the lease was taken over before it expired")
 	}
 	clock.Advance(10 * time.Second)
 	step(secondLease)
--- a/coord/poll.go
+++ b/coord/poll.go
@@ -18,7 +18,7 @@
 		return
 	}
 	if err := n.ConfigStore.CatchUp(ctx, n.Config); err != nil {
-		n.deps.Log.Debug("the store did not answer", "error", err)
+		n.deps.Log.Debug("failed to read the configuration from the store", "error", err)
 		return
 	}
 	n.lastStoreRead.Store(now.UnixNano())
@@ -32,7 +32,7 @@
 	n.nextList = now.Add(n.timing.ListInterval)
 	list, err := n.deps.Platform.VMs(ctx)
 	if err != nil {
-		n.deps.Log.Debug("the VM list did not answer", "error", err)
+		n.deps.Log.Debug("failed to read the VM list", "error", err)
 		return
 	}
 	n.Members.HandleVMList(now, list)
@@ -72,7 +72,7 @@
 		_, err = n.Roster.Read(ctx)
 	}
 	if err != nil {
-		n.deps.Log.Debug("the roster could not be revised", "error", err)
+		n.deps.Log.Debug("failed to revise the roster", "error", err)
 	}
 }
 
--- a/coord/pull.go
+++ b/coord/pull.go
@@ -22,7 +22,7 @@
 			break
 		}
 		if !n.applyAnswer(answer) {
-			n.deps.Log.Warn("changes of a peer do not fit", "from", from, "generation", answer.Generation)
+			n.deps.Log.Warn("rejected the changes of a peer", "from", from, "generation", answer.Generation)
 			break
 		}
 		n.Config.MarkSynced(answer.Generation)
--- a/coord/shares_test.go
+++ b/coord/shares_test.go
@@ -97,7 +97,7 @@
 	c.RowWritten(shareTestStart.Add(testShareTiming.Lease*2/3), 0)
 	over := c.ObserveRows(after, after, 0, revisions(map[proto.VM]uint64{"a": 1, "b": 7, "c": uint64(shareTestStart.Unix())}))
 	if len(over) != 1 || over[0] != "c" {
-		t.Errorf("over: %v", over)
+		t.Errorf("expired: %v", over)
 	}
 	wantShare(t, c, after, 2, ShareUsable)
 }
@@ -190,7 +190,7 @@
 				continue
 			}
 			if last, done := w.owners[task]; done && last.vm != vm && w.now.Sub(last.at) < taskSettle {
-				return fmt.Sprintf("after %s %s does %s, which %s did %s before", w.now.Sub(shareTestStart), vm, task, last.vm, w.now.Sub(last.at))
+				return fmt.Sprintf("after %s, %s does %s, which %s did %s earlier", w.now.Sub(shareTestStart), vm, task, last.vm, w.now.Sub(last.at))
 			}
 			w.owners[task] = lastOwner{vm, w.now}
 			w.done++
@@ -335,7 +335,7 @@
 				w.restore()
 			}
 			if sum := w.totalUsed(); sum > 1.000001 {
-				return fmt.Sprintf("after %s the shares come to %.3f", w.now.Sub(shareTestStart), sum)
+				return fmt.Sprintf("after %s the shares add up to %.3f", w.now.Sub(shareTestStart), sum)
 			}
 		}
 		return ""
--- a/coord/wallclock_test.go
+++ b/coord/wallclock_test.go
@@ -21,10 +21,10 @@
 	fake := clockwork.NewFakeClock()
 	for _, set := range []time.Duration{0, time.Hour, -time.Hour} {
 		if got, want := wallTime(fakeWallClock{fake, set}), fake.Now().Add(set); !got.Equal(want) {
-			t.Errorf("set by %v: dated %v, want %v", set, got, want)
+			t.Errorf("offset %v: wall clock time %v, want %v", set, got, want)
 		}
 	}
 	if got := wallTime(fake); !got.Equal(fake.Now()) {
-		t.Errorf("a clock without a time of day dates %v", got)
+		t.Errorf("wall clock time of a clock that has none: %v", got)
 	}
 }
--- a/state/claimstore_test.go
+++ b/state/claimstore_test.go
@@ -18,7 +18,7 @@
 		}
 	}
 	scenarios := map[string]func(t *testing.T, l *ClaimStore){
-		"held keys are taken, and granted again to their own claim": func(t *testing.T, l *ClaimStore) {
+		"a held key is refused to other claims and granted again to its own": func(t *testing.T, l *ClaimStore) {
 			k := key(1, now)
 			expect(t, l, k, 7, 1, proto.ClaimGranted)
 			expect(t, l, k, 7, 1, proto.ClaimGranted)
@@ -33,7 +33,7 @@
 			l.Settle(k, claim(1), true, nil)
 			expect(t, l, k, 7, 3, proto.ClaimTaken)
 		},
-		"a done key gives its answer": func(t *testing.T, l *ClaimStore) {
+		"a done key returns its answer": func(t *testing.T, l *ClaimStore) {
 			k := key(1, now)
 			expect(t, l, k, 7, 1, proto.ClaimGranted)
 			l.Settle(k, claim(1), false, []byte("x"))
@@ -41,7 +41,7 @@
 				t.Fatalf("%d %s", got, answer)
 			}
 		},
-		"what was forgotten stays so when the clock jumps back": func(t *testing.T, l *ClaimStore) {
+		"forgotten keys stay refused after the clock is set back": func(t *testing.T, l *ClaimStore) {
 			k := key(1, now)
 			expect(t, l, k, 7, 1, proto.ClaimGranted)
 			l.Sweep(now.Add(2 * time.Hour))
--- a/state/clock_test.go
+++ b/state/clock_test.go
@@ -42,14 +42,14 @@
 		{"nothing", func(*fakeVM) {}, 0},
 		{"time passes", func(vm *fakeVM) { vm.monotonic.Advance(time.Second) }, time.Second},
 		{"the VM is suspended", func(vm *fakeVM) { vm.suspend(7 * time.Second) }, 7 * time.Second},
-		{"time passes around it", func(vm *fakeVM) {
+		{"time passes before and after a suspension", func(vm *fakeVM) {
 			vm.monotonic.Advance(time.Second)
 			vm.suspend(7 * time.Second)
 			vm.monotonic.Advance(time.Second)
 		}, 9 * time.Second},
-		{"the time of day is set forward", func(vm *fakeVM) { vm.setWallClock(time.Hour) }, 0},
-		{"the time of day is set back", func(vm *fakeVM) { vm.setWallClock(-time.Hour) }, 0},
-		{"it is suspended, and the time of day is set back further", func(vm *fakeVM) {
+		{"the wall clock is set forward", func(vm *fakeVM) { vm.setWallClock(time.Hour) }, 0},
+		{"the wall clock is set back", func(vm *fakeVM) { vm.setWallClock(-time.Hour) }, 0},
+		{"the VM is suspended and the wall clock is set back further", func(vm *fakeVM) {
 			vm.suspend(7 * time.Second)
 			vm.setWallClock(-time.Minute)
 		}, 7 * time.Second},
@@ -75,7 +75,7 @@
 	vm.suspend(time.Minute)
 	vm.setWallClock(-time.Hour)
 	if got, want := clock.WallTime(), clockStart.Add(time.Second+time.Minute-time.Hour); !got.Equal(want) {
-		t.Errorf("the time of day is %v, want %v", got, want)
+		t.Errorf("the wall clock time is %v, want %v", got, want)
 	}
 	if got, want := clock.Now(), clockStart.Add(time.Second+time.Minute); !got.Equal(want) {
 		t.Errorf("the time is %v, want %v", got, want)
@@ -136,7 +136,7 @@
 func TestRealClock(t *testing.T) {
 	clock := NewClock()
 	if clock.uptimeAtStart == 0 {
-		t.Error("the kernel does not tell its uptime")
+		t.Error("the kernel does not report its uptime")
 	}
 	before := clock.Now()
 	clock.Sleep(time.Millisecond)
