--- a/core/bench_test.go
+++ b/core/bench_test.go
@@ -40,7 +40,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if p.choose(now, ticket) < 0 {
-					b.Fatal("no target is open")
+					b.Fatal("no target is available")
 				}
 			}
 		})
--- a/core/engine_test.go
+++ b/core/engine_test.go
@@ -125,7 +125,7 @@
 		sim.fail("a stage that may run only once may have started %d times", s.starts[a.ID.Stage])
 	}
 	if s.finished > 0 {
-		sim.fail("an attempt started after the end")
+		sim.fail("an attempt started after its request had ended")
 	}
 	switch sim.random.IntN(10) {
 	case 0:
@@ -181,7 +181,7 @@
 func (sim *simulation) chunk(c Chunk) {
 	s := sim.observed[c.Request]
 	if c.Offset != s.chunks || c.Text != text(c.Request, c.Offset, c.Offset+c.Tokens) || s.finished > 0 {
-		sim.fail("chunk at %d after %d of %q", c.Offset, s.chunks, c.Text)
+		sim.fail("chunk at offset %d, but %d tokens were delivered before it: %q", c.Offset, s.chunks, c.Text)
 	}
 	s.chunks += c.Tokens
 }
@@ -210,7 +210,7 @@
 		possible += n
 	}
 	if f.Failure.Outcome == proto.OutcomeNotRun && possible > 0 {
-		sim.fail("refused as not run, but %d attempts may have started", possible)
+		sim.fail("outcome is notRun, but %d attempts may have started", possible)
 	}
 	if status := f.Failure.Status(); (status == 429 || status == 503) && f.Failure.Outcome != proto.OutcomeNotRun {
 		sim.fail("status %d with outcome %s", status, f.Failure.Outcome)
@@ -262,7 +262,7 @@
 	for _, p := range sim.engine.Pools(sim.now) {
 		for _, t := range p.Targets {
 			if t.Inflight != 0 {
-				sim.fail("target %s still counts %d attempts", t.Target, t.Inflight)
+				sim.fail("target %s still has %d attempts in flight", t.Target, t.Inflight)
 			}
 		}
 	}
@@ -273,7 +273,7 @@
 	parameters.MinSuccessfulTests = 300
 	properties := gopter.NewProperties(parameters)
 	delivered := int64(0)
-	properties.Property("own result only, once, in time, and not run means not run", prop.ForAll(func(seed uint64) string {
+	properties.Property("each request ends once, in time, with its own result, and notRun is only reported if nothing may have run", prop.ForAll(func(seed uint64) string {
 		sim := newSimulation(seed)
 		for range 600 {
 			sim.step()
@@ -289,6 +289,6 @@
 	}, gen.UInt64()))
 	properties.TestingRun(t)
 	if delivered < 5_000 {
-		t.Fatalf("only %d requests were answered, which proves little", delivered)
+		t.Fatalf("only %d requests were answered, too few for the test to be meaningful", delivered)
 	}
 }
--- a/core/placement_test.go
+++ b/core/placement_test.go
@@ -51,12 +51,12 @@
 		minLarge           int
 		maxLarge, maxMoves int
 	}{
-		{"even demand moves nothing", even, 60, 4, 4, 0},
-		{"a shift is followed, and one target stays", shifted, 60, 7, 7, 3},
-		{"a shift is followed only once it has lasted", shifted, 5, 4, 4, 0},
-		{"and then at the weight store's rate", shifted, 6, 5, 6, 2},
-		{"demand that swings moves nothing to and fro", spiky, 60, 3, 5, 1},
-		{"no demand moves nothing", func(int) map[string]time.Duration { return nil }, 60, 4, 4, 0},
+		{"even demand causes no reassignment", even, 60, 4, 4, 0},
+		{"a lasting shift is followed, but each model keeps a target", shifted, 60, 7, 7, 3},
+		{"a shift is followed only after the hold time", shifted, 5, 4, 4, 0},
+		{"a shift is followed at the rate of the weight store", shifted, 6, 5, 6, 2},
+		{"alternating demand does not move targets back and forth", spiky, 60, 3, 5, 1},
+		{"no demand causes no reassignment", func(int) map[string]time.Duration { return nil }, 60, 4, 4, 0},
 	}
 	for _, scenario := range scenarios {
 		t.Run(scenario.name, func(t *testing.T) {
@@ -68,7 +68,7 @@
 			now := time.Unix(1_700_000_000, 0)
 			moved := place(p, pool, assigned, now, scenario.rounds, scenario.demand)
 			if n := countModel(assigned, "large"); n < scenario.minLarge || n > scenario.maxLarge || moved > scenario.maxMoves {
-				t.Fatalf("%d have the large model after %d moves", n, moved)
+				t.Fatalf("%d targets have the large model after %d reassignments", n, moved)
 			}
 		})
 	}
--- a/core/scenario_test.go
+++ b/core/scenario_test.go
@@ -97,7 +97,7 @@
 		s.handle(StopCheck{Lead: time.Second})
 		s.handle(Tick{})
 	default:
-		t.Fatalf("no command %q", d.Cmd)
+		t.Fatalf("unknown command %q", d.Cmd)
 	}
 	if s.out.Len() == 0 {
 		return "ok\n"
@@ -153,18 +153,18 @@
 		retries   bool
 		hedges    bool
 	}{
-		{"none given", proto.Objective{}, true, true},
+		{"no objective", proto.Objective{}, true, true},
 		{"venture", proto.Objective{Attainment: 0.8, Cost: 0.2}, true, true},
 		{"institute", proto.Objective{Attainment: 0.5, Cost: 0.5}, true, false},
-		{"cost alone", proto.Objective{Cost: 1}, false, false},
+		{"only cost", proto.Objective{Cost: 1}, false, false},
 	}
 	for _, scenario := range scenarios {
 		p := newPool("p", DefaultTuning().ForObjective(scenario.objective), &RoundRobin[*target]{})
 		if got := p.takeRetry(); got != scenario.retries {
-			t.Errorf("%s: retry %t", scenario.name, got)
+			t.Errorf("%s: retry allowed: %t", scenario.name, got)
 		}
 		if got := p.takeHedge(); got != scenario.hedges {
-			t.Errorf("%s: hedge %t", scenario.name, got)
+			t.Errorf("%s: hedge allowed: %t", scenario.name, got)
 		}
 	}
 }
--- a/proto/codec_fuzz_test.go
+++ b/proto/codec_fuzz_test.go
@@ -33,10 +33,10 @@
 		}
 		again, err := Encode(m, env.Call, env.Answer, env.Trace)
 		if err != nil {
-			t.Fatalf("%T was read and cannot be written: %v", m, err)
+			t.Fatalf("%T was decoded but cannot be encoded: %v", m, err)
 		}
 		if _, _, err := Decode(again); err != nil {
-			t.Errorf("%T was written and cannot be read: %v", m, err)
+			t.Errorf("%T was encoded but cannot be decoded: %v", m, err)
 		}
 	})
 }
--- a/proto/compress_test.go
+++ b/proto/compress_test.go
@@ -38,10 +38,10 @@
 			t.Fatalf("%T: %v, %+v", m, err, env)
 		}
 		if len(plain) >= compressMinSize && len(data) > len(plain)/2 {
-			t.Errorf("%T: %d bytes of %d", m, len(data), len(plain))
+			t.Errorf("%T: %d bytes, %d uncompressed; want at most half", m, len(data), len(plain))
 		}
 		if len(plain) < compressMinSize && env.Compressed != nil {
-			t.Errorf("%T of %d bytes is packed", m, len(plain))
+			t.Errorf("%T of %d bytes is compressed, although it is below the minimum size", m, len(plain))
 		}
 	}
 }
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	if _, _, err := Decode(data); KindOf(err) != KindInvalid {
-		t.Errorf("%d packed bytes: %v", packed.Len(), err)
+		t.Errorf("%d compressed bytes: error %v", packed.Len(), err)
 	}
 }
 
--- a/proto/errors_test.go
+++ b/proto/errors_test.go
@@ -18,9 +18,9 @@
 	}
 	var own *Error
 	if errors.As(err, &own) {
-		t.Error("an error of another package is taken for one of this")
+		t.Error("errors.As matched an error of another package")
 	}
 	if !errors.Is(err, cause) || KindOf(err) != KindUnavailable {
-		t.Errorf("cause or kind %q is lost", KindOf(err))
+		t.Errorf("the cause is not in the chain, or kind %q is wrong", KindOf(err))
 	}
 }
--- a/proto/proto_test.go
+++ b/proto/proto_test.go
@@ -15,27 +15,27 @@
 func TestEncodingRoundTrips(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(3)
 	properties := gopter.NewProperties(parameters)
-	properties.Property("a key carries its time", prop.ForAll(func(ms int64, b byte) bool {
+	properties.Property("a key contains its creation time", prop.ForAll(func(ms int64, b byte) bool {
 		at := time.UnixMilli(ms)
 		key := KeyAt(at, [10]byte{b, b, b, b})
 		parsed, err := ParseKey(key.String())
 		return err == nil && parsed == key && KeyTime(parsed).Equal(at)
 	}, gen.Int64Range(0, 1<<47), gen.UInt8()))
-	properties.Property("an attempt's id is read as it was written", prop.ForAll(func(stage, number int) bool {
+	properties.Property("an attempt ID round-trips", prop.ForAll(func(stage, number int) bool {
 		id := AttemptID{Request: uuid.New(), Stage: stage, Number: number}
 		parsed, err := ParseAttemptID(id.String())
 		return err == nil && parsed == id
 	}, gen.IntRange(0, 8), gen.IntRange(0, 1000)))
-	properties.Property("a digest keeps what fits into a byte", prop.ForAll(func(running, waiting, slots int) bool {
+	properties.Property("a load digest caps counts at 255", prop.ForAll(func(running, waiting, slots int) bool {
 		rows := []LoadRow{{Pool: "p", Target: "t", Running: running, Waiting: waiting, Slots: slots, Age: time.Second}, {Target: "unknown"}}
 		got := UnpackLoads(PackLoads(rows), map[uint32]LoadRow{TargetHash("t"): {Pool: "p", Target: "t"}})
 		return len(got) == 1 && got[0].Running == min(255, running) && got[0].Waiting == min(255, waiting) && got[0].Slots == min(255, slots) && got[0].Age == time.Second
 	}, gen.IntRange(0, 400), gen.IntRange(0, 400), gen.IntRange(0, 400)))
-	properties.Property("bytes of anyone decode to a message or an error", prop.ForAll(func(data []byte) bool {
+	properties.Property("arbitrary bytes decode to a message or an error", prop.ForAll(func(data []byte) bool {
 		_, m, err := Decode(data)
 		return (m == nil) == (err != nil)
 	}, gen.SliceOf(gen.UInt8())))
-	properties.Property("a message is read as it was written, cut short it is not", prop.ForAll(func(generation uint64, body []byte) bool {
+	properties.Property("a message round-trips, and a truncated one is rejected", prop.ForAll(func(generation uint64, body []byte) bool {
 		sent := ChangesAnswer{Generation: Generation(generation), Changes: []Change{{Kind: ChangeFile, Body: body, At: time.Unix(1, 2).UTC()}}}
 		data, err := Encode(sent, 7, true, "trace")
 		if err != nil {
@@ -71,9 +71,9 @@
 		file   *File
 		faults int
 	}{
-		{"uses the other file's pool", body("bb", "w2", "p2", "p"), 0},
-		{"declares the other file's workspace", body("bb", "w", "p2", "p2"), 1},
-		{"uses a pool that nobody declares", body("bb", "w2", "p2", "p3"), 1},
+		{"uses the pool of another file", body("bb", "w2", "p2", "p"), 0},
+		{"declares the workspace of another file", body("bb", "w", "p2", "p2"), 1},
+		{"uses an undeclared pool", body("bb", "w2", "p2", "p3"), 1},
 		{"replaces itself", body("a", "w", "p", "p"), 0},
 	}
 	for _, scenario := range scenarios {
@@ -83,9 +83,9 @@
 	}
 	two := s.WithFile(2, body("bb", "w2", "p2", "p"))
 	if faults := two.CheckFile(body("a", "w", "other", "other")); len(faults) != 1 {
-		t.Errorf("a pool that another file uses was taken away: %v", faults)
+		t.Errorf("removal of a pool that another file uses: %v", faults)
 	}
 	if empty := two.CheckStop(StopPlan{VM: "v-p"}); len(empty) != 1 || empty[0] != "p" {
-		t.Errorf("stop of the last target: %v", empty)
+		t.Errorf("stop of the last target of a pool: %v", empty)
 	}
 }
--- a/proto/revision_test.go
+++ b/proto/revision_test.go
@@ -8,18 +8,18 @@
 		a, b     Revision
 		want     int
 	}{
-		{"no era is told, older", Revision{Version: 4}, Revision{Version: 9}, -1},
+		{"older, without eras", Revision{Version: 4}, Revision{Version: 9}, -1},
 		{"the same", Revision{Era: 2, Version: 4}, Revision{Era: 2, Version: 4}, 0},
-		{"a version that was given out again", Revision{Era: 2, Version: 4}, Revision{Era: 1, Version: 4}, 1},
-		{"a lower version of a later era", Revision{Era: 3, Version: 1}, Revision{Era: 2, Version: 900}, 1},
+		{"the same version in a later era", Revision{Era: 2, Version: 4}, Revision{Era: 1, Version: 4}, 1},
+		{"a lower version in a later era", Revision{Era: 3, Version: 1}, Revision{Era: 2, Version: 900}, 1},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			if got := s.a.Compare(s.b); got != s.want {
-				t.Errorf("%s against %s: %d, want %d", s.a, s.b, got, s.want)
+				t.Errorf("%s compared with %s: %d, want %d", s.a, s.b, got, s.want)
 			}
 			if got := s.b.Compare(s.a); got != -s.want {
-				t.Errorf("%s against %s: %d, want %d", s.b, s.a, got, -s.want)
+				t.Errorf("%s compared with %s: %d, want %d", s.b, s.a, got, -s.want)
 			}
 			if latest := Latest(s.a, s.b); s.a.After(latest) || s.b.After(latest) {
 				t.Errorf("the latest of %s and %s is %s", s.a, s.b, latest)
