--- a/relay/admit_test.go
+++ b/relay/admit_test.go
@@ -50,7 +50,7 @@
 	for rank := 2; rank < len(a.demand); rank++ {
 		urgent, lessUrgent := a.share(now, 1e6, rank-1), a.share(now, 1e6, rank)
 		if lessUrgent >= urgent || lessUrgent < urgent/2 {
-			t.Errorf("rank %d has a share of %.3f, the one before %.3f", rank, lessUrgent, urgent)
+			t.Errorf("rank %d has a share of %.3f, the next more urgent rank %.3f", rank, lessUrgent, urgent)
 		}
 	}
 }
--- a/relay/crashes_test.go
+++ b/relay/crashes_test.go
@@ -43,25 +43,25 @@
 		steps              []step
 		refused, suspected bool
 	}{
-		{"nothing ended", nil, false, false},
+		{"no target ended", nil, false, false},
 		{"two targets ended", []step{ended(1), ended(2)}, false, true},
-		{"three ended", []step{ended(1), ended(2), ended(3)}, true, true},
-		{"one end is seen by several daemons", []step{ended(1), reported(1, time.Second), reported(1, 2*time.Second)}, false, true},
-		{"others saw two of the three", []step{reported(1, time.Minute), ended(2), reported(3, 0)}, true, true},
-		{"answered between", []step{ended(1), ended(2), answered, ended(3)}, false, true},
-		{"answered at last", []step{ended(1), ended(2), ended(3), answered}, false, false},
-		{"an answered end is told again", []step{ended(1), ended(2), ended(3), answered, reported(2, time.Second)}, false, false},
-		{"answered a moment before", []step{answered, ended(1), ended(2), ended(3)}, false, false},
-		{"answered long before", []step{answered, after(answerValidity + time.Second), ended(1), ended(2), ended(3)}, true, true},
-		{"answered before, and ended on and on since", []step{
+		{"three targets ended", []step{ended(1), ended(2), ended(3)}, true, true},
+		{"several daemons report the same end", []step{ended(1), reported(1, time.Second), reported(1, 2*time.Second)}, false, true},
+		{"other daemons report two of three ends", []step{reported(1, time.Minute), ended(2), reported(3, 0)}, true, true},
+		{"answered after two ends", []step{ended(1), ended(2), answered, ended(3)}, false, true},
+		{"answered after three ends", []step{ended(1), ended(2), ended(3), answered}, false, false},
+		{"an answered end is reported again", []step{ended(1), ended(2), ended(3), answered, reported(2, time.Second)}, false, false},
+		{"answered just before the ends", []step{answered, ended(1), ended(2), ended(3)}, false, false},
+		{"answered long before the ends", []step{answered, after(answerValidity + time.Second), ended(1), ended(2), ended(3)}, true, true},
+		{"answered before, with many ends since", []step{
 			answered, after(time.Second), ended(1), ended(2), ended(3), ended(4), ended(5), ended(6), ended(7), ended(8), ended(9),
 			ended(10), ended(11), ended(12),
 		}, true, true},
-		{"others tell of ends of what was answered here", []step{answered, reported(1, 0), reported(2, 0), reported(3, 0)}, false, false},
-		{"an hour later", []step{ended(1), ended(2), ended(3), after(crashTTL + time.Second)}, false, false},
-		{"the first an hour ago", []step{ended(1), after(crashTTL / 2), ended(2), ended(3), after(crashTTL/2 + time.Second)}, false, true},
-		{"told of what is too old", []step{ended(1), ended(2), reported(3, crashTTL+time.Second)}, false, true},
-		{"told of what is nearly too old", []step{ended(1), ended(2), reported(3, crashTTL-time.Second)}, true, true},
+		{"other daemons report ends of a request answered here", []step{answered, reported(1, 0), reported(2, 0), reported(3, 0)}, false, false},
+		{"all ends are too old", []step{ended(1), ended(2), ended(3), after(crashTTL + time.Second)}, false, false},
+		{"the first end is too old", []step{ended(1), after(crashTTL / 2), ended(2), ended(3), after(crashTTL/2 + time.Second)}, false, true},
+		{"a report of an end that is too old", []step{ended(1), ended(2), reported(3, crashTTL+time.Second)}, false, true},
+		{"a report of an end that is nearly too old", []step{ended(1), ended(2), reported(3, crashTTL-time.Second)}, true, true},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -72,7 +72,7 @@
 			}
 			evidence, refused := c.Blocks(request)
 			if refused != s.refused || c.Suspects(request) != s.suspected {
-				t.Errorf("refused %v, suspected %v", refused, c.Suspects(request))
+				t.Errorf("request blocked: %v, suspected: %v", refused, c.Suspects(request))
 			}
 			if refused && (len(evidence.Ends) < crashLimit || evidence.RetryAfter <= 0 || evidence.RetryAfter > crashTTL) {
 				t.Errorf("evidence %+v", evidence)
@@ -96,12 +96,12 @@
 	clock.Advance(evidence.RetryAfter - time.Second)
 	c.Sweep()
 	if _, refused := c.Blocks(1); !refused {
-		t.Error("it is run before the time that was named")
+		t.Error("the request is run before its Retry-After")
 	}
 	clock.Advance(2 * time.Second)
 	c.Sweep()
 	if _, refused := c.Blocks(1); refused {
-		t.Error("it is refused after the time that was named")
+		t.Error("the request is still blocked after its Retry-After")
 	}
 }
 
@@ -111,7 +111,7 @@
 	parameters := gopter.DefaultTestParametersWithSeed(1)
 	parameters.MinSuccessfulTests = 200
 	properties := gopter.NewProperties(parameters)
-	properties.Property("equal after telling", prop.ForAll(func(seed uint64) bool {
+	properties.Property("equal after the exchange", prop.ForAll(func(seed uint64) bool {
 		random := rand.New(rand.NewPCG(seed, 1))
 		clock := clockwork.NewFakeClockAt(start)
 		daemons := []*CrashTracker{newTestCrashTracker(clock), newTestCrashTracker(clock), newTestCrashTracker(clock)}
@@ -172,13 +172,13 @@
 		clock.Advance(time.Second)
 	}
 	if n := c.Counts().Ends; n > maxCrashes {
-		t.Errorf("%d ends are remembered", n)
+		t.Errorf("%d ends are stored", n)
 	}
 	if _, refused := c.Blocks(guilty); !refused {
-		t.Error("what ends targets is forgotten for what does not")
+		t.Error("the request that crashes targets was evicted instead of others")
 	}
 	if c.Suspects(next-50) != true {
-		t.Error("the newest end is forgotten")
+		t.Error("the newest end was evicted")
 	}
 	clock.Advance(crashTTL + time.Second)
 	c.Sweep()
@@ -306,9 +306,9 @@
 		}
 		begun, hitTwice, refused = begun+p.begun, hitTwice+p.hitTwice, refused+p.refused
 	}
-	t.Logf("of %d requests %d were at work at two targets that ended, and %d were refused", begun, hitTwice, refused)
+	t.Logf("of %d requests %d were running at two targets that ended, and %d were blocked", begun, hitTwice, refused)
 	if refused*100 > begun {
-		t.Errorf("%d of %d requests were refused for what they did not do", refused, begun)
+		t.Errorf("%d of %d innocent requests were blocked", refused, begun)
 	}
 }
 
@@ -322,7 +322,7 @@
 	runs := 0
 	for range 20 {
 		if _, refused := c.Blocks(alike); refused {
-			t.Fatalf("refused after %d ends", runs)
+			t.Fatalf("blocked after %d ends", runs)
 		}
 		c.Answered(alike)
 		clock.Advance(time.Second)
@@ -341,12 +341,12 @@
 		a.record(start, 1<<60)
 	}
 	if n := len(a.recent) + len(a.older); n > maxAnswers+2 {
-		t.Errorf("%d answers are remembered", n)
+		t.Errorf("%d answers are stored", n)
 	}
 	if _, known := a.last(1 << 60); !known {
-		t.Error("what is answered again and again is forgotten")
+		t.Error("a request that is answered repeatedly was evicted")
 	}
 	if _, known := a.last(0); known {
-		t.Error("what was answered longest ago is remembered")
+		t.Error("the request with the oldest answer was not evicted")
 	}
 }
--- a/relay/homes_test.go
+++ b/relay/homes_test.go
@@ -36,10 +36,10 @@
 		pick     func(f *Fleet, i int) *Target
 	}{
 		{"a plain request", func(f *Fleet, _ int) *Target { return f.Pick(start, "p", restricted(TargetCriteria{Zone: "z"})) }},
-		{"prompts without number", func(f *Fleet, i int) *Target {
+		{"many prompts", func(f *Fleet, i int) *Target {
 			return f.Pick(start, "p", restricted(promptCriteria(fmt.Sprint(i), 5000, 9000)))
 		}},
-		{"all at home fail", func(f *Fleet, _ int) *Target {
+		{"all targets in the region fail", func(f *Fleet, _ int) *Target {
 			got := f.Pick(start, "p", restricted(TargetCriteria{}))
 			f.FinishAttempt(start, got, TargetCriteria{}, false, VerdictFailure, Load{})
 			return got
@@ -48,10 +48,10 @@
 			first := f.Pick(start, "p", restricted(TargetCriteria{}))
 			return f.Pick(start, "p", restricted(TargetCriteria{Tried: map[string]bool{first.Spec.ID: true}}))
 		}},
-		{"a retry after all at home were tried", func(f *Fleet, _ int) *Target {
+		{"a retry after all targets in the region were tried", func(f *Fleet, _ int) *Target {
 			return f.Pick(start, "p", restricted(TargetCriteria{Tried: map[string]bool{"e01": true, "e04": true}}))
 		}},
-		{"chosen by another daemon that does not know the home", func(f *Fleet, _ int) *Target { return f.PickByID(start, "p", "e00", restricted(TargetCriteria{})) }},
+		{"chosen by another daemon that does not know the restriction", func(f *Fleet, _ int) *Target { return f.PickByID(start, "p", "e00", restricted(TargetCriteria{})) }},
 		{"placed for another daemon", func(f *Fleet, i int) *Target {
 			all, _ := newPlacers(clockwork.NewFakeClockAt(start), f, threeRegions())
 			placed := all["vm-1"].Choose(context.Background(), "p", restricted(promptCriteria(fmt.Sprint(i), 5000, 9000)))
@@ -77,16 +77,16 @@
 		homes    proto.AllowedRegions
 		open     int
 	}{
-		{"none", proto.AllowedRegions{}.Intersect(proto.AllowedRegions{}), 6},
-		{"the route's", route.Intersect(proto.AllowedRegions{}), 4},
-		{"the workspace's", proto.AllowedRegions{}.Intersect(workspace), 4},
-		{"both", route.Intersect(workspace), 2},
-		{"both, which have nothing in common", route.Intersect(proto.AllowRegions([]string{"east"})), 0},
+		{"no restriction", proto.AllowedRegions{}.Intersect(proto.AllowedRegions{}), 6},
+		{"route only", route.Intersect(proto.AllowedRegions{}), 4},
+		{"workspace only", proto.AllowedRegions{}.Intersect(workspace), 4},
+		{"route and workspace", route.Intersect(workspace), 2},
+		{"route and workspace without a common region", route.Intersect(proto.AllowRegions([]string{"east"})), 0},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			if got := threeRegions().OpenCount("p", s.homes); got != s.open {
-				t.Errorf("%d targets are open to the request, want %d", got, s.open)
+				t.Errorf("%d targets may get the request, want %d", got, s.open)
 			}
 		})
 	}
@@ -140,6 +140,6 @@
 	away := job("away", 2)
 	away.Params.AllowedRegions = proto.AllowRegions([]string{"south"})
 	if refused := b.Add(start, away); refused == nil || refused.Outcome != proto.PiecesRefused {
-		t.Errorf("a job without a target at home waits: %+v", refused)
+		t.Errorf("a job without a target in its region is not refused: %+v", refused)
 	}
 }
--- a/relay/race_test.go
+++ b/relay/race_test.go
@@ -44,18 +44,18 @@
 		// only is set if there is no second target at all.
 		only bool
 	}{
-		{"the pool has one target", func(*racedRequest) {}, true},
-		{"the other one leaves", func(r *racedRequest) {
+		{"the pool has one target only", func(*racedRequest) {}, true},
+		{"the other target is leaving", func(r *racedRequest) {
 			other := raceTarget(1)
 			other.Leaving = true
 			r.changeTarget(other)
 		}, false},
-		{"the other one was tried", func(r *racedRequest) { r.triedTargets["t1"] = true }, false},
-		{"the other one's zone is evacuated", func(r *racedRequest) {
+		{"the other target was tried", func(r *racedRequest) { r.triedTargets["t1"] = true }, false},
+		{"the zone of the other target is evacuated", func(r *racedRequest) {
 			r.fleet.ApplyEvacuations(time.Now(), []proto.Evacuation{{Zone: "other", Version: rev(100)}})
 		}, false},
-		{"the other one is away from the request's regions", func(r *racedRequest) { r.allowedRegions = proto.AllowRegions([]string{"north"}) }, false},
-		{"the other one is cold and has had what it may get", func(r *racedRequest) {
+		{"the other target is outside the allowed regions", func(r *racedRequest) { r.allowedRegions = proto.AllowRegions([]string{"north"}) }, false},
+		{"the other target is cold and has reached its rate", func(r *racedRequest) {
 			r.fleet.SetColdSpec("p", proto.ColdSpec{WarmUpTime: time.Minute, RequestsPerSecond: 1})
 			other := raceTarget(1)
 			other.ColdRemaining = time.Minute
@@ -64,7 +64,7 @@
 				r.server.placer.coldLimiter.take(time.Now(), "t1", 6)
 			}
 		}, false},
-		{"the other one has as many requests as it may have at a time", func(r *racedRequest) {
+		{"the other target is at capacity", func(r *racedRequest) {
 			r.fleet.SetColdSpec("p", proto.ColdSpec{WarmUpTime: time.Minute, RequestsPerSecond: 1})
 			for range 6 {
 				r.fleet.byID["t1"].recordChosen(time.Now())
@@ -83,10 +83,10 @@
 					r := newRaced(k.kind, racers...)
 					s.alone(r)
 					if got := r.end(t); got != k.whole {
-						t.Errorf("the caller got %q", got)
+						t.Errorf("the caller received %q", got)
 					}
 					if n := r.sender.askedOf(1); n > 0 {
-						t.Errorf("the other target was asked %d times", n)
+						t.Errorf("the other target got %d attempts", n)
 					}
 				})
 			})
@@ -116,17 +116,17 @@
 				synctest.Test(t, func(t *testing.T) {
 					r := newRaced(k.kind, k.late, s.second)
 					if got := r.end(t); got != k.whole {
-						t.Errorf("the caller got %q", got)
+						t.Errorf("the caller received %q", got)
 					}
 					if took := time.Since(r.startedAt); s.quick == (took >= raceLate) {
-						t.Errorf("the answer took %s", took)
+						t.Errorf("the response took %s", took)
 					}
 					synctest.Wait()
 					if n := r.sender.askedOf(1); n != 1 {
-						t.Errorf("the second target was asked %d times", n)
+						t.Errorf("the second target got %d attempts", n)
 					}
 					if s.quick && r.sender.canceledAt(0) == 0 {
-						t.Error("the first target goes on working for nobody")
+						t.Error("the attempt at the first target was not canceled")
 					}
 				})
 			})
@@ -147,19 +147,19 @@
 		others   []racer
 		quick    bool
 	}{
-		{"there is no other", nil, false},
-		{"another goes on", []racer{streamed(raceTypicalLatency, 3, 4)}, true},
-		{"another has begun anew", []racer{streamed(raceTypicalLatency, 1, 2, 3, 4)}, true},
-		{"another hangs", []racer{hangs}, false},
-		{"another breaks off", []racer{failsAfter(raceTypicalLatency)}, false},
-		{"another refuses", []racer{refusesAfter(raceTypicalLatency)}, false},
+		{"there is no other target", nil, false},
+		{"another target resumes", []racer{streamed(raceTypicalLatency, 3, 4)}, true},
+		{"another target starts over", []racer{streamed(raceTypicalLatency, 1, 2, 3, 4)}, true},
+		{"another target hangs", []racer{hangs}, false},
+		{"another target breaks off", []racer{failsAfter(raceTypicalLatency)}, false},
+		{"another target refuses", []racer{refusesAfter(raceTypicalLatency)}, false},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := newRaced(proto.RouteStream, append([]racer{silent()}, s.others...)...)
 				if got := eventsOf(r.end(t)); got != "1234" {
-					t.Errorf("the caller got the events %q", got)
+					t.Errorf("the caller received the events %q", got)
 				}
 				if took := time.Since(r.startedAt); s.quick == (took >= silence) {
 					t.Errorf("the stream took %s", took)
@@ -190,7 +190,7 @@
 				r := newRaced(proto.RouteStream, s.first, s.second)
 				r.route.MaxTargets = 2
 				if got := eventsOf(r.end(t)); got != "1234" {
-					t.Errorf("the caller got the events %q", got)
+					t.Errorf("the caller received the events %q", got)
 				}
 			})
 		})
@@ -222,10 +222,10 @@
 	}{
 		{"the route allows two targets", breaksLate(1, 2), streamed(raceTypicalLatency, 2, 3, 4), 2, raceBudget, "1234", 2},
 		{"there are only two targets", breaksLate(1, 2), streamed(raceTypicalLatency, 2, 3, 4), 3, raceBudget, "1234", 2},
-		{"it begins anew", breaksLate(1, 2), streamed(raceTypicalLatency, 1, 2, 3, 4), 2, raceBudget, "1234", 2},
-		{"it breaks off as well", breaksLate(1, 2), failsAfter(raceTypicalLatency), 2, raceBudget, "12", 2},
-		{"the other one falls silent", silentAfter(1, 2), streamed(raceTypicalLatency, 3, 4), 2, raceBudget, "1234", 2},
-		{"the retry budget has one attempt", breaksLate(1, 2), streamed(raceTypicalLatency, 2, 3, 4), 2, RetryBudgetConfig{Slack: 2, Window: raceBudget.Window}, "12", 1},
+		{"the first target starts over", breaksLate(1, 2), streamed(raceTypicalLatency, 1, 2, 3, 4), 2, raceBudget, "1234", 2},
+		{"the first target breaks off as well", breaksLate(1, 2), failsAfter(raceTypicalLatency), 2, raceBudget, "12", 2},
+		{"the other target falls silent", silentAfter(1, 2), streamed(raceTypicalLatency, 3, 4), 2, raceBudget, "1234", 2},
+		{"the retry budget allows one attempt", breaksLate(1, 2), streamed(raceTypicalLatency, 2, 3, 4), 2, RetryBudgetConfig{Slack: 2, Window: raceBudget.Window}, "12", 1},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -234,13 +234,13 @@
 				r.route.MaxTargets, r.server.budget = s.maxTargets, s.budget
 				r.run(t.Context())
 				if got := eventsOf(r.recorder.Body.String()); got != s.want {
-					t.Errorf("the caller got the events %q, want %q\n%s", got, s.want, r.log)
+					t.Errorf("the caller received the events %q, want %q\n%s", got, s.want, r.log)
 				}
 				if n := r.sender.askedOf(0); n != s.asked {
-					t.Errorf("the first target was asked %d times, want %d", n, s.asked)
+					t.Errorf("the first target got %d attempts, want %d", n, s.asked)
 				}
 				if n := r.sender.askedOf(1); n != 1 {
-					t.Errorf("the target that broke off was asked %d times", n)
+					t.Errorf("the target that broke off got %d attempts", n)
 				}
 			})
 		})
@@ -256,9 +256,9 @@
 		closes   time.Duration
 		status   int
 	}{
-		{"a target runs it", proto.RouteOnce, 100 * time.Millisecond, http.StatusGatewayTimeout},
-		{"two targets run it", proto.RouteRepeatable, 100 * time.Millisecond, http.StatusGatewayTimeout},
-		{"no target has it yet", proto.RouteOnce, 0, http.StatusServiceUnavailable},
+		{"a target runs the request", proto.RouteOnce, 100 * time.Millisecond, http.StatusGatewayTimeout},
+		{"two targets run the request", proto.RouteRepeatable, 100 * time.Millisecond, http.StatusGatewayTimeout},
+		{"no target has the request yet", proto.RouteOnce, 0, http.StatusServiceUnavailable},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -270,10 +270,10 @@
 				time.AfterFunc(s.closes, r.server.close)
 				fail := r.run(t.Context())
 				if fail == nil || fail.status != s.status {
-					t.Errorf("end %+v, want status %d", fail, s.status)
+					t.Errorf("result %+v, want status %d", fail, s.status)
 				}
 				if took := time.Since(r.startedAt); took != s.closes {
-					t.Errorf("the answer took %s", took)
+					t.Errorf("the response took %s", took)
 				}
 			})
 		})
@@ -287,16 +287,16 @@
 		ctx, leave := context.WithTimeout(t.Context(), time.Second)
 		defer leave()
 		if fail := r.run(ctx); fail == nil || !errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			t.Errorf("end %+v", fail)
+			t.Errorf("result %+v", fail)
 		}
 		synctest.Wait()
 		for i := range 2 {
 			if r.sender.askedOf(i) != 1 || r.sender.canceledAt(i) != 1 {
-				t.Errorf("target %d was asked %d times and given up %d times", i, r.sender.askedOf(i), r.sender.canceledAt(i))
+				t.Errorf("target %d got %d attempts, of which %d were canceled", i, r.sender.askedOf(i), r.sender.canceledAt(i))
 			}
 		}
 		if took := time.Since(r.startedAt); took > time.Second {
-			t.Errorf("the request ended %s after its caller came", took)
+			t.Errorf("the request ended %s after it was received", took)
 		}
 	})
 }
@@ -306,7 +306,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := newRaced(proto.RouteOnce, whole(raceLate, "whole"), whole(raceTypicalLatency, "other"))
 		if got := r.end(t); got != "whole" || r.sender.askedOf(1) > 0 {
-			t.Errorf("the caller got %q, and the second target was asked %d times", got, r.sender.askedOf(1))
+			t.Errorf("the caller received %q, and the second target got %d attempts", got, r.sender.askedOf(1))
 		}
 	})
 }
@@ -348,8 +348,8 @@
 	}{
 		{"the first hangs", hangs, whole(raceTypicalLatency, "whole"), soon, 0, lateFrom + 2*soon, 2},
 		{"the first answers meanwhile", whole(lateAnswer, "whole"), hangs, raceLeft, 0, lateAnswer + soon, 2},
-		{"the first answers while the second works", whole(lateAnswer, "whole"), hangs, soon, 0, lateAnswer + soon, 2},
-		{"they may not be made anew", whole(lateAnswer, "whole"), hangs, soon, maxRebuilds, lateAnswer + soon, 1},
+		{"the first answers while the second runs", whole(lateAnswer, "whole"), hangs, soon, 0, lateAnswer + soon, 2},
+		{"the inputs may not be rebuilt", whole(lateAnswer, "whole"), hangs, soon, maxRebuilds, lateAnswer + soon, 1},
 		{"the first breaks off meanwhile", failsAfter(lateAnswer), whole(raceTypicalLatency, "whole"), lateAnswer, 0, 2*lateAnswer + soon, 2},
 	}
 	for _, s := range scenarios {
@@ -366,13 +366,13 @@
 					return s.stages
 				}
 				if got := r.end(t); got != "whole" {
-					t.Errorf("the caller got %q", got)
+					t.Errorf("the caller received %q", got)
 				}
 				if took := time.Since(r.startedAt); took > s.took {
-					t.Errorf("the answer took %s", took)
+					t.Errorf("the response took %s", took)
 				}
 				if n := r.stagesDone(); n != s.done {
-					t.Errorf("the stages were done %d times, want %d", n, s.done)
+					t.Errorf("the stages were run %d times, want %d", n, s.done)
 				}
 			})
 		})
@@ -388,15 +388,15 @@
 		others   []racer
 	}{
 		{"no other target", nil},
-		{"another refuses", []racer{refusesAfter(raceTypicalLatency)}},
-		{"another breaks off", []racer{failsAfter(raceTypicalLatency)}},
+		{"another target refuses", []racer{refusesAfter(raceTypicalLatency)}},
+		{"another target breaks off", []racer{failsAfter(raceTypicalLatency)}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := newRaced(proto.RouteRepeatable, append([]racer{fails}, s.others...)...)
 				if got := r.end(t); got != "why" || r.recorder.Code != http.StatusInternalServerError {
-					t.Errorf("the caller got status %d, %q", r.recorder.Code, got)
+					t.Errorf("the caller received status %d, %q", r.recorder.Code, got)
 				}
 			})
 		})
@@ -410,14 +410,14 @@
 		racers   []racer
 		lines    []string
 	}{
-		{"another answers", []racer{whole(raceLate, "whole"), whole(raceTypicalLatency, "whole")}, []string{
+		{"another target answers", []racer{whole(raceLate, "whole"), whole(raceTypicalLatency, "whole")}, []string{
 			`attempt beside: request=r target=t1 late=t0 after=50ms mightTake=50ms basis="the least that is waited for" usual=`,
 			`attempt given up: request=r target=t0 for=t1 took=50.5ms late=true mightTake=50ms basis="the least that is waited for" usual=`,
 		}},
-		{"the first answers", []racer{whole(raceLate, "whole"), hangs}, []string{
+		{"the first target answers", []racer{whole(raceLate, "whole"), hangs}, []string{
 			`attempt given up: request=r target=t1 for=t0 took=350ms`,
 		}},
-		{"there is no other", []racer{whole(raceLate, "whole")}, []string{
+		{"there is no other target", []racer{whole(raceLate, "whole")}, []string{
 			`no attempt beside: request=r target=t0 mightTake=50ms basis="the least that is waited for"`, `reason="the pool has no target that may get work"`,
 		}},
 	}
@@ -428,7 +428,7 @@
 				r.end(t)
 				for _, line := range s.lines {
 					if strings.Count(r.log.String(), line) != 1 {
-						t.Errorf("the log does not hold once: %s\n%s", line, r.log.String())
+						t.Errorf("the log does not contain this line exactly once: %s\n%s", line, r.log.String())
 					}
 				}
 			})
--- a/relay/raceprop_test.go
+++ b/relay/raceprop_test.go
@@ -80,7 +80,7 @@
 		asked += n
 		superseded := strings.Count(r.log.String(), fmt.Sprintf("attempt given up: request=r target=t%d for=t", i))
 		if n > 1+superseded || n != r.sender.canceledAt(i) {
-			t.Logf("seed %d: target %d was asked %d times, overtaken %d times, and %d attempts are over", seed, i, n, superseded, r.sender.canceledAt(i))
+			t.Logf("seed %d: target %d got %d attempts, was superseded %d times, and %d attempts have ended", seed, i, n, superseded, r.sender.canceledAt(i))
 			return false
 		}
 	}
@@ -93,7 +93,7 @@
 		fail != nil && len(r.superseded) > 0 && timeLeft >= minAttemptTime && asked < maxAttempts,
 		fail != nil && fail.status == http.StatusServiceUnavailable && r.runs > 0,
 		r.runs > r.maxRuns(), asked > maxAttempts:
-		t.Logf("seed %d: %d targets, end %+v, events %q, body %q, %d runs, %d asked", seed, len(racers), fail, events, body, r.runs, asked)
+		t.Logf("seed %d: %d targets, result %+v, events %q, body %q, %d runs, %d attempts", seed, len(racers), fail, events, body, r.runs, asked)
 		return false
 	}
 	return true
--- a/relay/racerig_test.go
+++ b/relay/racerig_test.go
@@ -216,7 +216,7 @@
 func (r *racedRequest) end(t *testing.T) string {
 	t.Helper()
 	if fail := r.run(t.Context()); fail != nil {
-		t.Errorf("the request fails after %s: status %d, %s", time.Since(r.startedAt), fail.status, fail.reason)
+		t.Errorf("the request failed after %s: status %d, %s", time.Since(r.startedAt), fail.status, fail.reason)
 	}
 	return r.recorder.Body.String()
 }
--- a/relay/server_test.go
+++ b/relay/server_test.go
@@ -21,12 +21,12 @@
 		refused bool
 	}{
 		{"not stopping", 0, proto.RouteStream, time.Minute, false},
-		{"a stream at first", long, proto.RouteStream, streamAcceptTime - time.Millisecond, false},
-		{"a stream later", long, proto.RouteStream, streamAcceptTime, true},
-		{"another request later", long, proto.RouteOnce, streamAcceptTime, false},
-		{"another request at the end", long, proto.RouteOnce, long - minRequestTime, true},
-		{"a stream that a short time would cut off", short, proto.RouteStream, time.Millisecond, true},
-		{"another request in a short time", short, proto.RouteOnce, time.Millisecond, false},
+		{"a stream shortly after the stop", long, proto.RouteStream, streamAcceptTime - time.Millisecond, false},
+		{"a later stream", long, proto.RouteStream, streamAcceptTime, true},
+		{"a later request", long, proto.RouteOnce, streamAcceptTime, false},
+		{"a request shortly before the exit", long, proto.RouteOnce, long - minRequestTime, true},
+		{"a stream with little time left", short, proto.RouteStream, time.Millisecond, true},
+		{"a request with little time left", short, proto.RouteOnce, time.Millisecond, false},
 	}
 	for _, c := range scenarios {
 		t.Run(c.name, func(t *testing.T) {
@@ -40,7 +40,7 @@
 				t.Errorf("refused: %v", fail)
 			}
 			if fail != nil && (fail.status != 503 || fail.wait <= 0) {
-				t.Errorf("refusal %+v", fail)
+				t.Errorf("wrong refusal: %+v", fail)
 			}
 		})
 	}
@@ -73,12 +73,12 @@
 	clock.Advance(grace - stopMargin - time.Nanosecond)
 	select {
 	case e := <-ends:
-		t.Fatalf("refused while there is time: %+v", e.fail)
+		t.Fatalf("refused although there is time left: %+v", e.fail)
 	default:
 	}
 	clock.Advance(time.Nanosecond)
 	if e := <-ends; e.fail == nil || e.lost || e.fail.status != 503 || e.fail.wait != stoppingRetryAfter {
-		t.Errorf("end %+v, want a refusal that tells to come back at once", e)
+		t.Errorf("result %+v, want a refusal with a short Retry-After", e)
 	}
 }
 
@@ -87,13 +87,13 @@
 	s.Stop(start, start.Add(7*time.Second))
 	f := &flow{server: s, route: &proto.Route{Name: "long", Kind: proto.RouteStream}, startedAt: start.Add(time.Second)}
 	if fail := f.refuseStopping(); fail != nil {
-		t.Fatalf("refused before anything is known: %s", fail.reason)
+		t.Fatalf("refused before any duration is known: %s", fail.reason)
 	}
 	for range 50 {
 		s.requestTimes.observe("long", minStreamTime, 6500*time.Millisecond)
 	}
 	if f.refuseStopping() == nil {
-		t.Error("taken, though streams of the route take longer than there is time")
+		t.Error("accepted, although streams of the route take longer than the time left")
 	}
 }
 
@@ -107,9 +107,9 @@
 		name string
 		end  func(w fixture)
 	}{
-		{"until it knows what it needs", func(w fixture) { close(w.started) }},
-		{"until its caller leaves", func(w fixture) { w.leave() }},
-		{"not for long", func(w fixture) { w.clock.Advance(startupWait) }},
+		{"until the daemon has started", func(w fixture) { close(w.started) }},
+		{"until the caller leaves", func(w fixture) { w.leave() }},
+		{"until the wait is over", func(w fixture) { w.clock.Advance(startupWait) }},
 	}
 	for _, c := range scenarios {
 		t.Run(c.name, func(t *testing.T) {
@@ -127,7 +127,7 @@
 			}
 			select {
 			case <-done:
-				t.Fatal("it did not wait")
+				t.Fatal("the request did not wait")
 			default:
 			}
 			c.end(w)
@@ -140,10 +140,10 @@
 	f := &flow{route: &proto.Route{MaxPause: 200 * time.Millisecond}, startedAt: start, due: start.Add(time.Second), firstEventAt: start.Add(500 * time.Millisecond)}
 	f.longestPause = f.route.MaxPause
 	if !f.onTime(start.Add(time.Minute)) {
-		t.Error("late, though its first event and its pauses were in time")
+		t.Error("late, although its first event and its pauses were on time")
 	}
 	f.longestPause++
 	if f.onTime(start.Add(time.Minute)) {
-		t.Error("in time in spite of a pause that is too long")
+		t.Error("on time despite a pause that is too long")
 	}
 }
--- a/relay/stages_test.go
+++ b/relay/stages_test.go
@@ -81,10 +81,10 @@
 		order   string
 		handles string
 	}{
-		{"the large one last, when the chain's last stage has begun", []int{1, 1, 2, 3}, "1230", "[0.0 3.0 3.1 3.2]"},
-		{"without the large one", []int{0, 1, 2, 3}, "123", "[3.0 3.1 3.2]"},
-		{"only the large one", []int{2, 0, 0, 0}, "0", "[0.0 0.1]"},
-		{"none", nil, "", "[]"},
+		{"the large stage runs last, once the last stage of the chain has started", []int{1, 1, 2, 3}, "1230", "[0.0 3.0 3.1 3.2]"},
+		{"without the large stage", []int{0, 1, 2, 3}, "123", "[3.0 3.1 3.2]"},
+		{"only the large stage", []int{2, 0, 0, 0}, "0", "[0.0 0.1]"},
+		{"no stages", nil, "", "[]"},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -95,7 +95,7 @@
 			}
 			// The last two may start at the same time.
 			if got := peers.stages(); got != s.order && !(s.order == "1230" && got == "1203") {
-				t.Errorf("stages were asked for in the order %s, want %s", got, s.order)
+				t.Errorf("stages were requested in the order %s, want %s", got, s.order)
 			}
 			if got := fmt.Sprint(f.inputHandles); got != s.handles {
 				t.Errorf("the request's inputs are %s, want %s", got, s.handles)
@@ -113,16 +113,16 @@
 	for _, a := range peers.asked {
 		want := map[int]string{0: "[]", 1: "[]", 2: "[1.0]", 3: "[2.0 2.1]"}[a.Stage]
 		if fmt.Sprint(a.Inputs) != want {
-			t.Errorf("stage %d got %v, want %s", a.Stage, a.Inputs, want)
+			t.Errorf("stage %d received the inputs %v, want %s", a.Stage, a.Inputs, want)
 		}
 		if (a.Key != "") != (a.Stage < 2) {
-			t.Errorf("stage %d got the key %q: only stages without inputs need it", a.Stage, a.Key)
+			t.Errorf("stage %d received the key %q: only stages without inputs need it", a.Stage, a.Key)
 		}
 		if want := map[bool]string{true: "p"}[a.Stage >= 2]; a.InputPool != want {
-			t.Errorf("stage %d may have results of pool %q freed, want %q", a.Stage, a.InputPool, want)
+			t.Errorf("stage %d may free results of pool %q, want %q", a.Stage, a.InputPool, want)
 		}
 		if a.NoWorkDone != (a.Stage == 1) {
-			t.Errorf("stage %d: refusing it wastes nothing: %v", a.Stage, a.NoWorkDone)
+			t.Errorf("stage %d: no work done yet: %v", a.Stage, a.NoWorkDone)
 		}
 	}
 }
@@ -144,7 +144,7 @@
 	}
 	// Two stages follow, each with a queue delay that was reported a moment ago.
 	if less := first.DueIn - second.DueIn; less < 3*time.Second || less > 4*time.Second {
-		t.Errorf("the first stage is due %v earlier for two queues of 2s", less)
+		t.Errorf("the first stage is due %v earlier because of two queues of 2s", less)
 	}
 }
 
@@ -173,7 +173,7 @@
 		due[tokens] = peers.asked[0].DueIn
 	}
 	if less := due[1_000] - due[20_000]; less < 900*time.Millisecond || less > 1100*time.Millisecond {
-		t.Errorf("the stage of the long prompt is due %v earlier, want what reading 19,000 tokens takes", less)
+		t.Errorf("the stage of the long prompt is due %v earlier, want the time to read 19,000 tokens", less)
 	}
 }
 
@@ -188,11 +188,11 @@
 		{time.Hour, 0},
 	} {
 		if got := q.estimate(start.Add(s.age), key); got != s.want {
-			t.Errorf("after %v it counts %v, want %v", s.age, got, s.want)
+			t.Errorf("after %v the queue counts as %v, want %v", s.age, got, s.want)
 		}
 	}
 	if got := q.estimate(start, queueKey{shard{pool: "p"}, 0}); got != 0 {
-		t.Errorf("another rank's queue counts %v", got)
+		t.Errorf("the queue of another rank counts as %v", got)
 	}
 }
 
@@ -204,10 +204,10 @@
 		t.Fatal(fail.reason)
 	}
 	if peers.asked[0].NoWorkDone {
-		t.Error("the stage of a stream that has begun may be refused for a queue")
+		t.Error("the stage of a started stream may be refused because of a queue")
 	}
 	if !peers.asked[0].AnswerStarted {
-		t.Error("the stage of a stream that has begun may be given up in the queue")
+		t.Error("the stage of a started stream may be dropped from the queue")
 	}
 }
 
@@ -218,12 +218,12 @@
 		for _, queue := range []time.Duration{0, time.Second, time.Minute} {
 			got := f.queueRetryAfter(300*time.Millisecond, queue)
 			if got < minRetryWait || got > max(minRetryWait, left/retryAfterDivisor) {
-				t.Errorf("with %s left and a queue of %s: come back in %s", left, queue, got)
+				t.Errorf("with %s left and a queue of %s: Retry-After is %s", left, queue, got)
 			}
 		}
 	}
 	f.deadline = f.server.clock.Now().Add(time.Minute)
 	if got := f.queueRetryAfter(300*time.Millisecond, 2*time.Second); got < 4*time.Second {
-		t.Errorf("come back in %s, before the queue has drained", got)
+		t.Errorf("Retry-After is %s, before the queue has drained", got)
 	}
 }
--- a/relay/table_test.go
+++ b/relay/table_test.go
@@ -26,8 +26,8 @@
 		{"root", "a.example", "/q", "wide"},
 		{"a prefix ends with a slash", "a.example", "/x", "wide"},
 		{"case and port of the host do not matter", "A.Example:8080", "/x/y/", "deep"},
-		{"no route of the host", "b.example", "/x/", ""},
-		{"no such host", "c.example", "/", ""},
+		{"no matching route of the host", "b.example", "/x/", ""},
+		{"unknown host", "c.example", "/", ""},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -45,27 +45,27 @@
 func TestAPIKeysBelongToWorkspaces(t *testing.T) {
 	table := NewTable(routing(1))
 	if w := table.Owner("key-2"); w == nil || w.Name != "north" {
-		t.Errorf("owner of key-2 is %v", w)
+		t.Errorf("the owner of key-2 is %v", w)
 	}
 	if table.Owner("") != nil || table.Owner("key-3") != nil {
-		t.Error("an unknown key has an owner")
+		t.Error("an unknown API key has an owner")
 	}
 }
 
 func TestTableVersionNeverDecreases(t *testing.T) {
 	tables := &Tables{}
 	if tables.Current() != nil || tables.Version() != 0 {
-		t.Fatal("a table is in force before any was adopted")
+		t.Fatal("there is a current table before any was set")
 	}
 	for _, s := range []struct {
 		version uint64
 		adopted bool
 	}{{5, true}, {4, false}, {5, false}, {9, true}, {8, false}} {
 		if got := tables.ReplaceIfNewer(routing(s.version)); got != s.adopted {
-			t.Errorf("version %d adopted: %v, want %v", s.version, got, s.adopted)
+			t.Errorf("version %d became current: %v, want %v", s.version, got, s.adopted)
 		}
 	}
 	if tables.Version() != 9 {
-		t.Errorf("version %d in force, want 9", tables.Version())
+		t.Errorf("the current version is %d, want 9", tables.Version())
 	}
 }
--- a/relay/typical_test.go
+++ b/relay/typical_test.go
@@ -11,7 +11,7 @@
 	var times durationEstimates[string]
 	const prior = 300 * time.Millisecond
 	if got := times.upperBound("a", prior); got != prior {
-		t.Errorf("before anything was seen %v", got)
+		t.Errorf("the upper bound without observations is %v", got)
 	}
 	sample := func(mean time.Duration) time.Duration {
 		return time.Duration(float64(mean) * (0.6 + 0.8*noise.Float64()))
@@ -27,15 +27,15 @@
 			}
 		}
 		if upperBound := times.upperBound("a", prior); enough < 180 || upperBound > 2*mean {
-			t.Errorf("mean %v: %v is enough for %d of 200", mean, upperBound, enough)
+			t.Errorf("mean %v: the upper bound %v is sufficient for %d of 200", mean, upperBound, enough)
 		}
 	}
 	before := times.upperBound("a", prior)
 	times.observe("a", prior, time.Hour)
 	if got := times.upperBound("a", prior); got > 2*before {
-		t.Errorf("one hour moved %v to %v", before, got)
+		t.Errorf("an outlier of one hour changed the upper bound from %v to %v", before, got)
 	}
 	if got := times.upperBound("b", prior); got != prior {
-		t.Errorf("another key knows %v", got)
+		t.Errorf("the upper bound of another key is %v", got)
 	}
 }
