--- a/core/bench_test.go
+++ b/core/bench_test.go
@@ -27,7 +27,7 @@
 	now := time.Unix(1_700_000_000, 0)
 	p.configure(spec, nil, func(proto.VM) (bool, time.Time) { return false, time.Time{} })
 	for i := range targets {
-		p.report(now, proto.Load{Target: fmt.Sprintf("t-%d", i), Running: i % 7, Slots: 8, At: now})
+		p.recordLoad(now, proto.Load{Target: fmt.Sprintf("t-%d", i), Running: i % 7, Slots: 8, At: now})
 	}
 	return p, &Ticket{Need: Need{Zone: "r/1", Prefix: "some prompt", ServiceTime: 0.2}}
 }
--- a/core/engine.go
+++ b/core/engine.go
@@ -129,7 +129,7 @@
 	leaving := e.leavingFunc(s, now, lead)
 	// Pools are created in order of name, so that the same configuration gives each pool the same random source.
 	for _, name := range slices.Sorted(maps.Keys(s.Pools)) {
-		e.poolLocked(name, s).configure(s.Pools[name], s.Workspaces, leaving)
+		e.getOrCreatePoolLocked(name, s).configure(s.Pools[name], s.Workspaces, leaving)
 	}
 	for name, p := range e.pools {
 		if s.Pools[name] == nil {
@@ -139,7 +139,7 @@
 	return true
 }
 
-func (e *Engine) poolLocked(name string, s *proto.Snapshot) *pool {
+func (e *Engine) getOrCreatePoolLocked(name string, s *proto.Snapshot) *pool {
 	p := e.pools[name]
 	if p == nil {
 		random := rand.New(rand.NewPCG(e.seed, uint64(len(e.pools)+1)))
@@ -215,7 +215,7 @@
 func (e *Engine) TakeDemand() []proto.DemandRow {
 	var rows []proto.DemandRow
 	for _, p := range e.allPools() {
-		for model, spent := range p.usage.takeModels() {
+		for model, spent := range p.usage.takeModelUsage() {
 			rows = append(rows, proto.DemandRow{Pool: p.name, Model: model, Spent: spent})
 		}
 	}
@@ -229,54 +229,54 @@
 	grants  []grant
 }
 
-func (t *eventResult) emit(a Action) { t.actions = append(t.actions, a) }
+func (res *eventResult) emit(a Action) { res.actions = append(res.actions, a) }
 
 // Handle processes an event and returns the resulting actions in order.
 func (e *Engine) Handle(now time.Time, event Event) []Action {
-	t := &eventResult{now: now}
+	res := &eventResult{now: now}
 	switch ev := event.(type) {
 	case Arrival:
-		e.arrive(t, &ev)
+		e.arrive(res, &ev)
 	case AttemptEnded:
-		e.withRequest(ev.Attempt.Request, func(r *request) { e.attemptEnded(t, r, &ev) }, func() { e.stats.late(ev.Busy) })
+		e.withRequest(ev.Attempt.Request, func(r *request) { e.attemptEnded(res, r, &ev) }, func() { e.stats.countLate(ev.Busy) })
 	case AttemptChunk:
-		e.withRequest(ev.Attempt.Request, func(r *request) { e.chunk(t, r, &ev) }, func() { e.stats.late(0) })
+		e.withRequest(ev.Attempt.Request, func(r *request) { e.forwardChunk(res, r, &ev) }, func() { e.stats.countLate(0) })
 	case CallerLeft:
-		e.withRequest(ev.Request, func(r *request) { e.callerLeft(t, r, ev.Slow) }, nil)
+		e.withRequest(ev.Request, func(r *request) { e.callerLeft(res, r, ev.Slow) }, nil)
 	case ClaimAnswered:
-		e.withRequest(ev.Request, func(r *request) { e.claimAnswered(t, r, &ev) }, nil)
+		e.withRequest(ev.Request, func(r *request) { e.claimAnswered(res, r, &ev) }, nil)
 	case LoadReported:
 		if p := e.poolByName(ev.Pool); p != nil {
-			t.grants = append(t.grants, p.report(now, ev.Load)...)
+			res.grants = append(res.grants, p.recordLoad(now, ev.Load)...)
 		}
 	case CacheReported:
 		if p := e.poolByName(ev.Pool); p != nil {
-			p.cacheEvent(ev.Event)
+			p.applyCacheEvent(ev.Event)
 		}
 	case UsageReported:
 		if p := e.poolByName(ev.Pool); p != nil {
 			p.usage.add(ev.Workspace, now, ev.Spent, false)
 		}
 	case StopCheck:
-		e.checkStops(t, ev.Lead)
+		e.checkStops(res, ev.Lead)
 	case Exported:
-		e.withRequest(ev.Attempt.Request, func(r *request) { e.exported(t, r, &ev) }, nil)
+		e.withRequest(ev.Attempt.Request, func(r *request) { e.exported(res, r, &ev) }, nil)
 	case Tick:
-		e.tick(t)
+		e.tick(res)
 	}
-	for len(t.grants) > 0 {
-		g := t.grants[0]
-		t.grants = t.grants[1:]
-		e.granted(t, g)
+	for len(res.grants) > 0 {
+		g := res.grants[0]
+		res.grants = res.grants[1:]
+		e.granted(res, g)
 	}
-	return t.actions
+	return res.actions
 }
 
-func (e *Engine) withRequest(id proto.RequestID, fn func(*request), notFound func()) {
+func (e *Engine) withRequest(id proto.RequestID, handle func(*request), notFound func()) {
 	e.requests.With(id, func(items map[proto.RequestID]*request) {
 		r := items[id]
 		if r != nil {
-			fn(r)
+			handle(r)
 			removeIfDone(items, r)
 			return
 		}
@@ -302,20 +302,20 @@
 	return e.timers.Pop()
 }
 
-func (e *Engine) tick(t *eventResult) {
-	e.pauses.tick(t.now)
+func (e *Engine) tick(res *eventResult) {
+	e.pauses.tick(res.now)
 	for {
-		next, ok := e.popDue(t.now)
+		next, ok := e.popDue(res.now)
 		if !ok {
 			break
 		}
-		e.withRequest(next.request, func(r *request) { e.timerFired(t, r, next.attempt) }, nil)
+		e.withRequest(next.request, func(r *request) { e.timerFired(res, r, next.attempt) }, nil)
 	}
 	for _, p := range e.allPools() {
-		expired, grants := p.poll(t.now)
-		t.grants = append(t.grants, grants...)
+		expired, grants := p.poll(res.now)
+		res.grants = append(res.grants, grants...)
 		for _, ticket := range expired {
-			e.withRequest(ticket.Request, func(r *request) { e.expired(t, r, ticket) }, nil)
+			e.withRequest(ticket.Request, func(r *request) { e.expired(res, r, ticket) }, nil)
 		}
 	}
 }
--- a/core/flow.go
+++ b/core/flow.go
@@ -13,12 +13,12 @@
 	minHedgeDelay = 20 * time.Millisecond
 )
 
-func (e *Engine) arrive(t *eventResult, a *Arrival) {
+func (e *Engine) arrive(res *eventResult, a *Arrival) {
 	s := e.snapshot.Load()
 	service := s.Services[a.Service]
 	workspace := s.Workspaces[a.Workspace]
 	if service == nil || workspace == nil || !mayCall(service, a.Workspace) {
-		t.emit(Finish{Request: a.ID, Generation: s.Generation, Failure: &proto.Failure{
+		res.emit(Finish{Request: a.ID, Generation: s.Generation, Failure: &proto.Failure{
 			Kind: proto.FailureNotFound, Outcome: proto.OutcomeNotRun,
 			Detail: fmt.Sprintf("workspace %q has no service %q", a.Workspace, a.Service),
 		}})
@@ -38,8 +38,8 @@
 		key:        a.Key,
 		hasKey:     a.Key != proto.Key{},
 		repeatable: a.Repeatable && service.MayRepeat(),
-		arrived:    t.now,
-		deadline:   e.pauses.arrived(t.now).Add(deadline),
+		arrived:    res.now,
+		deadline:   e.pauses.arrived(res.now).Add(deadline),
 		prefix:     a.Prefix,
 		input:      a.Input,
 		wantStream: a.Stream,
@@ -48,16 +48,16 @@
 	for i := range service.Stages {
 		r.pools = append(r.pools, e.poolByName(service.Stages[i].Pool))
 	}
-	e.stats.requested(a.Workspace)
-	if refusal := e.admit(t, r, a.QuorumLost); refusal != nil {
-		e.stats.ended(r, t.now, refusal)
-		t.emit(Finish{Request: a.ID, Failure: refusal, Generation: r.generation})
+	e.stats.countRequest(a.Workspace)
+	if refusal := e.admit(res, r, a.QuorumLost); refusal != nil {
+		e.stats.recordEnd(r, res.now, refusal)
+		res.emit(Finish{Request: a.ID, Failure: refusal, Generation: r.generation})
 		return
 	}
 	e.requests.With(r.id, func(items map[proto.RequestID]*request) {
 		items[r.id] = r
 		e.addTimer(r.deadline, r.id, 0)
-		e.begin(t, r)
+		e.begin(res, r)
 		removeIfDone(items, r)
 	})
 }
@@ -76,8 +76,8 @@
 
 // admit rejects requests that cannot finish in time as early as possible: that costs no target time, and the caller can
 // react at once.
-func (e *Engine) admit(t *eventResult, r *request, quorumLost bool) *proto.Failure {
-	if !t.now.Before(r.deadline) {
+func (e *Engine) admit(res *eventResult, r *request, quorumLost bool) *proto.Failure {
+	if !res.now.Before(r.deadline) {
 		return &proto.Failure{
 			Kind: proto.FailureTooLate, Outcome: proto.OutcomeNotRun, RetryAfter: minRetryAfter,
 			Detail: "the daemon was paused, and the request may have waited beyond its deadline",
@@ -92,10 +92,10 @@
 	if !e.tuning.Admission {
 		return nil
 	}
-	queueDelay := e.queueDelay(t.now, r, 0)
+	queueDelay := e.queueDelay(res.now, r, 0)
 	work := e.remaining(r, 0)
-	if t.now.Add(queueDelay + work).Before(r.deadline) {
-		return e.admitToPools(t, r, queueDelay)
+	if res.now.Add(queueDelay + work).Before(r.deadline) {
+		return e.admitToPools(res, r, queueDelay)
 	}
 	kind := proto.FailureOverloaded
 	if queueDelay == 0 {
@@ -103,16 +103,16 @@
 	}
 	return &proto.Failure{
 		Kind: kind, Outcome: proto.OutcomeNotRun,
-		Detail:     fmt.Sprintf("expected %s of waiting and %s of work do not fit into %s", queueDelay.Round(time.Millisecond), work.Round(time.Millisecond), r.deadline.Sub(t.now)),
+		Detail:     fmt.Sprintf("expected %s of waiting and %s of work do not fit into %s", queueDelay.Round(time.Millisecond), work.Round(time.Millisecond), r.deadline.Sub(res.now)),
 		RetryAfter: retryAfter(queueDelay),
 	}
 }
 
 // admitToPools rejects a request that needs more of an overloaded pool than other requests waiting for it.
-func (e *Engine) admitToPools(t *eventResult, r *request, queueDelay time.Duration) *proto.Failure {
+func (e *Engine) admitToPools(res *eventResult, r *request, queueDelay time.Duration) *proto.Failure {
 	works := e.expectedWork(r)
 	for i, p := range r.pools {
-		if !p.admits(t.now, r.deadline.Add(-e.remaining(r, i)), r.workspace, works[i]) {
+		if !p.admits(res.now, r.deadline.Add(-e.remaining(r, i)), r.workspace, works[i]) {
 			return &proto.Failure{
 				Kind: proto.FailureOverloaded, Outcome: proto.OutcomeNotRun,
 				Detail:     fmt.Sprintf("pool %s is overloaded and others need less of it", p.name),
@@ -120,7 +120,7 @@
 			}
 		}
 	}
-	e.commitWork(t.now, r, works)
+	e.commitWork(res.now, r, works)
 	return nil
 }
 
@@ -129,16 +129,16 @@
 }
 
 // begin first claims the key if a stage may run only once, so that a rejected key is known before any stage runs.
-func (e *Engine) begin(t *eventResult, r *request) {
+func (e *Engine) begin(res *eventResult, r *request) {
 	if r.hasKey && r.runsOnce() {
 		r.claim = claimPending
-		t.emit(Claim{Request: r.id, Key: r.key})
+		res.emit(Claim{Request: r.id, Key: r.key})
 		return
 	}
-	e.enqueue(t, r)
+	e.enqueue(res, r)
 }
 
-func (e *Engine) enqueue(t *eventResult, r *request) {
+func (e *Engine) enqueue(res *eventResult, r *request) {
 	spec := r.stageSpec()
 	mean, _, known := e.estimates.of(r.service.Name, spec.Name)
 	if !known {
@@ -158,7 +158,7 @@
 			Exclude:     r.exclude, Deadline: r.deadline,
 		},
 	}
-	t.grants = append(t.grants, r.pool().offer(t.now, r.ticket)...)
+	res.grants = append(res.grants, r.pool().offer(res.now, r.ticket)...)
 }
 
 // cachePrefix returns the prefix of the request for engine pools, since only engines have a prefix cache.
@@ -170,50 +170,50 @@
 }
 
 // granted starts an attempt, unless the request has ended while its ticket was queued.
-func (e *Engine) granted(t *eventResult, g grant) {
+func (e *Engine) granted(res *eventResult, g grant) {
 	taken := false
 	e.withRequest(g.ticket.Request, func(r *request) {
 		if r.ticket != g.ticket || g.ticket.withdrawn {
 			return
 		}
 		r.ticket = nil
-		if !t.now.Before(r.deadline) {
-			e.fail(t, r, proto.FailureDeadline, "the deadline has passed", 0)
+		if !res.now.Before(r.deadline) {
+			e.fail(res, r, proto.FailureDeadline, "the deadline has passed", 0)
 			return
 		}
 		taken = true
-		e.start(t, r, g)
+		e.start(res, r, g)
 	}, nil)
 	if !taken {
-		t.grants = append(t.grants, g.pool.returnGrant(t.now, g.target, g.ticket.Need.ServiceTime)...)
+		res.grants = append(res.grants, g.pool.returnGrant(res.now, g.target, g.ticket.Need.ServiceTime)...)
 	}
 }
 
-func (e *Engine) start(t *eventResult, r *request, g grant) {
+func (e *Engine) start(res *eventResult, r *request, g grant) {
 	r.attemptCount++
 	spec := r.stageSpec()
 	a := &attempt{
 		id:        proto.AttemptID{Request: r.id, Stage: r.stage, Number: r.attemptCount},
 		pool:      g.pool,
 		target:    g.target,
-		startedAt: t.now,
+		startedAt: res.now,
 		expected:  g.ticket.Need.ServiceTime,
 		prefix:    g.ticket.Need.Prefix,
 	}
 	r.attempts[r.attemptCount] = a
 	defer func() { r.cacheHandle = "" }()
-	r.releaseCommitment(t.now, r.stage)
+	r.releaseCommitment(res.now, r.stage)
 	r.possibleStarts++
 	if !r.mayRepeat() {
 		r.unsafeStarts++
 	}
-	e.stats.attempt(r.service.Name, spec.Name)
-	if at, ok := e.hedgeAt(t.now, r); ok {
+	e.stats.countAttempt(r.service.Name, spec.Name)
+	if at, ok := e.hedgeAt(res.now, r); ok {
 		e.addTimer(at, r.id, a.id.Number)
 	}
-	t.emit(Start{
+	res.emit(Start{
 		ID: a.id, Pool: g.pool.name, Target: g.target.spec, Workspace: r.workspace, Service: r.service.Name,
-		Stage: *spec, Input: r.input, Prefix: g.ticket.Need.Prefix, Priority: priority(r.deadline.Sub(t.now)),
+		Stage: *spec, Input: r.input, Prefix: g.ticket.Need.Prefix, Priority: priority(r.deadline.Sub(res.now)),
 		Deadline: r.deadline, Stream: spec.Stream, Offset: r.offset, Delivered: string(r.text), CacheHandle: r.cacheHandle, MayRepeat: r.mayRepeat(),
 	})
 }
@@ -237,30 +237,30 @@
 	return now.Add(wait), now.Add(wait).Before(r.deadline)
 }
 
-func (e *Engine) timerFired(t *eventResult, r *request, number int) {
+func (e *Engine) timerFired(res *eventResult, r *request, number int) {
 	if number == 0 {
-		e.fail(t, r, proto.FailureDeadline, "the deadline has passed", e.queueDelay(t.now, r, r.stage))
+		e.fail(res, r, proto.FailureDeadline, "the deadline has passed", e.queueDelay(res.now, r, r.stage))
 		return
 	}
 	a := r.attempts[number]
 	if a == nil || a.id.Stage != r.stage {
 		return
 	}
-	if e.pauses.overlapped(a.startedAt, t.now) {
+	if e.pauses.overlapped(a.startedAt, res.now) {
 		return
 	}
-	a.pool.recordSlow(a.target, t.now.Sub(a.startedAt).Seconds()/a.expected)
+	a.pool.recordSlow(a.target, res.now.Sub(a.startedAt).Seconds()/a.expected)
 	if r.hedged || r.ticket != nil || !a.pool.takeHedge() {
 		return
 	}
 	r.hedged = true
 	r.exclude = a.target.spec.Name
-	e.stats.hedge(r.service.Name, r.stageSpec().Name)
-	e.enqueue(t, r)
+	e.stats.countHedge(r.service.Name, r.stageSpec().Name)
+	e.enqueue(res, r)
 }
 
 // expired ends a request whose ticket stayed queued until the deadline could no longer be met.
-func (e *Engine) expired(t *eventResult, r *request, ticket *Ticket) {
+func (e *Engine) expired(res *eventResult, r *request, ticket *Ticket) {
 	if r.ticket != ticket {
 		return
 	}
@@ -268,61 +268,61 @@
 	if len(r.attempts) > 0 {
 		return
 	}
-	e.fail(t, r, proto.FailureOverloaded, "waited until the deadline could no longer be met", t.now.Sub(ticket.Since))
+	e.fail(res, r, proto.FailureOverloaded, "waited until the deadline could no longer be met", res.now.Sub(ticket.Since))
 }
 
-func (e *Engine) callerLeft(t *eventResult, r *request, slow bool) {
+func (e *Engine) callerLeft(res *eventResult, r *request, slow bool) {
 	kind := proto.FailureCallerLeft
 	if slow {
 		kind = proto.FailureSlowCaller
 	}
-	e.fail(t, r, kind, "the caller left before the answer", 0)
+	e.fail(res, r, kind, "the caller left before the answer", 0)
 }
 
-func (e *Engine) claimAnswered(t *eventResult, r *request, ev *ClaimAnswered) {
+func (e *Engine) claimAnswered(res *eventResult, r *request, ev *ClaimAnswered) {
 	if r.claim != claimPending {
 		return
 	}
 	switch ev.Result {
 	case ClaimGranted:
 		r.claim = claimHeld
-		e.enqueue(t, r)
+		e.enqueue(res, r)
 	case ClaimDone:
 		r.claim = claimSettled
-		e.replay(t, r, ev.Answer)
+		e.replay(res, r, ev.Answer)
 	case ClaimTaken:
 		r.claim = claimSettled
-		e.conflict(t, r, proto.FailureKeyTaken, proto.OutcomeMayHaveRun, "the key was used before and its request may have run")
+		e.conflict(res, r, proto.FailureKeyTaken, proto.OutcomeMayHaveRun, "the key was used before and its request may have run")
 	case ClaimMismatch:
 		r.claim = claimSettled
-		e.conflict(t, r, proto.FailureKeyMismatch, r.outcome(), "the key was used for another request")
+		e.conflict(res, r, proto.FailureKeyMismatch, r.outcome(), "the key was used for another request")
 	case ClaimTooOld:
 		r.claim = claimSettled
-		e.conflict(t, r, proto.FailureKeyTooOld, proto.OutcomeMayHaveRun, "the key is older than what is remembered, so its request may have run")
+		e.conflict(res, r, proto.FailureKeyTooOld, proto.OutcomeMayHaveRun, "the key is older than what is remembered, so its request may have run")
 	case ClaimTooNew:
 		r.claim = claimSettled
-		e.conflict(t, r, proto.FailureKeyInvalid, r.outcome(), "the key's time lies in the future")
+		e.conflict(res, r, proto.FailureKeyInvalid, r.outcome(), "the key's time lies in the future")
 	default:
 		r.claim = claimSettled
-		e.conflict(t, r, proto.FailureNoQuorum, r.outcome(), "too few replicas could be asked whether the key was used")
+		e.conflict(res, r, proto.FailureNoQuorum, r.outcome(), "too few replicas could be asked whether the key was used")
 	}
 }
 
 // replay returns the stored answer to a caller that repeated its key.
-func (e *Engine) replay(t *eventResult, r *request, answer []byte) {
+func (e *Engine) replay(res *eventResult, r *request, answer []byte) {
 	if answer == nil {
-		e.conflict(t, r, proto.FailureKeyTaken, proto.OutcomeRan, "the key's request ran, and its answer is no longer kept")
+		e.conflict(res, r, proto.FailureKeyTaken, proto.OutcomeRan, "the key's request ran, and its answer is no longer kept")
 		return
 	}
-	e.finish(t, r, answer, nil)
+	e.finish(res, r, answer, nil)
 }
 
-func (e *Engine) conflict(t *eventResult, r *request, kind proto.FailureKind, outcome proto.Outcome, detail string) {
-	e.finish(t, r, nil, &proto.Failure{Kind: kind, Outcome: outcome, Detail: detail, RetryAfter: time.Second})
+func (e *Engine) conflict(res *eventResult, r *request, kind proto.FailureKind, outcome proto.Outcome, detail string) {
+	e.finish(res, r, nil, &proto.Failure{Kind: kind, Outcome: outcome, Detail: detail, RetryAfter: time.Second})
 }
 
 // fail ends a request with a failure whose outcome tells what is known about the request.
-func (e *Engine) fail(t *eventResult, r *request, kind proto.FailureKind, detail string, queueDelay time.Duration) {
+func (e *Engine) fail(res *eventResult, r *request, kind proto.FailureKind, detail string, queueDelay time.Duration) {
 	outcome := r.outcome()
 	if r.reason != "" {
 		detail += ": " + r.reason
@@ -331,46 +331,46 @@
 	if outcome == proto.OutcomeNotRun {
 		failure.RetryAfter = retryAfter(queueDelay)
 	}
-	e.finish(t, r, nil, failure)
+	e.finish(res, r, nil, failure)
 }
 
 // finish is the only way to end a request. The request is removed from its shard after the event has been handled.
-func (e *Engine) finish(t *eventResult, r *request, output []byte, failure *proto.Failure) {
+func (e *Engine) finish(res *eventResult, r *request, output []byte, failure *proto.Failure) {
 	if r.done {
 		return
 	}
 	r.done = true
-	e.dropWork(t, r)
+	e.dropWork(res, r)
 	for stage := range r.pools {
-		r.releaseCommitment(t.now, stage)
+		r.releaseCommitment(res.now, stage)
 	}
 	if r.claim == claimHeld {
 		r.claim = claimSettled
-		t.emit(Settle{Request: r.id, Key: r.key, Released: r.unsafeStarts == 0, Answer: output})
+		res.emit(Settle{Request: r.id, Key: r.key, Released: r.unsafeStarts == 0, Answer: output})
 	}
-	e.stats.ended(r, t.now, failure)
-	t.emit(Finish{Request: r.id, Output: output, Failure: failure, Generation: r.generation})
+	e.stats.recordEnd(r, res.now, failure)
+	res.emit(Finish{Request: r.id, Output: output, Failure: failure, Generation: r.generation})
 }
 
 // dropWork withdraws the request's ticket and cancels its attempts.
-func (e *Engine) dropWork(t *eventResult, r *request) {
+func (e *Engine) dropWork(res *eventResult, r *request) {
 	if r.ticket != nil {
 		r.ticket.withdrawn = true
 		r.ticket = nil
 	}
 	for number, a := range r.attempts {
 		delete(r.attempts, number)
-		e.abandon(t, r, a)
+		e.abandon(res, r, a)
 	}
 }
 
 // abandon cancels an attempt whose result is no longer needed. Any later answers of the attempt are dropped.
-func (e *Engine) abandon(t *eventResult, r *request, a *attempt) {
-	spent := t.now.Sub(a.startedAt)
-	if e.pauses.overlapped(a.startedAt, t.now) {
+func (e *Engine) abandon(res *eventResult, r *request, a *attempt) {
+	spent := res.now.Sub(a.startedAt)
+	if e.pauses.overlapped(a.startedAt, res.now) {
 		spent = seconds(a.expected)
 	}
-	t.emit(Cancel{Attempt: a.id})
-	e.stats.wasted(r.service.Name, r.service.Stages[a.id.Stage].Name, spent)
-	t.grants = append(t.grants, a.pool.abandoned(t.now, a, r.workspace, spent)...)
+	res.emit(Cancel{Attempt: a.id})
+	e.stats.recordWasted(r.service.Name, r.service.Stages[a.id.Stage].Name, spent)
+	res.grants = append(res.grants, a.pool.abandoned(res.now, a, r.workspace, spent)...)
 }
--- a/core/pool.go
+++ b/core/pool.go
@@ -223,8 +223,8 @@
 	p.backlog.release(now, c)
 }
 
-// ended records the end of an attempt and returns the resulting grants.
-func (p *pool) ended(now time.Time, a *attempt, workspace string, status AttemptStatus, took time.Duration, spent time.Duration, hit bool) []grant {
+// attemptEnded records the end of an attempt and returns the resulting grants.
+func (p *pool) attemptEnded(now time.Time, a *attempt, workspace string, status AttemptStatus, took time.Duration, spent time.Duration, hit bool) []grant {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	ratio := took.Seconds() / a.expected
@@ -279,7 +279,7 @@
 	t.slowness.Add(ratio)
 }
 
-func (p *pool) report(now time.Time, load proto.Load) []grant {
+func (p *pool) recordLoad(now time.Time, load proto.Load) []grant {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if t := p.byName[load.Target]; t != nil {
@@ -330,7 +330,7 @@
 	return p.queue.Len() == 0 && p.hedges.Take()
 }
 
-func (p *pool) cacheEvent(event proto.CacheEvent) {
+func (p *pool) applyCacheEvent(event proto.CacheEvent) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if t := p.byName[event.Target]; t != nil {
--- a/core/stats.go
+++ b/core/stats.go
@@ -97,33 +97,35 @@
 	fn()
 }
 
-func (s *Stats) requested(workspace string) { s.update(func() { s.workspace(workspace).Requests++ }) }
+func (s *Stats) countRequest(workspace string) {
+	s.update(func() { s.workspace(workspace).Requests++ })
+}
 
-func (s *Stats) attempt(service, stage string) {
+func (s *Stats) countAttempt(service, stage string) {
 	s.update(func() { s.stage(service, stage).Attempts++ })
 }
 
-func (s *Stats) retry(service, stage string) {
+func (s *Stats) countRetry(service, stage string) {
 	s.update(func() { s.stage(service, stage).Retries++ })
 }
 
-func (s *Stats) hedge(service, stage string) {
+func (s *Stats) countHedge(service, stage string) {
 	s.update(func() { s.stage(service, stage).Hedges++ })
 }
 
-func (s *Stats) late(time.Duration) { s.update(func() { s.drops.Late++ }) }
+func (s *Stats) countLate(time.Duration) { s.update(func() { s.drops.Late++ }) }
 
-func (s *Stats) duplicate() { s.update(func() { s.drops.Duplicates++ }) }
+func (s *Stats) countDuplicate() { s.update(func() { s.drops.Duplicates++ }) }
 
-func (s *Stats) gap() { s.update(func() { s.drops.Gaps++ }) }
+func (s *Stats) countGap() { s.update(func() { s.drops.Gaps++ }) }
 
-func (s *Stats) moved() { s.update(func() { s.drops.Moved++ }) }
+func (s *Stats) countMoved() { s.update(func() { s.drops.Moved++ }) }
 
-func (s *Stats) firstToken(_ string, took time.Duration) {
+func (s *Stats) recordFirstToken(_ string, took time.Duration) {
 	s.update(func() { _ = s.firstTokenLatency.RecordValue(int64(took)) })
 }
 
-func (s *Stats) wasted(service, stage string, spent time.Duration) {
+func (s *Stats) recordWasted(service, stage string, spent time.Duration) {
 	s.update(func() {
 		st := s.stage(service, stage)
 		st.Wasted++
@@ -131,7 +133,7 @@
 	})
 }
 
-func (s *Stats) spent(service, stage string, spent time.Duration, tokens int, status AttemptStatus) {
+func (s *Stats) recordSpent(service, stage string, spent time.Duration, tokens int, status AttemptStatus) {
 	s.update(func() {
 		st := s.stage(service, stage)
 		st.Busy += proto.Duration(spent)
@@ -142,7 +144,7 @@
 	})
 }
 
-func (s *Stats) ended(r *request, now time.Time, failure *proto.Failure) {
+func (s *Stats) recordEnd(r *request, now time.Time, failure *proto.Failure) {
 	s.update(func() {
 		w := s.workspace(r.workspace)
 		switch {
--- a/core/stops.go
+++ b/core/stops.go
@@ -8,8 +8,8 @@
 
 // checkStops takes the targets on leaving VMs out of service, and moves attempts that would not end before a planned
 // stop.
-func (e *Engine) checkStops(t *eventResult, lead time.Duration) {
-	leaving := e.leavingFunc(e.snapshot.Load(), t.now, lead)
+func (e *Engine) checkStops(res *eventResult, lead time.Duration) {
+	leaving := e.leavingFunc(e.snapshot.Load(), res.now, lead)
 	planned := false
 	for _, p := range e.allPools() {
 		planned = p.setLeaving(leaving) || planned
@@ -19,17 +19,17 @@
 	}
 	e.requests.EachShard(func(items map[proto.RequestID]*request) {
 		for _, r := range items {
-			e.moveDue(t, r, lead)
+			e.moveDue(res, r, lead)
 			removeIfDone(items, r)
 		}
 	})
 }
 
 // moveDue starts to move the attempts that may outlast the planned stop of their target.
-func (e *Engine) moveDue(t *eventResult, r *request, lead time.Duration) {
+func (e *Engine) moveDue(res *eventResult, r *request, lead time.Duration) {
 	for _, a := range r.attempts {
 		stopAt := a.pool.stopOf(a.target)
-		if stopAt.IsZero() || a.moving || !r.deadline.After(stopAt) || t.now.Before(stopAt.Add(-lead)) {
+		if stopAt.IsZero() || a.moving || !r.deadline.After(stopAt) || res.now.Before(stopAt.Add(-lead)) {
 			continue
 		}
 		if !r.mayRepeat() {
@@ -38,31 +38,31 @@
 		}
 		a.moving = true
 		if a.target.spec.ExportsCache && r.stageSpec().Stream {
-			t.emit(Export{Attempt: a.id, Target: a.target.spec})
+			res.emit(Export{Attempt: a.id, Target: a.target.spec})
 			continue
 		}
-		e.move(t, r, a, "")
+		e.move(res, r, a, "")
 		return
 	}
 }
 
-func (e *Engine) exported(t *eventResult, r *request, ev *Exported) {
+func (e *Engine) exported(res *eventResult, r *request, ev *Exported) {
 	a := r.attempts[ev.Attempt.Number]
 	if a == nil || a.id != ev.Attempt {
 		return
 	}
-	e.move(t, r, a, ev.Handle)
+	e.move(res, r, a, ev.Handle)
 }
 
 // move abandons an attempt and continues it at another target, after the part that the caller already has.
-func (e *Engine) move(t *eventResult, r *request, a *attempt, handle string) {
+func (e *Engine) move(res *eventResult, r *request, a *attempt, handle string) {
 	delete(r.attempts, a.id.Number)
-	e.abandon(t, r, a)
-	e.stats.moved()
+	e.abandon(res, r, a)
+	e.stats.countMoved()
 	if e.hasOtherAttempt(r) {
 		return
 	}
 	r.cacheHandle = handle
 	r.exclude = a.target.spec.Name
-	e.enqueue(t, r)
+	e.enqueue(res, r)
 }
--- a/core/usage.go
+++ b/core/usage.go
@@ -16,7 +16,7 @@
 	total      state.DecayingSum
 	weights    map[string]*proto.Workspace
 	unreported map[string]time.Duration
-	models     map[string]time.Duration // by model, since the last takeModels
+	modelUsage map[string]time.Duration // by model, since the last takeModelUsage
 }
 
 func newUsage(halfLife time.Duration) *usage {
@@ -24,7 +24,7 @@
 		halfLife:   halfLife,
 		spent:      map[string]*state.DecayingSum{},
 		unreported: map[string]time.Duration{},
-		models:     map[string]time.Duration{},
+		modelUsage: map[string]time.Duration{},
 	}
 }
 
@@ -95,17 +95,17 @@
 	return taken
 }
 
-func (u *usage) addModel(model string, spent time.Duration) {
+func (u *usage) addModelUsage(model string, spent time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.models[model] += spent
+	u.modelUsage[model] += spent
 }
 
-func (u *usage) takeModels() map[string]time.Duration {
+func (u *usage) takeModelUsage() map[string]time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	taken := u.models
-	u.models = map[string]time.Duration{}
+	taken := u.modelUsage
+	u.modelUsage = map[string]time.Duration{}
 	return taken
 }
 
--- a/proto/compress_test.go
+++ b/proto/compress_test.go
@@ -48,8 +48,8 @@
 
 // A small compressed message must not expand to more than the maximum message size.
 func TestOversizedDecompressedMessageIsRejected(t *testing.T) {
-	var packed bytes.Buffer
-	w, err := flate.NewWriter(&packed, flate.BestCompression)
+	var compressed bytes.Buffer
+	w, err := flate.NewWriter(&compressed, flate.BestCompression)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,12 +62,12 @@
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
-	data, err := encMode.Marshal(Envelope{Kind: MessageNews, Compressed: packed.Bytes()})
+	data, err := encMode.Marshal(Envelope{Kind: MessageNews, Compressed: compressed.Bytes()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := Decode(data); KindOf(err) != KindInvalid {
-		t.Errorf("%d compressed bytes: error %v", packed.Len(), err)
+		t.Errorf("%d compressed bytes: error %v", compressed.Len(), err)
 	}
 }
 
--- a/proto/regions.go
+++ b/proto/regions.go
@@ -15,26 +15,26 @@
 }
 
 // IsZero reports whether there is no restriction.
-func (h AllowedRegions) IsZero() bool { return !h.Restricted }
+func (a AllowedRegions) IsZero() bool { return !a.Restricted }
 
 // Allows reports whether a region is allowed.
-func (h AllowedRegions) Allows(region string) bool {
-	return !h.Restricted || slices.Contains(h.Regions, region)
+func (a AllowedRegions) Allows(region string) bool {
+	return !a.Restricted || slices.Contains(a.Regions, region)
 }
 
 // Intersect returns the regions that both restrictions allow.
-func (h AllowedRegions) Intersect(other AllowedRegions) AllowedRegions {
+func (a AllowedRegions) Intersect(other AllowedRegions) AllowedRegions {
 	switch {
-	case !h.Restricted:
+	case !a.Restricted:
 		return other
 	case !other.Restricted:
-		return h
+		return a
 	}
-	both := AllowedRegions{Restricted: true}
-	for _, region := range h.Regions {
+	common := AllowedRegions{Restricted: true}
+	for _, region := range a.Regions {
 		if other.Allows(region) {
-			both.Regions = append(both.Regions, region)
+			common.Regions = append(common.Regions, region)
 		}
 	}
-	return both
+	return common
 }
