--- a/coord/alarms.go
+++ b/coord/alarms.go
@@ -13,7 +13,7 @@
 // raiseAlarm reports over the links that a daemon went silent, or that it was heard again.
 func (m *Members) raiseAlarm(now time.Time, mem *member, silent bool) {
 	m.alarmSequence++
-	alarm := proto.Alarm{Subject: mem.alive.VM, Incarnation: mem.alive.Incarnation, Reporter: m.self.VM, Sequence: m.alarmSequence, Silent: silent}
+	alarm := proto.Alarm{Subject: mem.announcement.VM, Incarnation: mem.announcement.Incarnation, Reporter: m.self.VM, Sequence: m.alarmSequence, Silent: silent}
 	mem.alarms[m.self.VM] = alarm
 	if silent {
 		m.alarmCount++
@@ -37,7 +37,7 @@
 		return
 	}
 	mem := m.members[a.Subject]
-	if mem == nil || a.Incarnation != mem.alive.Incarnation {
+	if mem == nil || a.Incarnation != mem.announcement.Incarnation {
 		return
 	}
 	if old, ok := mem.alarms[a.Reporter]; ok && old.Sequence >= a.Sequence {
@@ -102,7 +102,7 @@
 // reported on it.
 func (m *Members) monitors(mem *member) []proto.VM {
 	if !mem.dead {
-		return m.linkGraph().regional[mem.alive.VM]
+		return m.linkGraph().regional[mem.announcement.VM]
 	}
 	monitors := make([]proto.VM, 0, len(mem.alarms))
 	for vm := range mem.alarms {
@@ -112,14 +112,14 @@
 }
 
 func (m *Members) checkLink(now time.Time, mem *member) {
-	if mem == nil || mem.alarming || !mem.announced {
+	if mem == nil || mem.alarmRaised || !mem.announced {
 		return
 	}
 	if mem.lastSeen.IsZero() {
 		mem.lastSeen = now
 	}
 	if now.Sub(m.silentSince(mem)) > m.timing.SilenceTimeout {
-		mem.alarming = true
+		mem.alarmRaised = true
 		m.raiseAlarm(now, mem, true)
 	}
 }
@@ -129,7 +129,7 @@
 func (m *Members) resetSilence(now time.Time) {
 	m.pausedAt = now
 	for _, mem := range m.members {
-		if !mem.alarming {
+		if !mem.alarmRaised {
 			mem.lastSeen = now
 		}
 	}
@@ -158,7 +158,7 @@
 	digest := uint64(0)
 	for vm, mem := range m.members {
 		if mem.dead {
-			digest ^= xxhash.Sum64String(string(vm)) ^ uint64(mem.alive.Incarnation)
+			digest ^= xxhash.Sum64String(string(vm)) ^ uint64(mem.announcement.Incarnation)
 		}
 	}
 	return digest
@@ -180,7 +180,7 @@
 		return
 	}
 	a.differsSince, a.timesSent = now, min(maxCompareBackoff, a.timesSent+1)
-	m.peers.Send(mem.alive.VM, m.deaths())
+	m.peers.Send(mem.announcement.VM, m.deaths())
 }
 
 // deaths lists the runs that this daemon considers dead.
@@ -188,7 +188,7 @@
 	var d proto.Deaths
 	for vm, mem := range m.members {
 		if mem.dead {
-			d.Runs = append(d.Runs, proto.DaemonRun{VM: vm, Incarnation: mem.alive.Incarnation})
+			d.Runs = append(d.Runs, proto.DaemonRun{VM: vm, Incarnation: mem.announcement.Incarnation})
 		}
 	}
 	slices.SortFunc(d.Runs, func(a, b proto.DaemonRun) int { return cmp.Compare(a.VM, b.VM) })
@@ -201,25 +201,25 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	links := m.links()
-	var news proto.Deaths
+	var forwarded proto.Deaths
 	for _, run := range d.Runs {
 		mem := m.members[run.VM]
-		if run.VM == m.self.VM || mem == nil || mem.dead || mem.alive.Incarnation != run.Incarnation {
+		if run.VM == m.self.VM || mem == nil || mem.dead || mem.announcement.Incarnation != run.Incarnation {
 			continue
 		}
 		if slices.Contains(links, run.VM) && now.Sub(mem.lastSeen) < m.timing.SilenceTimeout {
 			continue
 		}
 		m.markDead(now, mem)
-		news.Runs = append(news.Runs, run)
+		forwarded.Runs = append(forwarded.Runs, run)
 	}
-	if len(news.Runs) == 0 {
+	if len(forwarded.Runs) == 0 {
 		return
 	}
 	m.invalidateGraph()
 	for _, vm := range m.links() {
 		if vm != from {
-			m.peers.Send(vm, news)
+			m.peers.Send(vm, forwarded)
 		}
 	}
 }
--- a/coord/claims_test.go
+++ b/coord/claims_test.go
@@ -25,15 +25,15 @@
 	simSilent = 4 * time.Second
 )
 
-// disabled names the mechanism that a history runs without, to show that the safety property depends on it.
-type disabled string
+// mechanism is a mechanism that a history can run without, to show that the safety property depends on it.
+type mechanism string
 
 const (
-	disableNothing  disabled = ""
-	disableRunEnded disabled = "certain end of runs"
-	disableMajority disabled = "majority"
-	disableTransfer disabled = "transfer"
-	disableForget   disabled = "forget"
+	disableNothing  mechanism = ""
+	disableRunEnded mechanism = "certain end of runs"
+	disableMajority mechanism = "majority"
+	disableTransfer mechanism = "transfer"
+	disableForget   mechanism = "forget"
 )
 
 type simVM struct {
@@ -80,11 +80,11 @@
 	slot   proto.Slot
 	index  int
 	round  *Round
-	over   bool
+	ended  bool
 }
 
 type claimSim struct {
-	disabled disabled
+	disabled mechanism
 	random   *rand.Rand
 	now      time.Time
 	store    *fakes.Store
@@ -96,9 +96,9 @@
 	request  int
 }
 
-func newClaimSim(seed uint64, w disabled) *claimSim {
+func newClaimSim(seed uint64, disabled mechanism) *claimSim {
 	s := &claimSim{
-		disabled: w, random: rand.New(rand.NewPCG(seed, 3)), now: time.Unix(1_700_000_000, 0),
+		disabled: disabled, random: rand.New(rand.NewPCG(seed, 3)), now: time.Unix(1_700_000_000, 0),
 		store: fakes.NewStore(), uses: map[proto.Key]int{},
 	}
 	for i := range simVMs {
@@ -108,7 +108,7 @@
 	for _, v := range s.vms {
 		s.restart(v)
 	}
-	s.beat()
+	s.exchangeHeartbeats()
 	s.keys = make([]proto.Key, simKeys)
 	for i := range s.keys {
 		s.newKey(i)
@@ -143,8 +143,8 @@
 
 func (s *claimSim) connected(a, b *simVM) bool { return a.partition == b.partition }
 
-// beat exchanges heartbeats between all daemons that are running and connected.
-func (s *claimSim) beat() {
+// exchangeHeartbeats exchanges heartbeats between all daemons that are running and connected.
+func (s *claimSim) exchangeHeartbeats() {
 	for _, v := range s.vms {
 		if v.paused {
 			continue
@@ -231,19 +231,19 @@
 }
 
 func (s *claimSim) handleAnswer(c *simClaim, from proto.VM, answer proto.ClaimAnswer) {
-	if c.over {
+	if c.ended {
 		return
 	}
 	c.round.AddAnswer(from, answer)
 	switch c.round.Decide() {
 	case DecisionPending:
 	case DecisionGranted:
-		c.over = true
+		c.ended = true
 		s.uses[c.key]++
 		s.granted++
 		s.settle(c, s.random.IntN(4) == 0 && s.undoUse(c), []byte(`"answer"`))
 	default:
-		c.over = true
+		c.ended = true
 		s.settle(c, true, nil)
 	}
 }
@@ -320,7 +320,7 @@
 		s.claim()
 	case n < 800:
 		s.now = s.now.Add(time.Duration(100+s.random.IntN(2500)) * time.Millisecond)
-		s.beat()
+		s.exchangeHeartbeats()
 	case n < 870:
 		s.transfer()
 	case n < 930:
@@ -353,7 +353,7 @@
 func (s *claimSim) stabilize() {
 	for range 12 {
 		s.now = s.now.Add(500 * time.Millisecond)
-		s.beat()
+		s.exchangeHeartbeats()
 		s.revise()
 		s.transfer()
 		for range 200 {
@@ -373,8 +373,8 @@
 	return bad
 }
 
-func runClaims(seed uint64, w disabled) *claimSim {
-	s := newClaimSim(seed, w)
+func runClaims(seed uint64, disabled mechanism) *claimSim {
+	s := newClaimSim(seed, disabled)
 	s.stabilize()
 	for range simSteps {
 		s.step()
@@ -405,7 +405,7 @@
 // seed where such a history was found.
 func TestEachMechanismIsNeeded(t *testing.T) {
 	scenarios := []struct {
-		disabled disabled
+		disabled mechanism
 		from     uint64
 	}{
 		{disableMajority, 0},
--- a/coord/gossip.go
+++ b/coord/gossip.go
@@ -15,7 +15,7 @@
 type updateBatch struct {
 	alive  []receivedAlive
 	alarms []receivedAlarm
-	last   time.Time
+	sentAt time.Time
 }
 
 type receivedAlive struct {
@@ -41,31 +41,31 @@
 // flushUpdates sends the batch over the links unless one was sent just before; Tick then sends it later.
 func (m *Members) flushUpdates(now time.Time) {
 	pending := &m.updates
-	if len(pending.alive)+len(pending.alarms) == 0 || now.Sub(pending.last) < m.timing.HeartbeatInterval/batchesPerHeartbeat {
+	if len(pending.alive)+len(pending.alarms) == 0 || now.Sub(pending.sentAt) < m.timing.HeartbeatInterval/batchesPerHeartbeat {
 		return
 	}
 	for _, vm := range m.links() {
-		if updates := pending.newsFor(vm); len(updates.Alive)+len(updates.Alarms) > 0 {
+		if updates := pending.updatesFor(vm); len(updates.Alive)+len(updates.Alarms) > 0 {
 			m.peers.Send(vm, updates)
 		}
 	}
-	*pending = updateBatch{last: now}
+	*pending = updateBatch{sentAt: now}
 }
 
-// newsFor returns the updates for one daemon, without those that it sent or that concern itself.
-func (s *updateBatch) newsFor(vm proto.VM) proto.News {
-	var news proto.News
-	for _, h := range s.alive {
+// updatesFor returns the updates for one daemon, without those that it sent or that concern itself.
+func (b *updateBatch) updatesFor(vm proto.VM) proto.News {
+	var updates proto.News
+	for _, h := range b.alive {
 		if h.from != vm && h.alive.VM != vm {
-			news.Alive = append(news.Alive, h.alive)
+			updates.Alive = append(updates.Alive, h.alive)
 		}
 	}
-	for _, h := range s.alarms {
+	for _, h := range b.alarms {
 		if h.from != vm && h.alarm.Reporter != vm {
-			news.Alarms = append(news.Alarms, h.alarm)
+			updates.Alarms = append(updates.Alarms, h.alarm)
 		}
 	}
-	return news
+	return updates
 }
 
 // HandleNews processes the updates that another daemon forwarded and forwards those that are new.
--- a/coord/heartbeats.go
+++ b/coord/heartbeats.go
@@ -15,19 +15,19 @@
 	if mem == nil {
 		return
 	}
-	if beat.Incarnation < mem.alive.Incarnation {
+	if beat.Incarnation < mem.announcement.Incarnation {
 		m.sendCorrection(mem, beat.Incarnation, from)
 		return
 	}
-	if beat.Incarnation > mem.alive.Incarnation {
+	if beat.Incarnation > mem.announcement.Incarnation {
 		// The announcement was lost, or was sent before this daemon was listening.
-		announcement := mem.alive
+		announcement := mem.announcement
 		announcement.Incarnation, announcement.Sequence, announcement.Stopping = beat.Incarnation, 0, beat.Stopping
 		m.handleAlive(now, announcement, from)
 	}
 	mem.lastSeen = now
-	if mem.alarming {
-		mem.alarming = false
+	if mem.alarmRaised {
+		mem.alarmRaised = false
 		m.raiseAlarm(now, mem, false)
 	}
 	m.compareDeaths(now, mem, beat.DeadDigest)
@@ -129,7 +129,7 @@
 // silentSince returns when the silence of a daemon began: when it was last heard, or when the link to it was created
 // if that is later, because it owed no heartbeats before.
 func (m *Members) silentSince(mem *member) time.Time {
-	if since := m.linkedSince[mem.alive.VM]; since.After(mem.lastSeen) {
+	if since := m.linkedSince[mem.announcement.VM]; since.After(mem.lastSeen) {
 		return since
 	}
 	return mem.lastSeen
--- a/coord/members.go
+++ b/coord/members.go
@@ -30,13 +30,13 @@
 const announceEvery = 5
 
 type member struct {
-	alive     proto.Alive
-	announced bool // has announced itself, instead of being only on the VM list
-	dead      bool
-	deadAt    time.Time
-	alarms    map[proto.VM]proto.Alarm
-	lastSeen  time.Time
-	alarming  bool
+	announcement proto.Alive
+	announced    bool // has announced itself, instead of being only on the VM list
+	dead         bool
+	deadAt       time.Time
+	alarms       map[proto.VM]proto.Alarm
+	lastSeen     time.Time
+	alarmRaised  bool
 	// agreement compares the daemon's set of dead runs with that of this daemon.
 	agreement agreement
 }
@@ -64,8 +64,8 @@
 	leaving           map[proto.VM]bool
 	version           uint64
 	heartbeat         func() proto.Heartbeat
-	firstListAt       time.Time
-	lastListAt        time.Time
+	firstListReadAt   time.Time
+	lastListReadAt    time.Time
 	lastListedAt      map[proto.VM]time.Time // by this daemon's own reads
 	entries           map[proto.VM]proto.VMEntry
 	enteredAt         map[proto.VM]time.Time
@@ -92,7 +92,7 @@
 	for _, option := range options {
 		option(m)
 	}
-	m.members[self.VM] = &member{alive: self, announced: true, alarms: map[proto.VM]proto.Alarm{}}
+	m.members[self.VM] = &member{announcement: self, announced: true, alarms: map[proto.VM]proto.Alarm{}}
 	return m
 }
 
@@ -113,7 +113,7 @@
 	nodes := make([]ringNode, 0, len(m.members))
 	for vm, mem := range m.members {
 		if !mem.dead {
-			nodes = append(nodes, ringNode{vm: vm, region: mem.alive.Zone.Region()})
+			nodes = append(nodes, ringNode{vm: vm, region: mem.announcement.Zone.Region()})
 		}
 	}
 	return nodes
@@ -140,7 +140,7 @@
 	var live []proto.Alive
 	for _, mem := range m.members {
 		if !mem.dead {
-			live = append(live, mem.alive)
+			live = append(live, mem.announcement)
 		}
 	}
 	slices.SortFunc(live, func(a, b proto.Alive) int {
@@ -160,7 +160,7 @@
 	if mem == nil {
 		return proto.Alive{}, false
 	}
-	return mem.alive, true
+	return mem.announcement, true
 }
 
 // IsSilent reports whether a daemon is unknown or considered dead, or is linked to this one and was not heard for
@@ -198,7 +198,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	mem := m.members[vm]
-	return mem == nil && !m.started.IsZero() || mem != nil && (mem.dead || mem.alive.Incarnation > incarnation)
+	return mem == nil && !m.started.IsZero() || mem != nil && (mem.dead || mem.announcement.Incarnation > incarnation)
 }
 
 // AnnounceStop announces that this daemon is stopping.
@@ -218,7 +218,7 @@
 
 func (m *Members) announce() {
 	m.self.Sequence++
-	m.members[m.self.VM].alive = m.self
+	m.members[m.self.VM].announcement = m.self
 	for _, vm := range m.links() {
 		m.peers.Send(vm, m.self)
 	}
@@ -242,19 +242,19 @@
 		mem = &member{alarms: map[proto.VM]proto.Alarm{}, lastSeen: now}
 		m.members[a.VM] = mem
 	}
-	if !isNew && (a.Incarnation < mem.alive.Incarnation || a.Incarnation == mem.alive.Incarnation && a.Sequence <= mem.alive.Sequence) {
+	if !isNew && (a.Incarnation < mem.announcement.Incarnation || a.Incarnation == mem.announcement.Incarnation && a.Sequence <= mem.announcement.Sequence) {
 		m.sendCorrection(mem, a.Incarnation, from)
 		return
 	}
-	restarted := a.Incarnation != mem.alive.Incarnation
-	if isNew || mem.dead || a.Zone != mem.alive.Zone {
+	restarted := a.Incarnation != mem.announcement.Incarnation
+	if isNew || mem.dead || a.Zone != mem.announcement.Zone {
 		m.invalidateGraph()
 	}
-	mem.alive = a
+	mem.announcement = a
 	mem.announced = true
 	if restarted || mem.dead {
 		mem.dead = false
-		mem.alarming = false
+		mem.alarmRaised = false
 		mem.lastSeen = now
 		mem.alarms = map[proto.VM]proto.Alarm{}
 	}
@@ -266,8 +266,8 @@
 
 // sendCorrection sends a daemon that speaks for an older run the newest announcement known for it.
 func (m *Members) sendCorrection(mem *member, spoken proto.Incarnation, from proto.VM) {
-	if from == mem.alive.VM && spoken < mem.alive.Incarnation {
-		m.peers.Send(from, mem.alive)
+	if from == mem.announcement.VM && spoken < mem.announcement.Incarnation {
+		m.peers.Send(from, mem.announcement)
 	}
 }
 
@@ -286,7 +286,7 @@
 	var announced proto.News
 	for other, mem := range m.members {
 		if other != vm && other != m.self.VM && mem.announced && !mem.dead {
-			announced.Alive = append(announced.Alive, mem.alive)
+			announced.Alive = append(announced.Alive, mem.announcement)
 		}
 	}
 	if len(announced.Alive) > 0 {
--- a/coord/node.go
+++ b/coord/node.go
@@ -61,12 +61,12 @@
 	pullingRoster  atomic.Bool
 	stopping       atomic.Bool
 
-	mu        sync.Mutex
-	nextList  time.Time
-	nextSweep time.Time
-	onUsage   func([]proto.UsageRow)
-	onLoads   func(proto.Loads)
-	onDemand  func([]proto.DemandRow)
+	mu           sync.Mutex
+	nextListRead time.Time
+	nextSweep    time.Time
+	onUsage      func([]proto.UsageRow)
+	onLoads      func(proto.Loads)
+	onDemand     func([]proto.DemandRow)
 }
 
 // NodeOption configures a Node.
--- a/coord/owner.go
+++ b/coord/owner.go
@@ -42,7 +42,7 @@
 func (m *Members) ranked(task string, zone proto.Zone) []proto.VM {
 	var live []proto.VM
 	for vm, mem := range m.members {
-		if !mem.dead && (zone == "" || mem.alive.Zone == zone) {
+		if !mem.dead && (zone == "" || mem.announcement.Zone == zone) {
 			live = append(live, vm)
 		}
 	}
@@ -72,7 +72,7 @@
 func (m *Members) notStopping(order []proto.VM) []proto.VM {
 	notStopping := make([]proto.VM, 0, len(order))
 	for _, vm := range order {
-		if !m.members[vm].alive.Stopping {
+		if !m.members[vm].announcement.Stopping {
 			notStopping = append(notStopping, vm)
 		}
 	}
@@ -114,7 +114,7 @@
 	liveZones := map[proto.Zone]bool{}
 	for _, mem := range m.members {
 		if !mem.dead {
-			liveZones[mem.alive.Zone] = true
+			liveZones[mem.announcement.Zone] = true
 		}
 	}
 	return slices.Sorted(maps.Keys(liveZones))
--- a/coord/poll.go
+++ b/coord/poll.go
@@ -12,7 +12,7 @@
 	now := n.deps.Clock.Now()
 	if !n.isPoller() && n.Config.Synced() {
 		// Updates of the list can be lost in transit, so every daemon reads it occasionally.
-		if now.Sub(n.nextList) > rareListInterval {
+		if now.Sub(n.nextListRead) > rareListInterval {
 			n.pollList(ctx, now)
 		}
 		return
@@ -26,10 +26,10 @@
 }
 
 func (n *Node) pollList(ctx context.Context, now time.Time) {
-	if now.Before(n.nextList) {
+	if now.Before(n.nextListRead) {
 		return
 	}
-	n.nextList = now.Add(n.timing.ListInterval)
+	n.nextListRead = now.Add(n.timing.ListInterval)
 	list, err := n.deps.Platform.VMs(ctx)
 	if err != nil {
 		n.deps.Log.Debug("failed to read the VM list", "error", err)
--- a/coord/shares_test.go
+++ b/coord/shares_test.go
@@ -30,109 +30,109 @@
 
 // establishedTracker returns the tracker of a daemon that has run among others for an hour.
 func establishedTracker(self proto.VM, others ...proto.VM) *ShareTracker {
-	c := NewShareTracker(self, testShareTiming)
+	tracker := NewShareTracker(self, testShareTiming)
 	early := shareTestStart.Add(-time.Hour)
-	c.Start(early, true)
+	tracker.Start(early, true)
 	for at := early; !at.After(shareTestStart); at = at.Add(time.Minute) {
 		rows := map[proto.VM]uint64{self: uint64(at.Unix())}
 		for _, vm := range others {
 			rows[vm] = uint64(at.Unix())
 		}
-		c.RowWritten(at, 0)
-		c.ObserveRows(at, at, 0, revisions(rows))
+		tracker.RowWritten(at, 0)
+		tracker.ObserveRows(at, at, 0, revisions(rows))
 	}
-	return c
+	return tracker
 }
 
-func wantShare(t *testing.T, c *ShareTracker, at time.Time, counted int, reason ShareReason) {
+func wantShare(t *testing.T, tracker *ShareTracker, at time.Time, counted int, reason ShareReason) {
 	t.Helper()
-	if s := c.Share(at); s.VMCount != counted || s.Reason != reason || s.Usable != (reason == ShareUsable) {
+	if s := tracker.Share(at); s.VMCount != counted || s.Reason != reason || s.Usable != (reason == ShareUsable) {
 		t.Errorf("share %+v, want %d counted and reason %q", s, counted, reason)
 	}
 }
 
 func TestRestartedDaemonWaitsForPreviousUsage(t *testing.T) {
-	c := NewShareTracker("a", testShareTiming)
-	c.Start(shareTestStart, true)
-	c.RowWritten(shareTestStart, 0)
-	c.ObserveRows(shareTestStart, shareTestStart, 0, revisions(map[proto.VM]uint64{"a": 1, "b": 2}))
-	wantShare(t, c, shareTestStart, 2, ShareStarting)
-	wantShare(t, c, shareTestStart.Add(10*time.Second), 2, ShareStarting)
-	wantShare(t, c, shareTestStart.Add(11*time.Second), 2, ShareUsable)
+	tracker := NewShareTracker("a", testShareTiming)
+	tracker.Start(shareTestStart, true)
+	tracker.RowWritten(shareTestStart, 0)
+	tracker.ObserveRows(shareTestStart, shareTestStart, 0, revisions(map[proto.VM]uint64{"a": 1, "b": 2}))
+	wantShare(t, tracker, shareTestStart, 2, ShareStarting)
+	wantShare(t, tracker, shareTestStart.Add(10*time.Second), 2, ShareStarting)
+	wantShare(t, tracker, shareTestStart.Add(11*time.Second), 2, ShareUsable)
 }
 
 func TestUnknownDaemonWaitsUntilOthersReadItsRow(t *testing.T) {
-	c := NewShareTracker("a", testShareTiming)
-	c.Start(shareTestStart, false)
-	c.RowWritten(shareTestStart, 0)
+	tracker := NewShareTracker("a", testShareTiming)
+	tracker.Start(shareTestStart, false)
+	tracker.RowWritten(shareTestStart, 0)
 	for _, at := range []time.Duration{0, 20 * time.Second, 40 * time.Second} {
-		c.ObserveRows(shareTestStart.Add(at), shareTestStart.Add(at), 0, revisions(map[proto.VM]uint64{"a": 1}))
+		tracker.ObserveRows(shareTestStart.Add(at), shareTestStart.Add(at), 0, revisions(map[proto.VM]uint64{"a": 1}))
 	}
-	wantShare(t, c, shareTestStart.Add(55*time.Second), 1, ShareStarting)
-	wantShare(t, c, shareTestStart.Add(56*time.Second), 1, ShareUsable)
+	wantShare(t, tracker, shareTestStart.Add(55*time.Second), 1, ShareStarting)
+	wantShare(t, tracker, shareTestStart.Add(56*time.Second), 1, ShareUsable)
 }
 
 func TestNoShareWithoutStoreAccess(t *testing.T) {
-	c := NewShareTracker("a", testShareTiming)
-	wantShare(t, c, shareTestStart.Add(time.Hour), 1, ShareStarting)
-	c.Start(shareTestStart, true)
-	wantShare(t, c, shareTestStart.Add(time.Hour), 1, ShareRowExpired)
-	c.RowWritten(shareTestStart.Add(time.Second), 0)
-	wantShare(t, c, shareTestStart.Add(20*time.Second), 1, ShareReadExpired)
+	tracker := NewShareTracker("a", testShareTiming)
+	wantShare(t, tracker, shareTestStart.Add(time.Hour), 1, ShareStarting)
+	tracker.Start(shareTestStart, true)
+	wantShare(t, tracker, shareTestStart.Add(time.Hour), 1, ShareRowExpired)
+	tracker.RowWritten(shareTestStart.Add(time.Second), 0)
+	wantShare(t, tracker, shareTestStart.Add(20*time.Second), 1, ShareReadExpired)
 }
 
 func TestSilentDaemonKeepsItsShare(t *testing.T) {
-	c := establishedTracker("a", "b", "c")
+	tracker := establishedTracker("a", "b", "c")
 	for at := shareTestStart; at.Before(shareTestStart.Add(10 * time.Minute)); at = at.Add(20 * time.Second) {
-		c.RowWritten(at, 0)
-		c.ObserveRows(at, at, 0, revisions(map[proto.VM]uint64{"a": 1, "b": uint64(at.Unix()), "c": uint64(shareTestStart.Unix())}))
-		wantShare(t, c, at, 3, ShareUsable)
+		tracker.RowWritten(at, 0)
+		tracker.ObserveRows(at, at, 0, revisions(map[proto.VM]uint64{"a": 1, "b": uint64(at.Unix()), "c": uint64(shareTestStart.Unix())}))
+		wantShare(t, tracker, at, 3, ShareUsable)
 	}
 }
 
 func TestVMWithExpiredLeaseIsNotCounted(t *testing.T) {
-	c := establishedTracker("a", "b", "c")
+	tracker := establishedTracker("a", "b", "c")
 	after := shareTestStart.Add(testShareTiming.Lease + testShareTiming.Window + time.Second)
-	c.RowWritten(shareTestStart.Add(testShareTiming.Lease/3), 0)
-	c.RowWritten(shareTestStart.Add(testShareTiming.Lease*2/3), 0)
-	over := c.ObserveRows(after, after, 0, revisions(map[proto.VM]uint64{"a": 1, "b": 7, "c": uint64(shareTestStart.Unix())}))
-	if len(over) != 1 || over[0] != "c" {
-		t.Errorf("expired: %v", over)
+	tracker.RowWritten(shareTestStart.Add(testShareTiming.Lease/3), 0)
+	tracker.RowWritten(shareTestStart.Add(testShareTiming.Lease*2/3), 0)
+	expired := tracker.ObserveRows(after, after, 0, revisions(map[proto.VM]uint64{"a": 1, "b": 7, "c": uint64(shareTestStart.Unix())}))
+	if len(expired) != 1 || expired[0] != "c" {
+		t.Errorf("expired: %v", expired)
 	}
-	wantShare(t, c, after, 2, ShareUsable)
+	wantShare(t, tracker, after, 2, ShareUsable)
 }
 
 func TestShareIsLostWithoutStore(t *testing.T) {
-	c := establishedTracker("a", "b")
-	wantShare(t, c, shareTestStart.Add(45*time.Second), 2, ShareUsable)
-	wantShare(t, c, shareTestStart.Add(46*time.Second), 2, ShareReadExpired)
+	tracker := establishedTracker("a", "b")
+	wantShare(t, tracker, shareTestStart.Add(45*time.Second), 2, ShareUsable)
+	wantShare(t, tracker, shareTestStart.Add(46*time.Second), 2, ShareReadExpired)
 	at := shareTestStart.Add(10*time.Minute + time.Second)
-	c.ObserveRows(at, at, 0, revisions(map[proto.VM]uint64{"a": 1, "b": 2}))
-	wantShare(t, c, at, 2, ShareRowExpired)
+	tracker.ObserveRows(at, at, 0, revisions(map[proto.VM]uint64{"a": 1, "b": 2}))
+	wantShare(t, tracker, at, 2, ShareRowExpired)
 	// The other daemons may no longer count this one, so it starts like a new one.
-	c.RowWritten(at, 0)
-	wantShare(t, c, at, 2, ShareStarting)
+	tracker.RowWritten(at, 0)
+	wantShare(t, tracker, at, 2, ShareStarting)
 	late := at.Add(56 * time.Second)
-	c.ObserveRows(late, late, 0, revisions(map[proto.VM]uint64{"a": 1, "b": 3}))
-	wantShare(t, c, late, 2, ShareUsable)
+	tracker.ObserveRows(late, late, 0, revisions(map[proto.VM]uint64{"a": 1, "b": 3}))
+	wantShare(t, tracker, late, 2, ShareUsable)
 }
 
 func TestShareShrinksWhenVMIsObserved(t *testing.T) {
-	c := establishedTracker("a", "b")
-	wantShare(t, c, shareTestStart, 2, ShareUsable)
-	c.ObserveVMs(shareTestStart, "d")
-	wantShare(t, c, shareTestStart, 3, ShareUsable)
+	tracker := establishedTracker("a", "b")
+	wantShare(t, tracker, shareTestStart, 2, ShareUsable)
+	tracker.ObserveVMs(shareTestStart, "d")
+	wantShare(t, tracker, shareTestStart, 3, ShareUsable)
 }
 
 // shareSim simulates a deployment whose daemons start, die, are paused and are temporarily cut off from the store.
 // Links between daemons carry nothing, so the daemons know only what the rows say.
 type shareSim struct {
-	random *rand.Rand
-	now    time.Time
-	rows   map[proto.VM]uint64
-	wrote  map[proto.VM]time.Time
-	marked map[proto.VM]uint64
-	next   uint64
+	random    *rand.Rand
+	now       time.Time
+	rows      map[proto.VM]uint64
+	writtenAt map[proto.VM]time.Time
+	marked    map[proto.VM]uint64
+	next      uint64
 	// era is the era of the store; copies holds its rows at earlier times, and it is occasionally restored from one of
 	// them.
 	era    uint64
@@ -141,35 +141,35 @@
 	done    int
 	daemons map[proto.VM]*shareDaemon
 	// used holds, for each VM, the recent times at which its daemon could use a part of the limit, and that part.
-	used map[proto.VM][]usedPart
+	used map[proto.VM][]usedShare
 	// owners holds, for each task, which VM did it last, and when.
 	owners map[string]lastOwner
 }
 
 // shareRows holds the rows of the platform's store at one time.
 type shareRows struct {
-	rows   map[proto.VM]uint64
-	wrote  map[proto.VM]time.Time
-	marked map[proto.VM]uint64
+	rows      map[proto.VM]uint64
+	writtenAt map[proto.VM]time.Time
+	marked    map[proto.VM]uint64
 }
 
 // keepCopy copies the rows; the copies are taken seconds apart, and the last 15 are kept.
-func (w *shareSim) keepCopy() {
-	w.copies = append(w.copies, shareRows{maps.Clone(w.rows), maps.Clone(w.wrote), maps.Clone(w.marked)})
-	if len(w.copies) > 15 {
-		w.copies = w.copies[1:]
+func (sim *shareSim) keepCopy() {
+	sim.copies = append(sim.copies, shareRows{maps.Clone(sim.rows), maps.Clone(sim.writtenAt), maps.Clone(sim.marked)})
+	if len(sim.copies) > 15 {
+		sim.copies = sim.copies[1:]
 	}
 }
 
 // restore restores the store from a copy that is up to half a minute old.
-func (w *shareSim) restore() {
-	if len(w.copies) == 0 {
+func (sim *shareSim) restore() {
+	if len(sim.copies) == 0 {
 		return
 	}
-	c := w.copies[w.random.IntN(len(w.copies))]
-	w.rows, w.wrote, w.marked = maps.Clone(c.rows), maps.Clone(c.wrote), maps.Clone(c.marked)
-	w.copies = nil
-	w.era++
+	c := sim.copies[sim.random.IntN(len(sim.copies))]
+	sim.rows, sim.writtenAt, sim.marked = maps.Clone(c.rows), maps.Clone(c.writtenAt), maps.Clone(c.marked)
+	sim.copies = nil
+	sim.era++
 }
 
 type lastOwner struct {
@@ -182,18 +182,18 @@
 
 // doTasks lets each daemon do the tasks that it may do, and returns an error message if two VMs do the same one within
 // the settle time.
-func (w *shareSim) doTasks() string {
+func (sim *shareSim) doTasks() string {
 	for i := range 6 {
 		task := fmt.Sprint("task-", i)
-		for vm, d := range w.daemons {
-			if w.now.Before(d.pausedUntil) || !d.tracker.OwnsExclusively(w.now, task, taskSettle) {
+		for vm, d := range sim.daemons {
+			if sim.now.Before(d.pausedUntil) || !d.tracker.OwnsExclusively(sim.now, task, taskSettle) {
 				continue
 			}
-			if last, done := w.owners[task]; done && last.vm != vm && w.now.Sub(last.at) < taskSettle {
-				return fmt.Sprintf("after %s, %s does %s, which %s did %s earlier", w.now.Sub(shareTestStart), vm, task, last.vm, w.now.Sub(last.at))
+			if last, done := sim.owners[task]; done && last.vm != vm && sim.now.Sub(last.at) < taskSettle {
+				return fmt.Sprintf("after %s, %s does %s, which %s did %s earlier", sim.now.Sub(shareTestStart), vm, task, last.vm, sim.now.Sub(last.at))
 			}
-			w.owners[task] = lastOwner{vm, w.now}
-			w.done++
+			sim.owners[task] = lastOwner{vm, sim.now}
+			sim.done++
 		}
 	}
 	return ""
@@ -201,114 +201,114 @@
 
 type shareDaemon struct {
 	tracker                  *ShareTracker
-	read, wrote              time.Time
+	readAt, writtenAt        time.Time
 	era                      uint64
 	marked                   bool
 	cutOffUntil, pausedUntil time.Time
 }
 
-type usedPart struct {
-	at   time.Time
-	part float64
+type usedShare struct {
+	at    time.Time
+	share float64
 }
 
 func newShareSim(seed uint64, vms int) *shareSim {
-	w := &shareSim{
-		random: rand.New(rand.NewPCG(seed, 1)), now: shareTestStart, rows: map[proto.VM]uint64{}, wrote: map[proto.VM]time.Time{},
-		marked: map[proto.VM]uint64{}, era: 1, daemons: map[proto.VM]*shareDaemon{}, used: map[proto.VM][]usedPart{}, owners: map[string]lastOwner{},
+	sim := &shareSim{
+		random: rand.New(rand.NewPCG(seed, 1)), now: shareTestStart, rows: map[proto.VM]uint64{}, writtenAt: map[proto.VM]time.Time{},
+		marked: map[proto.VM]uint64{}, era: 1, daemons: map[proto.VM]*shareDaemon{}, used: map[proto.VM][]usedShare{}, owners: map[string]lastOwner{},
 	}
 	for i := range vms {
-		w.start(vmName(i))
+		sim.start(vmName(i))
 	}
-	return w
+	return sim
 }
 
 func vmName(i int) proto.VM { return proto.VM(fmt.Sprintf("vm-%02d", i)) }
 
-func (w *shareSim) start(vm proto.VM) {
-	w.daemons[vm] = &shareDaemon{tracker: NewShareTracker(vm, testShareTiming)}
+func (sim *shareSim) start(vm proto.VM) {
+	sim.daemons[vm] = &shareDaemon{tracker: NewShareTracker(vm, testShareTiming)}
 }
 
 // syncRows does what a daemon does with the rows when it reaches the store.
-func (w *shareSim) syncRows(vm proto.VM, d *shareDaemon) {
-	if w.now.Before(d.cutOffUntil) || w.now.Before(d.pausedUntil) {
+func (sim *shareSim) syncRows(vm proto.VM, d *shareDaemon) {
+	if sim.now.Before(d.cutOffUntil) || sim.now.Before(d.pausedUntil) {
 		return
 	}
-	if d.read.IsZero() || w.now.Sub(d.read) >= 20*time.Second {
-		w.observeEra(d)
-		_, listed := w.rows[vm]
-		d.tracker.Start(w.now, listed && w.marked[vm] == w.era && w.now.Sub(w.wrote[vm]) < testShareTiming.MaxRowAge())
+	if d.readAt.IsZero() || sim.now.Sub(d.readAt) >= 20*time.Second {
+		sim.observeEra(d)
+		_, listed := sim.rows[vm]
+		d.tracker.Start(sim.now, listed && sim.marked[vm] == sim.era && sim.now.Sub(sim.writtenAt[vm]) < testShareTiming.MaxRowAge())
 		rows := map[proto.VM]uint64{}
-		for other, version := range w.rows {
+		for other, version := range sim.rows {
 			rows[other] = version
 		}
-		for _, gone := range d.tracker.ObserveRows(w.now, w.now, w.era, revisions(rows)) {
-			delete(w.rows, gone)
+		for _, gone := range d.tracker.ObserveRows(sim.now, sim.now, sim.era, revisions(rows)) {
+			delete(sim.rows, gone)
 		}
-		d.read = w.now
+		d.readAt = sim.now
 	}
-	usable := d.tracker.Share(w.now).Usable
-	if d.wrote.IsZero() || w.now.Sub(d.wrote) >= testShareTiming.Lease/3 || usable && !d.marked {
-		w.observeEra(d)
-		usable = d.tracker.Share(w.now).Usable
-		w.next++
-		w.rows[vm], w.wrote[vm], w.marked[vm] = w.next, w.now, 0
+	usable := d.tracker.Share(sim.now).Usable
+	if d.writtenAt.IsZero() || sim.now.Sub(d.writtenAt) >= testShareTiming.Lease/3 || usable && !d.marked {
+		sim.observeEra(d)
+		usable = d.tracker.Share(sim.now).Usable
+		sim.next++
+		sim.rows[vm], sim.writtenAt[vm], sim.marked[vm] = sim.next, sim.now, 0
 		if usable {
-			w.marked[vm] = w.era
+			sim.marked[vm] = sim.era
 		}
-		d.wrote, d.marked = w.now, usable
-		d.tracker.RowWritten(w.now, w.era)
+		d.writtenAt, d.marked = sim.now, usable
+		d.tracker.RowWritten(sim.now, sim.era)
 	}
 }
 
 // observeEra lets a daemon learn the store's era from an answer.
-func (w *shareSim) observeEra(d *shareDaemon) {
-	if d.era == w.era {
+func (sim *shareSim) observeEra(d *shareDaemon) {
+	if d.era == sim.era {
 		return
 	}
-	d.era = w.era
-	d.tracker.StoreRestored(w.now, w.era)
-	d.wrote, d.marked = time.Time{}, false
+	d.era = sim.era
+	d.tracker.StoreRestored(sim.now, sim.era)
+	d.writtenAt, d.marked = time.Time{}, false
 }
 
-func (w *shareSim) injectFault(vms int) {
-	vm := vmName(w.random.IntN(2 * vms))
-	d := w.daemons[vm]
-	length := time.Duration(w.random.Int64N(int64(15 * time.Minute)))
-	if w.random.IntN(2) == 0 {
-		length = time.Duration(w.random.Int64N(int64(time.Minute)))
+func (sim *shareSim) injectFault(vms int) {
+	vm := vmName(sim.random.IntN(2 * vms))
+	d := sim.daemons[vm]
+	length := time.Duration(sim.random.Int64N(int64(15 * time.Minute)))
+	if sim.random.IntN(2) == 0 {
+		length = time.Duration(sim.random.Int64N(int64(time.Minute)))
 	}
 	switch {
 	case d == nil:
-		w.start(vm)
-	case w.random.IntN(3) == 0:
-		delete(w.daemons, vm)
-	case w.random.IntN(3) == 0:
-		w.start(vm)
-	case w.random.IntN(2) == 0:
-		d.cutOffUntil = w.now.Add(length)
+		sim.start(vm)
+	case sim.random.IntN(3) == 0:
+		delete(sim.daemons, vm)
+	case sim.random.IntN(3) == 0:
+		sim.start(vm)
+	case sim.random.IntN(2) == 0:
+		d.cutOffUntil = sim.now.Add(length)
 	default:
-		d.pausedUntil = w.now.Add(length)
+		d.pausedUntil = sim.now.Add(length)
 	}
 }
 
 // totalUsed records what each daemon may use now, and returns what all of them may have used within a window, as a
 // fraction of the limit.
-func (w *shareSim) totalUsed() float64 {
-	for vm, d := range w.daemons {
-		if s := d.tracker.Share(w.now); s.Usable && !w.now.Before(d.pausedUntil) {
-			w.used[vm] = append(w.used[vm], usedPart{w.now, 1 / float64(s.VMCount)})
+func (sim *shareSim) totalUsed() float64 {
+	for vm, d := range sim.daemons {
+		if s := d.tracker.Share(sim.now); s.Usable && !sim.now.Before(d.pausedUntil) {
+			sim.used[vm] = append(sim.used[vm], usedShare{sim.now, 1 / float64(s.VMCount)})
 		}
 	}
 	sum := 0.0
-	for vm, parts := range w.used {
-		for len(parts) > 0 && w.now.Sub(parts[0].at) >= testShareTiming.Window {
-			parts = parts[1:]
+	for vm, shares := range sim.used {
+		for len(shares) > 0 && sim.now.Sub(shares[0].at) >= testShareTiming.Window {
+			shares = shares[1:]
 		}
-		w.used[vm] = parts
+		sim.used[vm] = shares
 		largest := 0.0
-		for _, p := range parts {
-			largest = max(largest, p.part)
+		for _, p := range shares {
+			largest = max(largest, p.share)
 		}
 		sum += largest
 	}
@@ -322,20 +322,20 @@
 	parameters.MinSuccessfulTests = 40
 	properties := gopter.NewProperties(parameters)
 	properties.Property("shares", prop.ForAll(func(seed uint64, vms int, restores bool) string {
-		w := newShareSim(seed, vms)
-		for end := shareTestStart.Add(2 * time.Hour); w.now.Before(end); w.now = w.now.Add(2 * time.Second) {
-			for vm, d := range w.daemons {
-				w.syncRows(vm, d)
+		sim := newShareSim(seed, vms)
+		for end := shareTestStart.Add(2 * time.Hour); sim.now.Before(end); sim.now = sim.now.Add(2 * time.Second) {
+			for vm, d := range sim.daemons {
+				sim.syncRows(vm, d)
 			}
-			w.keepCopy()
-			if w.random.IntN(30) == 0 {
-				w.injectFault(vms)
+			sim.keepCopy()
+			if sim.random.IntN(30) == 0 {
+				sim.injectFault(vms)
 			}
-			if restores && w.random.IntN(200) == 0 {
-				w.restore()
+			if restores && sim.random.IntN(200) == 0 {
+				sim.restore()
 			}
-			if sum := w.totalUsed(); sum > 1.000001 {
-				return fmt.Sprintf("after %s the shares add up to %.3f", w.now.Sub(shareTestStart), sum)
+			if sum := sim.totalUsed(); sum > 1.000001 {
+				return fmt.Sprintf("after %s the shares add up to %.3f", sim.now.Sub(shareTestStart), sum)
 			}
 		}
 		return ""
@@ -349,23 +349,23 @@
 	parameters.MinSuccessfulTests = 30
 	properties := gopter.NewProperties(parameters)
 	properties.Property("tasks", prop.ForAll(func(seed uint64, vms int, restores bool) string {
-		w := newShareSim(seed, vms)
-		for end := shareTestStart.Add(2 * time.Hour); w.now.Before(end); w.now = w.now.Add(2 * time.Second) {
-			for vm, d := range w.daemons {
-				w.syncRows(vm, d)
+		sim := newShareSim(seed, vms)
+		for end := shareTestStart.Add(2 * time.Hour); sim.now.Before(end); sim.now = sim.now.Add(2 * time.Second) {
+			for vm, d := range sim.daemons {
+				sim.syncRows(vm, d)
 			}
-			w.keepCopy()
-			if w.random.IntN(30) == 0 {
-				w.injectFault(vms)
+			sim.keepCopy()
+			if sim.random.IntN(30) == 0 {
+				sim.injectFault(vms)
 			}
-			if restores && w.random.IntN(200) == 0 {
-				w.restore()
+			if restores && sim.random.IntN(200) == 0 {
+				sim.restore()
 			}
-			if fault := w.doTasks(); fault != "" {
+			if fault := sim.doTasks(); fault != "" {
 				return fault
 			}
 		}
-		if w.done == 0 {
+		if sim.done == 0 {
 			return "no task was ever done"
 		}
 		return ""
@@ -402,29 +402,29 @@
 // after that do not know the VM, so it must not use its share before they do, and they must not use theirs while it may
 // not have heard of the restore.
 func TestRestoredStoreInvalidatesOlderRows(t *testing.T) {
-	c := establishedTracker("a", "b")
-	wantShare(t, c, shareTestStart, 2, ShareUsable)
-	c.StoreRestored(shareTestStart, 2)
-	wantShare(t, c, shareTestStart, 2, ShareStarting)
-	c.RowWritten(shareTestStart.Add(-time.Second), 1)
-	c.ObserveRows(shareTestStart, shareTestStart, 1, revisions(map[proto.VM]uint64{"a": 1}))
+	tracker := establishedTracker("a", "b")
+	wantShare(t, tracker, shareTestStart, 2, ShareUsable)
+	tracker.StoreRestored(shareTestStart, 2)
+	wantShare(t, tracker, shareTestStart, 2, ShareStarting)
+	tracker.RowWritten(shareTestStart.Add(-time.Second), 1)
+	tracker.ObserveRows(shareTestStart, shareTestStart, 1, revisions(map[proto.VM]uint64{"a": 1}))
 	past := shareTestStart.Add(testShareTiming.MaxReadAge + testShareTiming.Window)
-	wantShare(t, c, past, 2, ShareRowExpired)
+	wantShare(t, tracker, past, 2, ShareRowExpired)
 	rewritten := shareTestStart.Add(10 * time.Second)
-	c.RowWritten(rewritten, 2)
-	c.ObserveRows(rewritten, rewritten, 2, revisions(map[proto.VM]uint64{"a": 9}))
-	wantShare(t, c, past, 2, ShareStarting)
+	tracker.RowWritten(rewritten, 2)
+	tracker.ObserveRows(rewritten, rewritten, 2, revisions(map[proto.VM]uint64{"a": 9}))
+	wantShare(t, tracker, past, 2, ShareStarting)
 	usable := rewritten.Add(testShareTiming.MaxReadAge + testShareTiming.Window)
-	c.ObserveRows(usable, usable, 2, revisions(map[proto.VM]uint64{"a": 9}))
-	wantShare(t, c, usable, 2, ShareUsable)
-	c.StoreRestored(usable, 2)
-	wantShare(t, c, usable, 2, ShareUsable)
+	tracker.ObserveRows(usable, usable, 2, revisions(map[proto.VM]uint64{"a": 9}))
+	wantShare(t, tracker, usable, 2, ShareUsable)
+	tracker.StoreRestored(usable, 2)
+	wantShare(t, tracker, usable, 2, ShareUsable)
 	// A row may have been in flight when the store was restored.
-	c.StoreRestored(usable, 3)
-	c.RowWritten(usable.Add(-time.Second), 3)
-	c.ObserveRows(usable, usable, 3, revisions(map[proto.VM]uint64{"a": 9}))
+	tracker.StoreRestored(usable, 3)
+	tracker.RowWritten(usable.Add(-time.Second), 3)
+	tracker.ObserveRows(usable, usable, 3, revisions(map[proto.VM]uint64{"a": 9}))
 	next := usable.Add(testShareTiming.MaxReadAge + testShareTiming.Window)
-	c.ObserveRows(next, next, 3, revisions(map[proto.VM]uint64{"a": 9}))
-	wantShare(t, c, next.Add(-time.Millisecond), 2, ShareStarting)
-	wantShare(t, c, next, 2, ShareUsable)
+	tracker.ObserveRows(next, next, 3, revisions(map[proto.VM]uint64{"a": 9}))
+	wantShare(t, tracker, next.Add(-time.Millisecond), 2, ShareStarting)
+	wantShare(t, tracker, next, 2, ShareUsable)
 }
--- a/coord/vmlist.go
+++ b/coord/vmlist.go
@@ -11,13 +11,13 @@
 func (m *Members) RunEnded(now time.Time, vm proto.VM, incarnation proto.Incarnation) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if mem := m.members[vm]; mem != nil && mem.alive.Incarnation > incarnation {
+	if mem := m.members[vm]; mem != nil && mem.announcement.Incarnation > incarnation {
 		return true
 	}
-	if m.firstListAt.IsZero() || now.Sub(m.lastListAt) > m.timing.MaxListLag {
+	if m.firstListReadAt.IsZero() || now.Sub(m.lastListReadAt) > m.timing.MaxListLag {
 		return false
 	}
-	since := m.firstListAt
+	since := m.firstListReadAt
 	if seen := m.lastListedAt[vm]; seen.After(since) {
 		since = seen
 	}
@@ -47,9 +47,9 @@
 func (m *Members) HandleVMList(now time.Time, list proto.VMList) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.lastListAt = now
-	if m.firstListAt.IsZero() {
-		m.firstListAt = now
+	m.lastListReadAt = now
+	if m.firstListReadAt.IsZero() {
+		m.firstListReadAt = now
 	}
 	seen := make(map[proto.VM]bool, len(list.VMs))
 	for _, entry := range list.VMs {
@@ -73,7 +73,7 @@
 }
 
 func (m *Members) applyListed(now time.Time, change proto.Listed, from proto.VM, own bool) {
-	var news proto.Listed
+	var updates proto.Listed
 	for _, entry := range change.VMs {
 		old, known := m.entries[entry.VM]
 		// A leaving VM does not come back, so a stale read that does not show it as leaving is ignored.
@@ -82,34 +82,34 @@
 		}
 		m.entries[entry.VM] = entry
 		m.enteredAt[entry.VM] = now
-		news.VMs = append(news.VMs, entry)
+		updates.VMs = append(updates.VMs, entry)
 	}
 	for _, vm := range change.Removed {
 		if _, known := m.entries[vm]; known {
 			delete(m.entries, vm)
 			delete(m.enteredAt, vm)
-			news.Removed = append(news.Removed, vm)
+			updates.Removed = append(updates.Removed, vm)
 		}
 	}
-	if len(news.VMs) == 0 && len(news.Removed) == 0 {
+	if len(updates.VMs) == 0 && len(updates.Removed) == 0 {
 		return
 	}
-	m.adoptEntries(now, news)
+	m.adoptEntries(now, updates)
 	for _, vm := range m.links() {
 		if vm != from {
-			m.peers.Send(vm, news)
+			m.peers.Send(vm, updates)
 		}
 	}
 }
 
-func (m *Members) adoptEntries(now time.Time, news proto.Listed) {
+func (m *Members) adoptEntries(now time.Time, updates proto.Listed) {
 	joined := false
-	for _, entry := range news.VMs {
+	for _, entry := range updates.VMs {
 		if !entry.Entry || m.members[entry.VM] != nil {
 			continue
 		}
 		mem := &member{alarms: map[proto.VM]proto.Alarm{}, lastSeen: now}
-		mem.alive = proto.Alive{VM: entry.VM, Zone: entry.Zone, Peer: entry.Peer}
+		mem.announcement = proto.Alive{VM: entry.VM, Zone: entry.Zone, Peer: entry.Peer}
 		m.members[entry.VM] = mem
 		joined = true
 	}
