--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -35,8 +35,8 @@
 // urgentSlack is the slack, as a multiple of the remaining work, below which a ticket is not overtaken by another.
 const urgentSlack = 1.0
 
-// preferCacheHit looks for another queued ticket whose prefix an available target holds, if no target holds the prefix
-// of the first ticket and that ticket has some slack. A cache hit frees the slot earlier for everyone.
+// preferCacheHit looks for another queued ticket whose prefix the chosen target holds, if the target does not hold the
+// prefix of the first ticket and that ticket has some slack. A cache hit frees the slot earlier for everyone.
 func (p *pool) preferCacheHit(now time.Time, ticket *Ticket, chosen int) (*Ticket, int) {
 	e := ticket.Need.entry
 	if e == nil || e.holders.has(chosen) || ticket.latestStart().Sub(now) < seconds(urgentSlack*ticket.Remaining.Seconds()) {
--- a/core/placement.go
+++ b/core/placement.go
@@ -121,8 +121,8 @@
 	p.refilledAt = now
 }
 
-// assigned groups the targets by model. A target that holds several models or none is assigned at once to the model
-// with the fewest targets.
+// assign groups the targets by model. A target that holds several models or none is assigned at once to the model with
+// the fewest targets.
 func (p *Placement) assign(pool *proto.Pool, current map[string][]string, changes map[string][]string) map[string][]string {
 	byModel := map[string][]string{}
 	for _, name := range slices.Sorted(maps.Keys(current)) {
--- a/core/queue.go
+++ b/core/queue.go
@@ -165,8 +165,8 @@
 	return use / mean
 }
 
-// meanUse returns the mean over the workspaces that have queued tickets, because a share that nobody waits for may be
-// used by others.
+// meanUse returns the mean usage of the workspaces that have queued tickets, because a share that nobody waits for may
+// be used by others.
 func (q *fairQueue) meanUse(now time.Time) float64 {
 	spent, weights := 0.0, 0.0
 	for _, workspace := range q.order {
@@ -180,7 +180,8 @@
 	return spent / weights
 }
 
-// Alternative searches the lane of the same workspace first and then the lanes of workspaces that have used less.
+// Alternative searches the lane of the same workspace first and then the lanes of workspaces that have used less, within
+// the slack.
 func (q *fairQueue) Alternative(t *Ticket, match func(*Ticket) bool) *Ticket {
 	if other := alternative(q.lanes[t.Workspace], match); other != nil {
 		return other
--- a/proto/peer.go
+++ b/proto/peer.go
@@ -76,7 +76,7 @@
 	InvalidDigest uint64 `cbor:"9,keyasint,omitempty"`
 	// Evacuations is the revision of the newest evacuation, or end of an evacuation, that the sender knows of.
 	Evacuations Revision `cbor:"10,keyasint,omitzero"`
-	// NoticesDigest is a digest of the target notices that the sender knows of; 0 if there are none.
+	// NoticesDigest is a digest of the notices of listed targets that the sender knows of; 0 if there are none.
 	NoticesDigest uint64 `cbor:"11,keyasint,omitempty"`
 }
 
--- a/proto/relay.go
+++ b/proto/relay.go
@@ -211,7 +211,7 @@
 	// Evacuations holds the state of each zone that was ever evacuated, if the sender knows a newer one than the
 	// requester.
 	Evacuations []Evacuation `cbor:"8,keyasint,omitempty"`
-	// Notices holds the target notices that the sender knows of.
+	// Notices holds the notices of listed targets that the sender knows of.
 	Notices []TargetNotice `cbor:"9,keyasint,omitempty"`
 }
 
