--- a/relay/accept.go
+++ b/relay/accept.go
@@ -34,7 +34,7 @@
 	if fail := f.readBody(r, table.Routing().Limits.MaxBodyBytes); fail != nil {
 		return f, fail
 	}
-	f.digest = digestOf(req, f.workspace)
+	f.digest = requestDigest(req, f.workspace)
 	f.choosePool(table)
 	f.setDeadlines()
 	return f, f.refuseCrashing()
--- a/relay/admit.go
+++ b/relay/admit.go
@@ -279,8 +279,8 @@
 
 // sweep forgets requests that were refused too long ago.
 func (a *admissionController) sweep(now time.Time) {
-	for digest, at := range a.refused {
-		if now.Sub(at) > refusalTTL {
+	for digest, refusedAt := range a.refused {
+		if now.Sub(refusedAt) > refusalTTL {
 			delete(a.refused, digest)
 		}
 	}
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -156,31 +156,31 @@
 }
 
 // mayRetry decides whether another target may get the request.
-func (f *flow) mayRetry(last *attemptResult) bool {
+func (f *flow) mayRetry(previous *attemptResult) bool {
 	s := f.server
 	switch {
-	case !last.notRun && !f.route.Repeatable():
+	case !previous.notRun && !f.route.Repeatable():
 		return false
-	case !last.notRun && f.runs >= f.maxRuns() && len(f.superseded) == 0:
-		f.logInfo("no retry", "reason", "as many targets as allowed have run it", "runs", f.runs, "last", last.reason)
+	case !previous.notRun && f.runs >= f.maxRuns() && len(f.superseded) == 0:
+		f.logInfo("no retry", "reason", "as many targets as allowed have run it", "runs", f.runs, "last", previous.reason)
 		return false
-	case f.sent > 0 && !f.spendRetry(last.reason):
+	case f.sent > 0 && !f.spendRetry(previous.reason):
 		return false
 	}
 	s.counts.retried.Add(1)
-	f.logInfo("retry", "sent", f.sent, "runs", f.runs, "last", last.reason, "left", formatDuration(f.timeLeft()))
+	f.logInfo("retry", "sent", f.sent, "runs", f.runs, "last", previous.reason, "left", formatDuration(f.timeLeft()))
 	return true
 }
 
-// spendRetry takes a further attempt from the retry budget of the pool, if there is any left. last is the reason for
-// the attempt.
-func (f *flow) spendRetry(last string) bool {
+// spendRetry takes a further attempt from the retry budget of the pool, if there is any left. reason is why the
+// attempt is made.
+func (f *flow) spendRetry(reason string) bool {
 	s := f.server
 	share := s.peers.Share()
 	budget, ok := s.budgetOf(f.pool).Spend(s.clock.Now(), share.Fraction)
 	if !ok {
 		f.logInfo("no retry", "reason", "the retry budget of the pool is spent", "pool", f.pool, "spent", budget.Spent, "allowed", budget.Allowed,
-			"share", share.Fraction, "counted", share.Counted, "noShare", share.Reason, "last", last)
+			"share", share.Fraction, "counted", share.Counted, "noShare", share.Reason, "last", reason)
 	}
 	return ok
 }
@@ -391,7 +391,7 @@
 	spec := a.placement.Spec
 	f.triedTargets[spec.ID] = true
 	f.target = spec.ID
-	ctx, span := otel.Tracer(tracer).Start(a.race.ctx, "attempt", trace.WithSpanKind(trace.SpanKindClient), trace.WithAttributes(attribute.String("emberlead.target", spec.ID)))
+	ctx, span := otel.Tracer(tracerName).Start(a.race.ctx, "attempt", trace.WithSpanKind(trace.SpanKindClient), trace.WithAttributes(attribute.String("emberlead.target", spec.ID)))
 	a.span = span
 	a.ctx, a.cancel = context.WithCancelCause(ctx)
 	cancel := a.cancel
--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -61,9 +61,9 @@
 	requests map[proto.RequestDigest]crashRecord
 	size     int
 	digest   uint64
-	// refused is the number of blocked requests, and suspected that of requests with ends that count against them. They
+	// blocked is the number of blocked requests, and suspected that of requests with ends that count against them. They
 	// save lookups under the lock while there is nothing to find.
-	refused, suspected atomic.Int64
+	blocked, suspected atomic.Int64
 }
 
 // EndListener is called, without a lock held, with the ends that a daemon has newly learned and with the daemon that
@@ -85,8 +85,8 @@
 	return &CrashTracker{self: self, clock: clock, log: log, listener: listener, requests: map[proto.RequestDigest]crashRecord{}}
 }
 
-// counted returns how many ends count against the request.
-func (r crashRecord) counted() int {
+// countingEnds returns how many ends count against the request.
+func (r crashRecord) countingEnds() int {
 	n := 0
 	for _, c := range r {
 		if !c.answered {
@@ -99,13 +99,13 @@
 // Blocks reports whether a request is no longer run because too many targets ended while they ran it, and the evidence
 // for that.
 func (c *CrashTracker) Blocks(request proto.RequestDigest) (Evidence, bool) {
-	if c == nil || c.refused.Load() == 0 {
+	if c == nil || c.blocked.Load() == 0 {
 		return Evidence{}, false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	record := c.requests[request]
-	if record.counted() < crashLimit {
+	if record.countingEnds() < crashLimit {
 		return Evidence{}, false
 	}
 	return record.evidence(c.clock.Now()), true
@@ -118,7 +118,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.requests[request].counted() > 0
+	return c.requests[request].countingEnds() > 0
 }
 
 // Ended records that a target run ended while it was running requests.
@@ -163,27 +163,27 @@
 		return
 	}
 	now := c.clock.Now()
-	var fresh proto.TargetEnds
-	var refused []proto.RequestDigest
+	var newEnds proto.TargetEnds
+	var blocked []proto.RequestDigest
 	c.mu.Lock()
 	for _, end := range m.Ends {
-		added, nowRefused := c.mergeEnd(now, end)
-		refused = append(refused, nowRefused...)
+		added, nowBlocked := c.mergeEnd(now, end)
+		blocked = append(blocked, nowBlocked...)
 		if len(added) > 0 {
 			end.Requests = added
-			fresh.Ends = append(fresh.Ends, end)
+			newEnds.Ends = append(newEnds.Ends, end)
 		}
 	}
 	c.evict()
 	c.mu.Unlock()
-	if len(fresh.Ends) == 0 {
+	if len(newEnds.Ends) == 0 {
 		return
 	}
-	c.logMerged(fresh, refused, from)
+	c.logMerged(newEnds, blocked, from)
 	if c.listener != nil {
-		c.listener(fresh, from)
+		c.listener(newEnds, from)
 	}
-	c.clearRecentlyAnswered(now, refused)
+	c.clearRecentlyAnswered(now, blocked)
 }
 
 // clearRecentlyAnswered clears requests that are about to be refused but were answered here a short time before, unless
@@ -214,23 +214,23 @@
 
 // mergeEnd adds an end. It returns the requests for which it is new and those that are refused from now on. The lock
 // must be held.
-func (c *CrashTracker) mergeEnd(now time.Time, end proto.TargetEnd) (added, refused []proto.RequestDigest) {
+func (c *CrashTracker) mergeEnd(now time.Time, end proto.TargetEnd) (added, blocked []proto.RequestDigest) {
 	if end.Age > crashTTL {
 		return nil, nil
 	}
 	for _, request := range end.Requests {
-		before := c.requests[request].counted()
+		before := c.requests[request].countingEnds()
 		if !c.addEnd(request, end.Run, crash{at: now.Add(-end.Age), reporter: end.Reporter, answered: end.Answered}) {
 			continue
 		}
 		added = append(added, request)
-		after := c.requests[request].counted()
+		after := c.requests[request].countingEnds()
 		c.updateTotals(before, after)
 		if before < crashLimit && after >= crashLimit {
-			refused = append(refused, request)
+			blocked = append(blocked, request)
 		}
 	}
-	return added, refused
+	return added, blocked
 }
 
 // addEnd adds an end or marks it as answered, and reports whether that changed anything. The lock must be held.
@@ -258,11 +258,11 @@
 // removeEnd removes an end. The lock must be held.
 func (c *CrashTracker) removeEnd(request proto.RequestDigest, run proto.RunName) {
 	record := c.requests[request]
-	before := record.counted()
+	before := record.countingEnds()
 	c.digest ^= record[run].digest(request, run)
 	c.size--
 	delete(record, run)
-	c.updateTotals(before, record.counted())
+	c.updateTotals(before, record.countingEnds())
 	if len(record) == 0 {
 		delete(c.requests, request)
 	}
@@ -271,7 +271,7 @@
 // updateTotals updates the totals after a change of the number of ends that count against a request.
 func (c *CrashTracker) updateTotals(before, after int) {
 	c.suspected.Add(int64(min(1, after) - min(1, before)))
-	c.refused.Add(int64(min(1, after/crashLimit) - min(1, before/crashLimit)))
+	c.blocked.Add(int64(min(1, after/crashLimit) - min(1, before/crashLimit)))
 }
 
 // digest returns the hash of one end, which is the same on all daemons that know it.
@@ -347,7 +347,7 @@
 	}
 	all := make([]entry, 0, c.size)
 	for request, record := range c.requests {
-		counted := record.counted()
+		counted := record.countingEnds()
 		for run, e := range record {
 			all = append(all, entry{request, run, counted, e.at})
 		}
--- a/relay/crashes_test.go
+++ b/relay/crashes_test.go
@@ -70,11 +70,11 @@
 			for _, step := range s.steps {
 				step(c, clock)
 			}
-			evidence, refused := c.Blocks(request)
-			if refused != s.refused || c.Suspects(request) != s.suspected {
-				t.Errorf("request blocked: %v, suspected: %v", refused, c.Suspects(request))
+			evidence, blocked := c.Blocks(request)
+			if blocked != s.refused || c.Suspects(request) != s.suspected {
+				t.Errorf("request blocked: %v, suspected: %v", blocked, c.Suspects(request))
 			}
-			if refused && (len(evidence.Ends) < crashLimit || evidence.RetryAfter <= 0 || evidence.RetryAfter > crashTTL) {
+			if blocked && (len(evidence.Ends) < crashLimit || evidence.RetryAfter <= 0 || evidence.RetryAfter > crashTTL) {
 				t.Errorf("evidence %+v", evidence)
 			}
 			if _, other := c.Blocks(request + 1); other || c.Suspects(request+1) {
@@ -95,12 +95,12 @@
 	evidence, _ := c.Blocks(1)
 	clock.Advance(evidence.RetryAfter - time.Second)
 	c.Sweep()
-	if _, refused := c.Blocks(1); !refused {
+	if _, blocked := c.Blocks(1); !blocked {
 		t.Error("the request is run before its Retry-After")
 	}
 	clock.Advance(2 * time.Second)
 	c.Sweep()
-	if _, refused := c.Blocks(1); refused {
+	if _, blocked := c.Blocks(1); blocked {
 		t.Error("the request is still blocked after its Retry-After")
 	}
 }
@@ -114,9 +114,9 @@
 	properties.Property("equal after the exchange", prop.ForAll(func(seed uint64) bool {
 		random := rand.New(rand.NewPCG(seed, 1))
 		clock := clockwork.NewFakeClockAt(start)
-		daemons := []*CrashTracker{newTestCrashTracker(clock), newTestCrashTracker(clock), newTestCrashTracker(clock)}
+		trackers := []*CrashTracker{newTestCrashTracker(clock), newTestCrashTracker(clock), newTestCrashTracker(clock)}
 		for range 60 {
-			d := daemons[random.IntN(len(daemons))]
+			d := trackers[random.IntN(len(trackers))]
 			request := proto.RequestDigest(random.IntN(6))
 			if random.IntN(8) == 0 {
 				d.Answered(request)
@@ -124,24 +124,24 @@
 			}
 			d.Ended(runName(random.IntN(12)), clock.Now(), []proto.RequestDigest{request, proto.RequestDigest(random.IntN(6))})
 			if random.IntN(4) == 0 {
-				daemons[random.IntN(len(daemons))].Merge(d.Snapshot(), "other")
+				trackers[random.IntN(len(trackers))].Merge(d.Snapshot(), "other")
 			}
 			clock.Advance(time.Second)
 		}
 		for range 2 {
-			for _, from := range daemons {
-				for _, to := range daemons {
+			for _, from := range trackers {
+				for _, to := range trackers {
 					to.Merge(from.Snapshot(), "other")
 				}
 			}
 		}
-		for _, d := range daemons[1:] {
-			if d.Digest() != daemons[0].Digest() || d.Counts() != daemons[0].Counts() {
+		for _, d := range trackers[1:] {
+			if d.Digest() != trackers[0].Digest() || d.Counts() != trackers[0].Counts() {
 				return false
 			}
 			for request := range proto.RequestDigest(6) {
 				_, one := d.Blocks(request)
-				_, other := daemons[0].Blocks(request)
+				_, other := trackers[0].Blocks(request)
 				if one != other {
 					return false
 				}
@@ -155,26 +155,26 @@
 // TestCrashTrackerSizeIsLimited lets more targets end under more requests than the tracker holds, along with a request
 // that crashes them.
 func TestCrashTrackerSizeIsLimited(t *testing.T) {
-	const guilty = proto.RequestDigest(1 << 60)
+	const crashing = proto.RequestDigest(1 << 60)
 	clock := clockwork.NewFakeClockAt(start)
 	c := newTestCrashTracker(clock)
 	next := proto.RequestDigest(1)
 	for run := range 3 * maxCrashes / 50 {
-		at := make([]proto.RequestDigest, 0, 51)
+		running := make([]proto.RequestDigest, 0, 51)
 		for range 50 {
-			at = append(at, next)
+			running = append(running, next)
 			next++
 		}
 		if run < crashLimit {
-			at = append(at, guilty)
+			running = append(running, crashing)
 		}
-		c.Ended(runName(run), clock.Now(), at)
+		c.Ended(runName(run), clock.Now(), running)
 		clock.Advance(time.Second)
 	}
 	if n := c.Counts().Ends; n > maxCrashes {
 		t.Errorf("%d ends are stored", n)
 	}
-	if _, refused := c.Blocks(guilty); !refused {
+	if _, blocked := c.Blocks(crashing); !blocked {
 		t.Error("the request that crashes targets was evicted instead of others")
 	}
 	if c.Suspects(next-50) != true {
@@ -189,10 +189,10 @@
 
 // waveWork is a request that is running in a pool whose targets end in waves.
 type waveWork struct {
-	digest proto.RequestDigest
-	target int
-	left   time.Duration
-	ends   int
+	digest    proto.RequestDigest
+	target    int
+	remaining time.Duration
+	ends      int
 }
 
 // wavePool is a pool of twelve targets and the requests that are running there.
@@ -200,20 +200,20 @@
 	random  *rand.Rand
 	clock   *clockwork.FakeClock
 	crashes *CrashTracker
-	// runs holds the run numbers of the targets, and back when those that ended are in service again.
-	runs [12]int
-	back [12]time.Time
-	next int
-	work []*waveWork
+	// runs holds the run numbers of the targets, and backAt when those that ended are in service again.
+	runs    [12]int
+	backAt  [12]time.Time
+	nextRun int
+	work    []*waveWork
 
-	begun, hitTwice, refused int
+	started, hitTwice, blocked int
 }
 
 // pick returns a target that is in service.
 func (p *wavePool) pick() int {
 	for {
 		n := p.random.IntN(len(p.runs))
-		if !p.clock.Now().Before(p.back[n]) {
+		if !p.clock.Now().Before(p.backAt[n]) {
 			return n
 		}
 	}
@@ -221,12 +221,12 @@
 
 // wave ends some targets. The requests that they were running continue at other targets, as after retries by callers
 // and daemons.
-func (p *wavePool) wave(share float64) {
+func (p *wavePool) wave(fraction float64) {
 	for n := range p.runs {
-		if p.random.Float64() >= share || p.inService() < 3 {
+		if p.random.Float64() >= fraction || p.inService() < 3 {
 			continue
 		}
-		p.back[n] = p.clock.Now().Add(time.Second)
+		p.backAt[n] = p.clock.Now().Add(time.Second)
 		var hit []proto.RequestDigest
 		for _, w := range p.work {
 			if w.target == n {
@@ -235,15 +235,15 @@
 			}
 		}
 		p.crashes.Ended(runName(p.runs[n]), p.clock.Now(), hit)
-		p.next++
-		p.runs[n] = p.next
+		p.nextRun++
+		p.runs[n] = p.nextRun
 	}
 	p.moveWork()
 }
 
 func (p *wavePool) inService() int {
 	n := 0
-	for _, back := range p.back {
+	for _, back := range p.backAt {
 		if !p.clock.Now().Before(back) {
 			n++
 		}
@@ -255,12 +255,12 @@
 func (p *wavePool) moveWork() {
 	kept := p.work[:0]
 	for _, w := range p.work {
-		if p.clock.Now().Before(p.back[w.target]) {
+		if p.clock.Now().Before(p.backAt[w.target]) {
 			if w.ends == 2 {
 				p.hitTwice++
 			}
-			if _, refused := p.crashes.Blocks(w.digest); refused {
-				p.refused++
+			if _, blocked := p.crashes.Blocks(w.digest); blocked {
+				p.blocked++
 				continue
 			}
 			w.target = p.pick()
@@ -276,7 +276,7 @@
 	p.clock.Advance(length)
 	kept := p.work[:0]
 	for _, w := range p.work {
-		if w.left -= length; w.left <= 0 {
+		if w.remaining -= length; w.remaining <= 0 {
 			p.crashes.Answered(w.digest)
 			continue
 		}
@@ -284,9 +284,9 @@
 	}
 	p.work = kept
 	for range 6 {
-		p.begun++
-		left := time.Duration(p.random.ExpFloat64() * float64(1500*time.Millisecond))
-		p.work = append(p.work, &waveWork{digest: proto.RequestDigest(p.begun), target: p.pick(), left: left})
+		p.started++
+		remaining := time.Duration(p.random.ExpFloat64() * float64(1500*time.Millisecond))
+		p.work = append(p.work, &waveWork{digest: proto.RequestDigest(p.started), target: p.pick(), remaining: remaining})
 	}
 }
 
@@ -294,7 +294,7 @@
 // take 1.5 seconds on average continue elsewhere. The requests did not cause this, and at most one in a hundred may be
 // blocked; with a limit of two ends it would be four.
 func TestFewRequestsAreBlockedByWaves(t *testing.T) {
-	begun, hitTwice, refused := 0, 0, 0
+	started, hitTwice, blocked := 0, 0, 0
 	for seed := range uint64(20) {
 		clock := clockwork.NewFakeClockAt(start)
 		p := &wavePool{random: rand.New(rand.NewPCG(seed, 2)), clock: clock, crashes: newTestCrashTracker(clock)}
@@ -304,11 +304,11 @@
 			}
 			p.wave(0.1 + 0.4*p.random.Float64())
 		}
-		begun, hitTwice, refused = begun+p.begun, hitTwice+p.hitTwice, refused+p.refused
+		started, hitTwice, blocked = started+p.started, hitTwice+p.hitTwice, blocked+p.blocked
 	}
-	t.Logf("of %d requests %d were running at two targets that ended, and %d were blocked", begun, hitTwice, refused)
-	if refused*100 > begun {
-		t.Errorf("%d of %d innocent requests were blocked", refused, begun)
+	t.Logf("of %d requests %d were running at two targets that ended, and %d were blocked", started, hitTwice, blocked)
+	if blocked*100 > started {
+		t.Errorf("%d of %d innocent requests were blocked", blocked, started)
 	}
 }
 
@@ -316,19 +316,19 @@
 // when the targets end together. All copies that are running are lost, so that nothing is answered between the ends and
 // the next retry.
 func TestPopularRequestIsNotBlocked(t *testing.T) {
-	const alike = proto.RequestDigest(5)
+	const popular = proto.RequestDigest(5)
 	clock := clockwork.NewFakeClockAt(start)
 	c := newTestCrashTracker(clock)
 	runs := 0
 	for range 20 {
-		if _, refused := c.Blocks(alike); refused {
+		if _, blocked := c.Blocks(popular); blocked {
 			t.Fatalf("blocked after %d ends", runs)
 		}
-		c.Answered(alike)
+		c.Answered(popular)
 		clock.Advance(time.Second)
 		for range 5 {
 			runs++
-			c.Ended(runName(runs), clock.Now(), []proto.RequestDigest{alike, proto.RequestDigest(1000 + runs)})
+			c.Ended(runName(runs), clock.Now(), []proto.RequestDigest{popular, proto.RequestDigest(1000 + runs)})
 		}
 		clock.Advance(time.Second)
 	}
--- a/relay/crashing.go
+++ b/relay/crashing.go
@@ -10,8 +10,8 @@
 // when it may be retried. If the last of these targets ended because of this very request, it may have run under this
 // id already.
 func (f *flow) refuseCrashing() *failure {
-	evidence, refused := f.server.crashes.Blocks(f.digest)
-	if !refused {
+	evidence, blocked := f.server.crashes.Blocks(f.digest)
+	if !blocked {
 		return nil
 	}
 	f.server.counts.crashing.Add(1)
--- a/relay/crashreport.go
+++ b/relay/crashreport.go
@@ -56,13 +56,13 @@
 
 // logMerged logs newly learned ends. It writes one line for all ends that arrived together, because a wave brings
 // hundreds of them.
-func (c *CrashTracker) logMerged(fresh proto.TargetEnds, refused []proto.RequestDigest, from proto.VM) {
+func (c *CrashTracker) logMerged(newEnds proto.TargetEnds, blocked []proto.RequestDigest, from proto.VM) {
 	var entries []mergedEnd
-	for _, end := range fresh.Ends[:min(maxLoggedEnds, len(fresh.Ends))] {
+	for _, end := range newEnds.Ends[:min(maxLoggedEnds, len(newEnds.Ends))] {
 		entries = append(entries, mergedEnd{EvidenceEnd{end.Run, end.Reporter, formatDuration(end.Age)}, len(end.Requests), end.Answered})
 	}
-	c.log.Info("requests were at work when targets ended", "from", from, "count", len(fresh.Ends), "ends", entries)
-	for _, request := range refused {
+	c.log.Info("requests were at work when targets ended", "from", from, "count", len(newEnds.Ends), "ends", entries)
+	for _, request := range blocked {
 		evidence, _ := c.Blocks(request)
 		c.log.Warn("a request is refused from now on, since targets end that run it", "digest", request.String(), "ends", evidence.Ends, "for", formatDuration(evidence.RetryAfter), "from", from)
 	}
@@ -81,5 +81,5 @@
 func (c *CrashTracker) Counts() CrashCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return CrashCounts{Ends: c.size, Suspected: c.suspected.Load(), Refused: c.refused.Load()}
+	return CrashCounts{Ends: c.size, Suspected: c.suspected.Load(), Refused: c.blocked.Load()}
 }
--- a/relay/race.go
+++ b/relay/race.go
@@ -54,9 +54,9 @@
 // handled.
 const updateBuffer = 1
 
-func newRace(caller context.Context, f *flow) *race {
+func newRace(parent context.Context, f *flow) *race {
 	r := &race{flow: f, updates: make(chan *attemptUpdate, updateBuffer), done: make(chan struct{})}
-	ctx, cancel := context.WithCancelCause(caller)
+	ctx, cancel := context.WithCancelCause(parent)
 	r.ctx, r.cancel = ctx, cancel
 	r.deadlineTimer = f.server.clock.AfterFunc(f.timeLeft(), func() { cancel(errDeadlineReached) })
 	r.stopCloseWatch = context.AfterFunc(f.server.closeCtx, func() { cancel(errClosing) })
--- a/relay/race_test.go
+++ b/relay/race_test.go
@@ -22,9 +22,9 @@
 //
 // The tests run in a synctest bubble with a fake clock, against targets with scripted responses.
 
-// kindsOfRace are the kinds of requests that may run at more than one target, each with a late and a quick target and
+// raceKinds are the kinds of requests that may run at more than one target, each with a late and a quick target and
 // with the complete response that callers get.
-var kindsOfRace = []struct {
+var raceKinds = []struct {
 	testName    string
 	kind        proto.RouteKind
 	late, quick racer
@@ -73,7 +73,7 @@
 		{"the retry budget is spent", func(r *racedRequest) { r.server.budget = RetryBudgetConfig{Window: 10 * time.Second} }, false},
 	}
 	for _, s := range scenarios {
-		for _, k := range kindsOfRace {
+		for _, k := range raceKinds {
 			t.Run(s.testName+", "+k.testName, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					racers := []racer{k.late, k.quick}
@@ -97,7 +97,7 @@
 // TestLateAttemptIsHedged lets the first target answer late and the second do something else. The first complete
 // response counts, and the caller does not wait for the late target if the other one is quick.
 func TestLateAttemptIsHedged(t *testing.T) {
-	for _, k := range kindsOfRace {
+	for _, k := range raceKinds {
 		scenarios := []struct {
 			testName string
 			second   racer
--- a/relay/raceprop_test.go
+++ b/relay/raceprop_test.go
@@ -50,7 +50,7 @@
 	parameters := gopter.DefaultTestParametersWithSeed(1)
 	parameters.MinSuccessfulTests = 400
 	properties := gopter.NewProperties(parameters)
-	for _, k := range kindsOfRace {
+	for _, k := range raceKinds {
 		kind := k.kind
 		properties.Property(k.testName, prop.ForAll(func(seed uint64) (held bool) {
 			synctest.Test(t, func(t *testing.T) { held = raceInvariantsHold(t, kind, seed) })
--- a/relay/regions_test.go
+++ b/relay/regions_test.go
@@ -11,9 +11,9 @@
 	"emberlead/proto"
 )
 
-// threeRegions returns a fleet with two engines in each of three regions. The other regions are as near as the first
-// one.
-func threeRegions() *Fleet {
+// newThreeRegionFleet returns a fleet with two engines in each of three regions. The other regions are as near as the
+// first one.
+func newThreeRegionFleet() *Fleet {
 	f := NewFleet(func(string) {})
 	for i := range 6 {
 		t := testTarget(fmt.Sprintf("e%02d", i), "p", "z")
@@ -53,14 +53,14 @@
 		}},
 		{"chosen by another daemon that does not know the restriction", func(f *Fleet, _ int) *Target { return f.PickByID(start, "p", "e00", restricted(TargetCriteria{})) }},
 		{"placed for another daemon", func(f *Fleet, i int) *Target {
-			all, _ := newPlacers(clockwork.NewFakeClockAt(start), f, threeRegions())
+			all, _ := newPlacers(clockwork.NewFakeClockAt(start), f, newThreeRegionFleet())
 			placed := all["vm-1"].Choose(context.Background(), "p", restricted(promptCriteria(fmt.Sprint(i), 5000, 9000)))
 			return placed.Target
 		}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			f := threeRegions()
+			f := newThreeRegionFleet()
 			for i := range 12 {
 				if got := s.pick(f, i); got != nil && got.Spec.Region != "south" {
 					t.Fatalf("%s of region %s was chosen", got.Spec.ID, got.Spec.Region)
@@ -85,7 +85,7 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			if got := threeRegions().OpenCount("p", s.homes); got != s.open {
+			if got := newThreeRegionFleet().OpenCount("p", s.homes); got != s.open {
 				t.Errorf("%d targets may get the request, want %d", got, s.open)
 			}
 		})
--- a/relay/server.go
+++ b/relay/server.go
@@ -47,7 +47,7 @@
 	stoppingRetryAfter = 50 * time.Millisecond
 	// defaultTimeout applies to requests without a timeout.
 	defaultTimeout = time.Minute
-	tracer         = "emberlead"
+	tracerName     = "emberlead"
 )
 
 // Limits limits a daemon's own resources.
@@ -253,7 +253,7 @@
 	}
 	f.logInfo("request accepted", "route", f.route.Name, "workspace", f.workspace, "rank", f.rank, "pool", f.pool, "routing", f.routingVersion,
 		"pieces", f.req.Pieces, "homes", f.allowedRegions.Regions, "digest", f.digest.String(), "body", len(f.req.Body), "prompt", f.promptID(), "promptTokens", f.req.PromptTokens, "mostTokens", f.req.MaxTokens, "due", formatDuration(f.due.Sub(startedAt)), "left", formatDuration(f.timeLeft()))
-	ctx, span := otel.Tracer(tracer).Start(r.Context(), "relay", trace.WithSpanKind(trace.SpanKindServer),
+	ctx, span := otel.Tracer(tracerName).Start(r.Context(), "relay", trace.WithSpanKind(trace.SpanKindServer),
 		trace.WithAttributes(attribute.String("emberlead.request", f.req.ID), attribute.String("emberlead.route", f.route.Name)))
 	defer span.End()
 	ctx, cancel := context.WithCancel(ctx)
--- a/relay/stages.go
+++ b/relay/stages.go
@@ -154,9 +154,9 @@
 
 func (f *flow) runStage(ctx context.Context, ask proto.PiecesAsk, due, deadline time.Time) stageOutcome {
 	clock := f.server.clock
-	began := clock.Now()
+	startedAt := clock.Now()
 	answer := f.server.pieces.Run(ctx, ask, due, deadline)
-	return stageOutcome{stage: ask.Stage, answer: answer, took: clock.Now().Sub(began)}
+	return stageOutcome{stage: ask.Stage, answer: answer, took: clock.Now().Sub(startedAt)}
 }
 
 func (f *flow) recordStage(e stageOutcome) {
--- a/relay/table.go
+++ b/relay/table.go
@@ -12,15 +12,15 @@
 
 // Table looks up the route and the workspace of a request in one version of the configuration.
 type Table struct {
-	routing *proto.Routing
-	hosts   map[string][]*proto.Route
-	owners  map[string]*proto.RelayWorkspace
-	ranks   map[string]map[urgency]int // by pool
+	routing     *proto.Routing
+	hosts       map[string][]*proto.Route
+	workspaces  map[string]*proto.RelayWorkspace
+	ranksByPool map[string]map[urgency]int // by pool
 }
 
 // NewTable indexes a configuration.
 func NewTable(r *proto.Routing) *Table {
-	t := &Table{routing: r, hosts: map[string][]*proto.Route{}, owners: map[string]*proto.RelayWorkspace{}}
+	t := &Table{routing: r, hosts: map[string][]*proto.Route{}, workspaces: map[string]*proto.RelayWorkspace{}}
 	for i := range r.Routes {
 		route := &r.Routes[i]
 		host := strings.ToLower(route.Host)
@@ -32,10 +32,10 @@
 	for i := range r.Workspaces {
 		w := &r.Workspaces[i]
 		for _, key := range w.Keys {
-			t.owners[key] = w
+			t.workspaces[key] = w
 		}
 	}
-	t.ranks = rankUrgencies(r)
+	t.ranksByPool = rankUrgencies(r)
 	return t
 }
 
@@ -60,18 +60,18 @@
 	if key == "" {
 		return nil
 	}
-	return t.owners[key]
+	return t.workspaces[key]
 }
 
 // Rank returns the priority rank of a workspace's requests on a route among those for a pool; 0 is the most urgent. The
 // workspace may be nil.
-func (t *Table) Rank(pool string, owner *proto.RelayWorkspace, route *proto.Route) int {
-	return t.ranks[pool][urgencyOf(owner, route)]
+func (t *Table) Rank(pool string, workspace *proto.RelayWorkspace, route *proto.Route) int {
+	return t.ranksByPool[pool][urgencyOf(workspace, route)]
 }
 
 // Urgency converts a rank of a pool to a number from 0 for the least urgent rank to 1 for the most urgent one.
 func (t *Table) Urgency(pool string, rank int) float64 {
-	last := len(t.ranks[pool]) - 1
+	last := len(t.ranksByPool[pool]) - 1
 	if last <= 0 {
 		return 1
 	}
