--- a/coord/alarms.go
+++ b/coord/alarms.go
@@ -82,12 +82,12 @@
 	if dead {
 		m.markDead(now, mem)
 	}
-	m.invalidateGraph()
+	m.markChanged()
 }
 
-// isSuspect reports whether more than one daemon has raised an alarm about this one. Such a daemon may be dead itself, so
-// its silence about a third daemon is no evidence. When a third of 200 daemons die at once, a quarter of the dead have
-// lost half of the daemons that monitor them.
+// isSuspect reports whether more than one daemon has raised an alarm about this one. Such a daemon may be dead itself,
+// so its silence about a third daemon is no evidence. When a third of 200 daemons die at once, a quarter of the dead
+// have lost half of the daemons that monitor them.
 func (mem *member) isSuspect() bool {
 	silent := 0
 	for _, a := range mem.alarms {
@@ -140,8 +140,8 @@
 	// compareAfter is the number of heartbeats for which two daemons may disagree on which runs are dead before one
 	// sends the other its view: news of a death takes a few hops, each well under a heartbeat interval.
 	compareAfter = 3
-	// maxCompareBackoff bounds how often that wait doubles while the disagreement lasts; the other daemon may not know the
-	// dead one at all.
+	// maxCompareBackoff bounds how often that wait doubles while the disagreement lasts; the other daemon may not know
+	// the dead one at all.
 	maxCompareBackoff = 5
 )
 
@@ -216,7 +216,7 @@
 	if len(forwarded.Runs) == 0 {
 		return
 	}
-	m.invalidateGraph()
+	m.markChanged()
 	for _, vm := range m.links() {
 		if vm != from {
 			m.peers.Send(vm, forwarded)
--- a/coord/bench_test.go
+++ b/coord/bench_test.go
@@ -92,7 +92,7 @@
 		b.Run(fmt.Sprintf("peers=%d", n), func(b *testing.B) {
 			m, _ := newMembers(n)
 			for b.Loop() {
-				m.invalidateGraph()
+				m.markChanged()
 				m.Links()
 			}
 		})
--- a/coord/claim.go
+++ b/coord/claim.go
@@ -121,8 +121,8 @@
 	timing       ClaimTiming
 	// refresh fetches a newer roster from a daemon that has one.
 	refresh func(ctx context.Context, from proto.VM)
-	// dead reports whether a run of a daemon is considered dead.
-	dead func(proto.VM, proto.Incarnation) bool
+	// isDead reports whether a run of a daemon is considered dead.
+	isDead func(proto.VM, proto.Incarnation) bool
 
 	mu         sync.Mutex
 	random     *rand.Rand
@@ -138,9 +138,9 @@
 }
 
 // NewClaimer returns a claimer that asks the groups of the replica's roster.
-func NewClaimer(self proto.RosterMember, local *Replica, peers Peers, clock clockwork.Clock, timing ClaimTiming, refresh func(context.Context, proto.VM), dead func(proto.VM, proto.Incarnation) bool) *Claimer {
+func NewClaimer(self proto.RosterMember, localReplica *Replica, peers Peers, clock clockwork.Clock, timing ClaimTiming, refresh func(context.Context, proto.VM), isDead func(proto.VM, proto.Incarnation) bool) *Claimer {
 	return &Claimer{
-		self: self, roster: local.Roster, localReplica: local, peers: peers, clock: clock, timing: timing, refresh: refresh, dead: dead,
+		self: self, roster: localReplica.Roster, localReplica: localReplica, peers: peers, clock: clock, timing: timing, refresh: refresh, isDead: isDead,
 		random:     rand.New(rand.NewPCG(xxhash.Sum64String(string(self.VM)), uint64(self.Incarnation))),
 		heldClaims: map[proto.RequestID]heldClaim{}, failedAt: map[int]time.Time{},
 	}
@@ -235,7 +235,7 @@
 		replies <- groupReply{from: member.VM, answer: c.localReplica.Claim(wallTime(c.clock), ask)}
 		return
 	}
-	if c.dead(member.VM, member.Incarnation) {
+	if c.isDead(member.VM, member.Incarnation) {
 		replies <- groupReply{from: member.VM, err: newError("claim", proto.KindUnavailable, "%s is considered dead", member.VM)}
 		return
 	}
@@ -295,7 +295,7 @@
 	group := roster.Slots[index].Group
 	live := 0
 	for _, member := range group {
-		if member == c.self || !c.dead(member.VM, member.Incarnation) {
+		if member == c.self || !c.isDead(member.VM, member.Incarnation) {
 			live++
 		}
 	}
--- a/coord/config.go
+++ b/coord/config.go
@@ -29,10 +29,10 @@
 	recent     []proto.Change // the latest changes in order, without gaps
 	synced     bool
 	onSnapshot func(*proto.Snapshot)
-	refused    int64
+	rejected   int64
 }
 
-// NewConfigState returns an empty copy at generation 0 that is not synced yet; adopted is called with each snapshot
+// NewConfigState returns an empty copy at generation 0 that is not synced yet; onSnapshot is called with each snapshot
 // that takes effect.
 func NewConfigState(onSnapshot func(*proto.Snapshot)) *ConfigState {
 	return &ConfigState{
@@ -106,7 +106,7 @@
 		}
 		applied, ok := c.applyChange(next, change)
 		if !ok {
-			c.refused++
+			c.rejected++
 			c.publish(next)
 			return false
 		}
@@ -178,7 +178,7 @@
 	for _, change := range changes {
 		applied, ok := rebuilt.applyChange(snapshot, change)
 		if !ok {
-			c.refused++
+			c.rejected++
 			return false
 		}
 		snapshot = applied
--- a/coord/gossip.go
+++ b/coord/gossip.go
@@ -7,8 +7,8 @@
 )
 
 // batchesPerHeartbeat bounds how often updates are forwarded: after a batch was sent, updates are collected for this
-// fraction of the heartbeat interval. A single update is forwarded at once; when many daemons start or die together, the
-// cost per message exceeds that of its content.
+// fraction of the heartbeat interval. A single update is forwarded at once; when many daemons start or die together,
+// the cost per message exceeds that of its content.
 const batchesPerHeartbeat = 3
 
 // updateBatch holds the updates to be forwarded over the links.
--- a/coord/heartbeats.go
+++ b/coord/heartbeats.go
@@ -8,21 +8,21 @@
 )
 
 // HandleHeartbeat processes a heartbeat that was received over a link.
-func (m *Members) HandleHeartbeat(now time.Time, from proto.VM, beat proto.Heartbeat) {
+func (m *Members) HandleHeartbeat(now time.Time, from proto.VM, heartbeat proto.Heartbeat) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	mem := m.members[from]
 	if mem == nil {
 		return
 	}
-	if beat.Incarnation < mem.announcement.Incarnation {
-		m.sendCorrection(mem, beat.Incarnation, from)
+	if heartbeat.Incarnation < mem.announcement.Incarnation {
+		m.sendCorrection(mem, heartbeat.Incarnation, from)
 		return
 	}
-	if beat.Incarnation > mem.announcement.Incarnation {
+	if heartbeat.Incarnation > mem.announcement.Incarnation {
 		// The announcement was lost, or was sent before this daemon was listening.
 		announcement := mem.announcement
-		announcement.Incarnation, announcement.Sequence, announcement.Stopping = beat.Incarnation, 0, beat.Stopping
+		announcement.Incarnation, announcement.Sequence, announcement.Stopping = heartbeat.Incarnation, 0, heartbeat.Stopping
 		m.handleAlive(now, announcement, from)
 	}
 	mem.lastSeen = now
@@ -30,7 +30,7 @@
 		mem.alarmRaised = false
 		m.raiseAlarm(now, mem, false)
 	}
-	m.compareDeaths(now, mem, beat.DeadDigest)
+	m.compareDeaths(now, mem, heartbeat.DeadDigest)
 }
 
 func (m *Members) links() []proto.VM {
@@ -139,7 +139,7 @@
 	for vm, mem := range m.members {
 		if _, listed := m.entries[vm]; mem.dead && !listed && now.Sub(mem.deadAt) > m.timing.ForgetAfter {
 			delete(m.members, vm)
-			m.invalidateGraph()
+			m.markChanged()
 			delete(m.lastListedAt, vm)
 		}
 	}
--- a/coord/members.go
+++ b/coord/members.go
@@ -43,36 +43,36 @@
 
 // Members is one daemon's view of the others. Views may differ between daemons, so safety must never depend on it.
 type Members struct {
-	mu                sync.Mutex
-	self              proto.Alive
-	timing            MemberTiming
-	rings             Rings
-	peers             Peers
-	members           map[proto.VM]*member
-	graph             *graph
-	linkedSince       map[proto.VM]time.Time // when the link to each linked daemon was created
-	linkedVersion     uint64                 // the view's version that linkedSince belongs to
-	deadDigestSent    uint64                 // digest of the runs considered dead in that version, sent in heartbeats
-	updates           updateBatch
-	orderCache        orderCache
-	raisesIncarnation bool
-	started           time.Time
-	lastTick          time.Time
-	lastHeartbeat     time.Time
-	pausedAt          time.Time
-	alarmSequence     uint64
-	leaving           map[proto.VM]bool
-	version           uint64
-	heartbeat         func() proto.Heartbeat
-	firstListReadAt   time.Time
-	lastListReadAt    time.Time
-	lastListedAt      map[proto.VM]time.Time // by this daemon's own reads
-	entries           map[proto.VM]proto.VMEntry
-	enteredAt         map[proto.VM]time.Time
-	heartbeatCount    uint64
-	alarmCount        int64
-	deathCount        int64
-	deniedAt          time.Time
+	mu                  sync.Mutex
+	self                proto.Alive
+	timing              MemberTiming
+	rings               Rings
+	peers               Peers
+	members             map[proto.VM]*member
+	graph               *graph
+	linkedSince         map[proto.VM]time.Time // when the link to each linked daemon was created
+	linkedVersion       uint64                 // the view's version that linkedSince belongs to
+	deadDigestSent      uint64                 // digest of the runs considered dead in that version, sent in heartbeats
+	updates             updateBatch
+	orderCache          orderCache
+	canRaiseIncarnation bool
+	started             time.Time
+	lastTick            time.Time
+	lastHeartbeat       time.Time
+	pausedAt            time.Time
+	alarmSequence       uint64
+	leaving             map[proto.VM]bool
+	version             uint64
+	heartbeat           func() proto.Heartbeat
+	firstListReadAt     time.Time
+	lastListReadAt      time.Time
+	lastListedAt        map[proto.VM]time.Time // by this daemon's own reads
+	entries             map[proto.VM]proto.VMEntry
+	enteredAt           map[proto.VM]time.Time
+	heartbeatCount      uint64
+	alarmCount          int64
+	deathCount          int64
+	deniedAt            time.Time
 }
 
 // MembersOption configures a Members.
@@ -80,9 +80,9 @@
 
 // WithIncarnationBump lets a daemon raise its incarnation when others know one that is not below it, which happens
 // after its clock was set back. Nothing else may depend on the value of the incarnation then.
-func WithIncarnationBump() MembersOption { return func(m *Members) { m.raisesIncarnation = true } }
+func WithIncarnationBump() MembersOption { return func(m *Members) { m.canRaiseIncarnation = true } }
 
-// NewMembers returns a view that holds only the daemon itself; beat supplies the content of heartbeats.
+// NewMembers returns a view that holds only the daemon itself; heartbeat supplies the content of heartbeats.
 func NewMembers(self proto.Alive, timing MemberTiming, rings Rings, peers Peers, heartbeat func() proto.Heartbeat, options ...MembersOption) *Members {
 	m := &Members{
 		self: self, timing: timing, rings: rings, peers: peers, heartbeat: heartbeat,
@@ -96,8 +96,8 @@
 	return m
 }
 
-// invalidateGraph invalidates the link graph, which is recomputed when it is next needed.
-func (m *Members) invalidateGraph() {
+// markChanged records a change of the view and invalidates the link graph, which is recomputed when it is next needed.
+func (m *Members) markChanged() {
 	m.graph = nil
 	m.version++
 }
@@ -164,19 +164,19 @@
 }
 
 // IsSilent reports whether a daemon is unknown or considered dead, or is linked to this one and was not heard for
-// longer than the given time.
-func (m *Members) IsSilent(now time.Time, vm proto.VM, since time.Duration) bool {
+// longer than the timeout.
+func (m *Members) IsSilent(now time.Time, vm proto.VM, timeout time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	mem := m.members[vm]
 	if mem == nil || mem.dead {
 		return true
 	}
-	return slices.Contains(m.links(), vm) && now.Sub(m.silentSince(mem)) > since
+	return slices.Contains(m.links(), vm) && now.Sub(m.silentSince(mem)) > timeout
 }
 
-// AllSilent reports whether other daemons are known and none of them was heard within the given time.
-func (m *Members) AllSilent(now time.Time, since time.Duration) bool {
+// AllSilent reports whether other daemons are known and none of them was heard within the timeout.
+func (m *Members) AllSilent(now time.Time, timeout time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	others := false
@@ -185,7 +185,7 @@
 			continue
 		}
 		others = true
-		if now.Sub(mem.lastSeen) < since {
+		if now.Sub(mem.lastSeen) < timeout {
 			return false
 		}
 	}
@@ -248,7 +248,7 @@
 	}
 	restarted := a.Incarnation != mem.announcement.Incarnation
 	if isNew || mem.dead || a.Zone != mem.announcement.Zone {
-		m.invalidateGraph()
+		m.markChanged()
 	}
 	mem.announcement = a
 	mem.announced = true
@@ -273,7 +273,7 @@
 
 // raiseIncarnation takes an incarnation above that of a run of this daemon that others know.
 func (m *Members) raiseIncarnation(known proto.Incarnation) {
-	if !m.raisesIncarnation || known <= m.self.Incarnation {
+	if !m.canRaiseIncarnation || known <= m.self.Incarnation {
 		return
 	}
 	m.self.Incarnation = known + 1
@@ -283,14 +283,14 @@
 // introduce sends the known membership to a daemon that has just started.
 func (m *Members) introduce(vm proto.VM) {
 	m.peers.Send(vm, m.self)
-	var announced proto.News
+	var membership proto.News
 	for other, mem := range m.members {
 		if other != vm && other != m.self.VM && mem.announced && !mem.dead {
-			announced.Alive = append(announced.Alive, mem.announcement)
+			membership.Alive = append(membership.Alive, mem.announcement)
 		}
 	}
-	if len(announced.Alive) > 0 {
-		m.peers.Send(vm, announced)
+	if len(membership.Alive) > 0 {
+		m.peers.Send(vm, membership)
 	}
 	m.peers.Send(vm, m.allEntries())
 }
--- a/coord/node.go
+++ b/coord/node.go
@@ -140,14 +140,14 @@
 }
 
 func (n *Node) heartbeat() proto.Heartbeat {
-	beat := proto.Heartbeat{Incarnation: n.deps.Self.Incarnation, Stopping: n.stopping.Load()}
+	heartbeat := proto.Heartbeat{Incarnation: n.deps.Self.Incarnation, Stopping: n.stopping.Load()}
 	if n.Config != nil {
-		beat.Generation = n.Config.Generation()
+		heartbeat.Generation = n.Config.Generation()
 	}
 	if n.Replica != nil {
-		beat.Roster = n.Replica.Epoch()
+		heartbeat.Roster = n.Replica.Epoch()
 	}
-	return beat
+	return heartbeat
 }
 
 // Start announces the daemon to the seeds from its settings or the platform's list.
@@ -206,14 +206,14 @@
 	return proto.Done{}
 }
 
-func (n *Node) handleHeartbeat(now time.Time, from proto.VM, beat proto.Heartbeat) {
-	n.Members.HandleHeartbeat(now, from, beat)
-	if beat.Generation > n.Config.Generation() && n.pullingChanges.CompareAndSwap(false, true) {
+func (n *Node) handleHeartbeat(now time.Time, from proto.VM, heartbeat proto.Heartbeat) {
+	n.Members.HandleHeartbeat(now, from, heartbeat)
+	if heartbeat.Generation > n.Config.Generation() && n.pullingChanges.CompareAndSwap(false, true) {
 		go n.pullChanges(from)
-	} else if beat.Generation > 0 {
-		n.Config.MarkSynced(beat.Generation)
+	} else if heartbeat.Generation > 0 {
+		n.Config.MarkSynced(heartbeat.Generation)
 	}
-	if beat.Roster > n.Replica.Epoch() && n.pullingRoster.CompareAndSwap(false, true) {
+	if heartbeat.Roster > n.Replica.Epoch() && n.pullingRoster.CompareAndSwap(false, true) {
 		go func() {
 			defer n.pullingRoster.Store(false)
 			n.pullRoster(context.Background(), from)
--- a/coord/owner.go
+++ b/coord/owner.go
@@ -15,8 +15,8 @@
 	maxCachedOrders = 512
 )
 
-// orderCache caches the candidates of each task for one version of the view. Computing an order takes time linear in the
-// number of daemons, and each request needs several.
+// orderCache caches the candidates of each task for one version of the view. Computing an order takes time linear in
+// the number of daemons, and each request needs several.
 type orderCache struct {
 	version    uint64
 	candidates map[string][]proto.VM
@@ -69,9 +69,9 @@
 }
 
 // notStopping filters out the daemons that are stopping.
-func (m *Members) notStopping(order []proto.VM) []proto.VM {
-	notStopping := make([]proto.VM, 0, len(order))
-	for _, vm := range order {
+func (m *Members) notStopping(vms []proto.VM) []proto.VM {
+	notStopping := make([]proto.VM, 0, len(vms))
+	for _, vm := range vms {
 		if !m.members[vm].announcement.Stopping {
 			notStopping = append(notStopping, vm)
 		}
--- a/coord/placement.go
+++ b/coord/placement.go
@@ -159,8 +159,8 @@
 	}
 }
 
-// readModels reads the current models from the targets, because the previous lease holder may have sent orders since this
-// daemon last read them.
+// readModels reads the current models from the targets, because the previous lease holder may have sent orders since
+// this daemon last read them.
 func (pc *PlacementController) readModels(ctx context.Context, pool *proto.Pool) map[string][]string {
 	current := map[string][]string{}
 	for i := range pool.Targets {
--- a/coord/roster.go
+++ b/coord/roster.go
@@ -103,8 +103,9 @@
 	return slot.Previous
 }
 
-// isLost reports whether so many members of a group have certainly ended that a majority of it can never be read. Members
-// that only look dead may be paused and grant claims once they resume, so a group is never given up because of them.
+// isLost reports whether so many members of a group have certainly ended that a majority of it can never be read.
+// Members that only look dead may be paused and grant claims once they resume, so a group is never given up because of
+// them.
 func (p *planner) isLost(group []proto.RosterMember) bool {
 	ended := 0
 	for _, member := range group {
--- a/coord/shares.go
+++ b/coord/shares.go
@@ -33,8 +33,8 @@
 	rowSent, readAsked time.Time
 	// lastListed is when this daemon's row was last known to announce this VM to the others.
 	lastListed time.Time
-	// establishedAt is since when all other daemons count this VM and this daemon counts all of them, as far as they use
-	// anything; zero while that is unknown. The daemon uses its share only a window later, because it does not know
+	// establishedAt is since when all other daemons count this VM and this daemon counts all of them, as far as they
+	// use anything; zero while that is unknown. The daemon uses its share only a window later, because it does not know
 	// what its previous run used.
 	establishedAt time.Time
 	// era is the era of the platform's store; rows of an earlier era prove nothing.
--- a/coord/vmlist.go
+++ b/coord/vmlist.go
@@ -121,7 +121,7 @@
 	}
 	m.leaving = leaving
 	if joined {
-		m.invalidateGraph()
+		m.markChanged()
 		m.announce()
 	}
 }
--- a/state/clock.go
+++ b/state/clock.go
@@ -26,8 +26,8 @@
 	// drift returns how far the wall clock has gained on the monotonic clock since a fixed moment.
 	drift func() time.Duration
 
-	// wallStart is the wall clock time at the clock's start, without a monotonic reading, and monoStart is the monotonic
-	// reading.
+	// wallStart is the wall clock time at the clock's start, without a monotonic reading, and monoStart is the
+	// monotonic reading.
 	wallStart, monoStart time.Time
 	uptimeAtStart        time.Duration
 	driftAtStart         time.Duration
