--- a/core/engine.go
+++ b/core/engine.go
@@ -71,10 +71,10 @@
 
 // WithRouter replaces the default routing policy, RouterExpectedFinish.
 func WithRouter(name RouterName) Option {
-	return func(e *Engine) { e.newChooser = chooserOf(name) }
+	return func(e *Engine) { e.newChooser = chooserFactory(name) }
 }
 
-func chooserOf(name RouterName) func(*rand.Rand) Chooser[*target] {
+func chooserFactory(name RouterName) func(*rand.Rand) Chooser[*target] {
 	return func(r *rand.Rand) Chooser[*target] {
 		switch name {
 		case RouterRandom:
@@ -93,7 +93,7 @@
 func New(options ...Option) *Engine {
 	e := &Engine{
 		tuning:     DefaultTuning(),
-		newChooser: chooserOf(RouterExpectedFinish),
+		newChooser: chooserFactory(RouterExpectedFinish),
 		estimates:  newEstimates(),
 		stats:      newStats(),
 		pools:      map[string]*pool{},
@@ -236,15 +236,15 @@
 	res := &eventResult{now: now}
 	switch ev := event.(type) {
 	case Arrival:
-		e.arrive(res, &ev)
+		e.handleArrival(res, &ev)
 	case AttemptEnded:
-		e.withRequest(ev.Attempt.Request, func(r *request) { e.attemptEnded(res, r, &ev) }, func() { e.stats.countLate(ev.Busy) })
+		e.withRequest(ev.Attempt.Request, func(r *request) { e.handleAttemptEnd(res, r, &ev) }, func() { e.stats.countLate(ev.Busy) })
 	case AttemptChunk:
 		e.withRequest(ev.Attempt.Request, func(r *request) { e.forwardChunk(res, r, &ev) }, func() { e.stats.countLate(0) })
 	case CallerLeft:
-		e.withRequest(ev.Request, func(r *request) { e.callerLeft(res, r, ev.Slow) }, nil)
+		e.withRequest(ev.Request, func(r *request) { e.handleCallerLeft(res, r, ev.Slow) }, nil)
 	case ClaimAnswered:
-		e.withRequest(ev.Request, func(r *request) { e.claimAnswered(res, r, &ev) }, nil)
+		e.withRequest(ev.Request, func(r *request) { e.handleClaimAnswer(res, r, &ev) }, nil)
 	case LoadReported:
 		if p := e.poolByName(ev.Pool); p != nil {
 			res.grants = append(res.grants, p.recordLoad(now, ev.Load)...)
@@ -260,14 +260,14 @@
 	case StopCheck:
 		e.checkStops(res, ev.Lead)
 	case Exported:
-		e.withRequest(ev.Attempt.Request, func(r *request) { e.exported(res, r, &ev) }, nil)
+		e.withRequest(ev.Attempt.Request, func(r *request) { e.handleExport(res, r, &ev) }, nil)
 	case Tick:
 		e.tick(res)
 	}
 	for len(res.grants) > 0 {
 		g := res.grants[0]
 		res.grants = res.grants[1:]
-		e.granted(res, g)
+		e.handleGrant(res, g)
 	}
 	return res.actions
 }
@@ -309,13 +309,13 @@
 		if !ok {
 			break
 		}
-		e.withRequest(next.request, func(r *request) { e.timerFired(res, r, next.attempt) }, nil)
+		e.withRequest(next.request, func(r *request) { e.handleTimer(res, r, next.attempt) }, nil)
 	}
 	for _, p := range e.allPools() {
 		expired, grants := p.poll(res.now)
 		res.grants = append(res.grants, grants...)
 		for _, ticket := range expired {
-			e.withRequest(ticket.Request, func(r *request) { e.expired(res, r, ticket) }, nil)
+			e.withRequest(ticket.Request, func(r *request) { e.handleExpiredTicket(res, r, ticket) }, nil)
 		}
 	}
 }
--- a/core/engine_test.go
+++ b/core/engine_test.go
@@ -77,7 +77,7 @@
 	sim.failures = append(sim.failures, fmt.Sprintf(format, args...))
 }
 
-func (sim *simulation) arrive() {
+func (sim *simulation) addRequest() {
 	service := []string{"plain", "stream", "once"}[sim.random.IntN(3)]
 	id := NewRequestID(sim.now, sim.random)
 	stream := sim.random.IntN(2) == 0
@@ -90,12 +90,12 @@
 	if sim.random.IntN(2) == 0 {
 		a.Key = id
 	}
-	sim.handle(a)
+	sim.handleEvent(a)
 }
 
 func (sim *simulation) schedule(fn func()) { sim.pending = append(sim.pending, fn) }
 
-func (sim *simulation) handle(ev Event) {
+func (sim *simulation) handleEvent(ev Event) {
 	for _, action := range sim.engine.Handle(sim.now, ev) {
 		switch a := action.(type) {
 		case Start:
@@ -105,7 +105,7 @@
 			if sim.random.IntN(5) == 0 {
 				result = []ClaimResult{ClaimTaken, ClaimNoQuorum, ClaimTooOld, ClaimMismatch}[sim.random.IntN(4)]
 			}
-			sim.schedule(func() { sim.handle(ClaimAnswered{Request: a.Request, Result: result}) })
+			sim.schedule(func() { sim.handleEvent(ClaimAnswered{Request: a.Request, Result: result}) })
 		case Chunk:
 			sim.chunk(a)
 		case Finish:
@@ -131,12 +131,12 @@
 	case 0:
 		sim.schedule(func() {
 			s.starts[a.ID.Stage]--
-			sim.handle(AttemptEnded{Attempt: a.ID, Status: StatusNotStarted})
+			sim.handleEvent(AttemptEnded{Attempt: a.ID, Status: StatusNotStarted})
 		})
 	case 1:
-		sim.schedule(func() { sim.handle(AttemptEnded{Attempt: a.ID, Status: StatusUnknown}) })
+		sim.schedule(func() { sim.handleEvent(AttemptEnded{Attempt: a.ID, Status: StatusUnknown}) })
 	case 2:
-		sim.schedule(func() { sim.handle(AttemptEnded{Attempt: a.ID, Status: StatusFailed, Busy: time.Millisecond}) })
+		sim.schedule(func() { sim.handleEvent(AttemptEnded{Attempt: a.ID, Status: StatusFailed, Busy: time.Millisecond}) })
 	case 3: // never answers
 	default:
 		sim.answer(a)
@@ -149,10 +149,10 @@
 		for from := a.Offset; from < testTokens; from += 4 {
 			chunk := AttemptChunk{Attempt: a.ID, Offset: from, Text: text(a.ID.Request, from, from+4), Tokens: 4}
 			if sim.random.IntN(15) > 0 {
-				sim.schedule(func() { sim.handle(chunk) })
+				sim.schedule(func() { sim.handleEvent(chunk) })
 			}
 			if sim.random.IntN(15) == 0 {
-				sim.schedule(func() { sim.handle(chunk) })
+				sim.schedule(func() { sim.handleEvent(chunk) })
 			}
 		}
 	}
@@ -160,9 +160,9 @@
 	if a.Stream {
 		ended.Tokens = testTokens
 	}
-	sim.schedule(func() { sim.handle(ended) })
+	sim.schedule(func() { sim.handleEvent(ended) })
 	if sim.random.IntN(10) == 0 {
-		sim.schedule(func() { sim.handle(ended) })
+		sim.schedule(func() { sim.handleEvent(ended) })
 	}
 }
 
@@ -221,13 +221,13 @@
 func (sim *simulation) step() {
 	switch n := sim.random.IntN(10); {
 	case n < 2:
-		sim.arrive()
+		sim.addRequest()
 	case n < 4:
 		sim.now = sim.now.Add(time.Duration(sim.random.IntN(40)) * time.Millisecond)
-		sim.handle(Tick{})
+		sim.handleEvent(Tick{})
 	case n == 4 && len(sim.observed) > 0 && sim.random.IntN(20) == 0:
 		for id := range sim.observed {
-			sim.handle(CallerLeft{Request: id})
+			sim.handleEvent(CallerLeft{Request: id})
 			break
 		}
 	case len(sim.pending) > 0:
@@ -244,7 +244,7 @@
 func (sim *simulation) end() {
 	for range 400 {
 		sim.now = sim.now.Add(20 * time.Millisecond)
-		sim.handle(Tick{})
+		sim.handleEvent(Tick{})
 	}
 	for len(sim.pending) > 0 {
 		next := sim.pending[0]
--- a/core/estimate.go
+++ b/core/estimate.go
@@ -36,8 +36,8 @@
 	mean.Add(took.Seconds())
 }
 
-// of returns the mean and the deviation in seconds, and whether they were learned or are defaults.
-func (e *estimates) of(service, stage string) (mean, deviation float64, known bool) {
+// lookup returns the mean and the deviation in seconds, and whether they were learned or are defaults.
+func (e *estimates) lookup(service, stage string) (mean, deviation float64, known bool) {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	m := e.stages[stageKey{service, stage}]
--- a/core/flow.go
+++ b/core/flow.go
@@ -13,7 +13,7 @@
 	minHedgeDelay = 20 * time.Millisecond
 )
 
-func (e *Engine) arrive(res *eventResult, a *Arrival) {
+func (e *Engine) handleArrival(res *eventResult, a *Arrival) {
 	s := e.snapshot.Load()
 	service := s.Services[a.Service]
 	workspace := s.Workspaces[a.Workspace]
@@ -39,7 +39,7 @@
 		hasKey:     a.Key != proto.Key{},
 		repeatable: a.Repeatable && service.MayRepeat(),
 		arrived:    res.now,
-		deadline:   e.pauses.arrived(res.now).Add(deadline),
+		deadline:   e.pauses.earliestArrival(res.now).Add(deadline),
 		prefix:     a.Prefix,
 		input:      a.Input,
 		wantStream: a.Stream,
@@ -140,7 +140,7 @@
 
 func (e *Engine) enqueue(res *eventResult, r *request) {
 	spec := r.stageSpec()
-	mean, _, known := e.estimates.of(r.service.Name, spec.Name)
+	mean, _, known := e.estimates.lookup(r.service.Name, spec.Name)
 	if !known {
 		mean = defaultServiceTime.Seconds()
 	}
@@ -169,8 +169,8 @@
 	return r.prefix
 }
 
-// granted starts an attempt, unless the request has ended while its ticket was queued.
-func (e *Engine) granted(res *eventResult, g grant) {
+// handleGrant starts an attempt, unless the request has ended while its ticket was queued.
+func (e *Engine) handleGrant(res *eventResult, g grant) {
 	taken := false
 	e.withRequest(g.ticket.Request, func(r *request) {
 		if r.ticket != g.ticket || g.ticket.withdrawn {
@@ -229,7 +229,7 @@
 	if !r.mayRepeat() || r.stageSpec().Stream {
 		return time.Time{}, false
 	}
-	mean, deviation, known := e.estimates.of(r.service.Name, r.stageSpec().Name)
+	mean, deviation, known := e.estimates.lookup(r.service.Name, r.stageSpec().Name)
 	if !known {
 		return time.Time{}, false
 	}
@@ -237,7 +237,7 @@
 	return now.Add(wait), now.Add(wait).Before(r.deadline)
 }
 
-func (e *Engine) timerFired(res *eventResult, r *request, number int) {
+func (e *Engine) handleTimer(res *eventResult, r *request, number int) {
 	if number == 0 {
 		e.fail(res, r, proto.FailureDeadline, "the deadline has passed", e.queueDelay(res.now, r, r.stage))
 		return
@@ -246,7 +246,7 @@
 	if a == nil || a.id.Stage != r.stage {
 		return
 	}
-	if e.pauses.overlapped(a.startedAt, res.now) {
+	if e.pauses.overlaps(a.startedAt, res.now) {
 		return
 	}
 	a.pool.recordSlow(a.target, res.now.Sub(a.startedAt).Seconds()/a.expected)
@@ -259,8 +259,8 @@
 	e.enqueue(res, r)
 }
 
-// expired ends a request whose ticket stayed queued until the deadline could no longer be met.
-func (e *Engine) expired(res *eventResult, r *request, ticket *Ticket) {
+// handleExpiredTicket ends a request whose ticket stayed queued until the deadline could no longer be met.
+func (e *Engine) handleExpiredTicket(res *eventResult, r *request, ticket *Ticket) {
 	if r.ticket != ticket {
 		return
 	}
@@ -271,7 +271,7 @@
 	e.fail(res, r, proto.FailureOverloaded, "waited until the deadline could no longer be met", res.now.Sub(ticket.Since))
 }
 
-func (e *Engine) callerLeft(res *eventResult, r *request, slow bool) {
+func (e *Engine) handleCallerLeft(res *eventResult, r *request, slow bool) {
 	kind := proto.FailureCallerLeft
 	if slow {
 		kind = proto.FailureSlowCaller
@@ -279,7 +279,7 @@
 	e.fail(res, r, kind, "the caller left before the answer", 0)
 }
 
-func (e *Engine) claimAnswered(res *eventResult, r *request, ev *ClaimAnswered) {
+func (e *Engine) handleClaimAnswer(res *eventResult, r *request, ev *ClaimAnswered) {
 	if r.claim != claimPending {
 		return
 	}
@@ -367,7 +367,7 @@
 // abandon cancels an attempt whose result is no longer needed. Any later answers of the attempt are dropped.
 func (e *Engine) abandon(res *eventResult, r *request, a *attempt) {
 	spent := res.now.Sub(a.startedAt)
-	if e.pauses.overlapped(a.startedAt, res.now) {
+	if e.pauses.overlaps(a.startedAt, res.now) {
 		spent = seconds(a.expected)
 	}
 	res.emit(Cancel{Attempt: a.id})
--- a/core/pause.go
+++ b/core/pause.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// arrived returns the earliest time at which a request that is read now may have arrived.
-func (p *pauses) arrived(now time.Time) time.Time {
+// earliestArrival returns the earliest time at which a request that is read now may have arrived.
+func (p *pauses) earliestArrival(now time.Time) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.detect(now)
@@ -45,9 +45,9 @@
 	return now
 }
 
-// overlapped reports whether an operation that began at the given time went through the last pause, which makes its
+// overlaps reports whether an operation that began at the given time went through the last pause, which makes its
 // measured duration meaningless.
-func (p *pauses) overlapped(began, now time.Time) bool {
+func (p *pauses) overlaps(began, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.detect(now)
--- a/core/policy.go
+++ b/core/policy.go
@@ -96,12 +96,12 @@
 
 // Choose compares Sample available candidates and, if the request has a prefix, all preferred candidates.
 func (e *ExpectedFinish[C]) Choose(candidates []C, need *Need) int {
-	best, earliest, seen := -1, 0.0, 0
+	best, earliest, compared := -1, 0.0, 0
 	from := e.Rand.IntN(max(1, len(candidates)))
 	for k := range candidates {
 		i := (from + k) % len(candidates)
 		candidate := candidates[i]
-		if seen >= e.Sample {
+		if compared >= e.Sample {
 			if need.entry == nil {
 				break
 			}
@@ -112,7 +112,7 @@
 		if !candidate.Available(need) {
 			continue
 		}
-		seen++
+		compared++
 		if finish := candidate.ExpectedFinish(need); best < 0 || finish < earliest {
 			best, earliest = i, finish
 		}
--- a/core/pool.go
+++ b/core/pool.go
@@ -311,7 +311,7 @@
 	own, all := 0.0, 0.0
 	for _, t := range p.targets {
 		own += float64(t.inflight)
-		all += float64(t.inflight) + t.others
+		all += float64(t.inflight) + t.othersInflight
 	}
 	p.backlog.updateShare(now, own, all)
 }
--- a/core/request.go
+++ b/core/request.go
@@ -43,13 +43,13 @@
 	input      []byte
 	wantStream bool
 
-	stage        int
-	tries        int
-	attemptCount int
-	attempts     map[int]*attempt
-	ticket       *Ticket
-	pools        []*pool
-	claim        claimState
+	stage          int
+	failedAttempts int
+	attemptCount   int
+	attempts       map[int]*attempt
+	ticket         *Ticket
+	pools          []*pool
+	claim          claimState
 	// possibleStarts counts the attempts that may have started at a target.
 	possibleStarts int
 	// unsafeStarts counts those of them at stages that may run only once.
@@ -109,7 +109,7 @@
 func (e *Engine) remaining(r *request, from int) time.Duration {
 	sum := 0.0
 	for i := from; i < len(r.service.Stages); i++ {
-		mean, _, known := e.estimates.of(r.service.Name, r.service.Stages[i].Name)
+		mean, _, known := e.estimates.lookup(r.service.Name, r.service.Stages[i].Name)
 		if known {
 			sum += mean
 		}
@@ -121,7 +121,7 @@
 func (e *Engine) expectedWork(r *request) []float64 {
 	works := make([]float64, len(r.pools))
 	for i := range r.pools {
-		if mean, _, known := e.estimates.of(r.service.Name, r.service.Stages[i].Name); known {
+		if mean, _, known := e.estimates.lookup(r.service.Name, r.service.Stages[i].Name); known {
 			works[i] = mean
 		}
 	}
--- a/core/result.go
+++ b/core/result.go
@@ -6,9 +6,9 @@
 	"emberlead/proto"
 )
 
-// attemptEnded matches an answer by request, stage and attempt number. Answers that match no attempt are dropped and
+// handleAttemptEnd matches an answer by request, stage and attempt number. Answers that match no attempt are dropped and
 // counted.
-func (e *Engine) attemptEnded(res *eventResult, r *request, ev *AttemptEnded) {
+func (e *Engine) handleAttemptEnd(res *eventResult, r *request, ev *AttemptEnded) {
 	a := r.attempts[ev.Attempt.Number]
 	if a == nil || a.id != ev.Attempt {
 		e.stats.countLate(ev.Busy)
@@ -19,7 +19,7 @@
 	r.lastStatus = status
 	r.reason = ev.Reason
 	took := res.now.Sub(a.startedAt)
-	paused := e.pauses.overlapped(a.startedAt, res.now)
+	paused := e.pauses.overlaps(a.startedAt, res.now)
 	if paused {
 		took = seconds(a.expected)
 	}
@@ -75,7 +75,7 @@
 	}
 	r.input = output
 	r.stage++
-	r.tries = 0
+	r.failedAttempts = 0
 	r.hedged = false
 	r.exclude = ""
 	r.reason = ""
@@ -90,8 +90,8 @@
 	if e.hasOtherAttempt(r) {
 		return
 	}
-	r.tries++
-	if r.tries >= 2*e.tuning.MaxAttempts {
+	r.failedAttempts++
+	if r.failedAttempts >= 2*e.tuning.MaxAttempts {
 		e.fail(res, r, proto.FailureOverloaded, "no target would start it", minRetryAfter)
 		return
 	}
@@ -107,11 +107,11 @@
 	if status == StatusFailed {
 		kind = proto.FailureTarget
 	}
-	r.tries++
+	r.failedAttempts++
 	switch {
 	case !r.mayRepeat():
 		e.fail(res, r, kind, "the stage may run only once and its result is not known", 0)
-	case r.tries >= e.tuning.MaxAttempts:
+	case r.failedAttempts >= e.tuning.MaxAttempts:
 		e.fail(res, r, kind, "the last attempt that the limit allows ended without a result", 0)
 	case !a.pool.takeRetry():
 		e.fail(res, r, kind, "the pool's retry budget is spent", 0)
--- a/core/scenario_test.go
+++ b/core/scenario_test.go
@@ -60,28 +60,28 @@
 		snapshot := s.engine.Snapshot()
 		plan := proto.StopPlan{VM: proto.VM(stringArg(t, d, "vm", "")), At: s.now.Add(untilStop)}
 		s.engine.Configure(snapshot.WithStop(snapshot.Generation+1, plan), s.now, 0)
-		s.handle(StopCheck{Lead: time.Second})
+		s.handleEvent(StopCheck{Lead: time.Second})
 	case "listed":
 		leaving := map[proto.VM]bool{}
 		if d.HasArg("vm") {
 			leaving[proto.VM(stringArg(t, d, "vm", ""))] = true
 		}
 		s.engine.SetLeavingVMs(leaving)
-		s.handle(StopCheck{Lead: time.Second})
+		s.handleEvent(StopCheck{Lead: time.Second})
 	case "arrive":
-		s.arrive(t, d)
+		s.addRequest(t, d)
 	case "claim":
 		results := map[string]ClaimResult{"granted": ClaimGranted, "taken": ClaimTaken, "tooOld": ClaimTooOld, "unreachable": ClaimNoQuorum}
-		s.handle(ClaimAnswered{Request: s.ids[stringArg(t, d, "of", "")], Result: results[stringArg(t, d, "verdict", "granted")]})
+		s.handleEvent(ClaimAnswered{Request: s.ids[stringArg(t, d, "of", "")], Result: results[stringArg(t, d, "verdict", "granted")]})
 	case "chunk":
-		s.handle(AttemptChunk{Attempt: s.starts[stringArg(t, d, "of", "")], Offset: intArg(t, d, "offset"), Text: stringArg(t, d, "text", ""), Tokens: intArg(t, d, "tokens")})
+		s.handleEvent(AttemptChunk{Attempt: s.starts[stringArg(t, d, "of", "")], Offset: intArg(t, d, "offset"), Text: stringArg(t, d, "text", ""), Tokens: intArg(t, d, "tokens")})
 	case "end":
 		statuses := map[string]AttemptStatus{"done": StatusDone, "notStarted": StatusNotStarted, "failed": StatusFailed, "unknown": StatusUnknown}
-		s.handle(AttemptEnded{Attempt: s.starts[stringArg(t, d, "of", "")], Status: statuses[stringArg(t, d, "fate", "done")], Output: []byte(stringArg(t, d, "output", "{}")), Tokens: intArg(t, d, "tokens"), Busy: time.Millisecond})
+		s.handleEvent(AttemptEnded{Attempt: s.starts[stringArg(t, d, "of", "")], Status: statuses[stringArg(t, d, "fate", "done")], Output: []byte(stringArg(t, d, "output", "{}")), Tokens: intArg(t, d, "tokens"), Busy: time.Millisecond})
 	case "exported":
-		s.handle(Exported{Attempt: s.starts[stringArg(t, d, "of", "")], Handle: stringArg(t, d, "handle", "")})
+		s.handleEvent(Exported{Attempt: s.starts[stringArg(t, d, "of", "")], Handle: stringArg(t, d, "handle", "")})
 	case "leave":
-		s.handle(CallerLeft{Request: s.ids[stringArg(t, d, "of", "")]})
+		s.handleEvent(CallerLeft{Request: s.ids[stringArg(t, d, "of", "")]})
 	case "sleep":
 		length, err := time.ParseDuration(stringArg(t, d, "for", "0s"))
 		if err != nil {
@@ -94,8 +94,8 @@
 			t.Fatal(err)
 		}
 		s.now = s.now.Add(length)
-		s.handle(StopCheck{Lead: time.Second})
-		s.handle(Tick{})
+		s.handleEvent(StopCheck{Lead: time.Second})
+		s.handleEvent(Tick{})
 	default:
 		t.Fatalf("unknown command %q", d.Cmd)
 	}
@@ -105,7 +105,7 @@
 	return s.out.String()
 }
 
-func (s *scenarioRunner) arrive(t *testing.T, d *datadriven.TestData) {
+func (s *scenarioRunner) addRequest(t *testing.T, d *datadriven.TestData) {
 	name := stringArg(t, d, "name", "")
 	var bits [10]byte
 	bits[9] = byte(len(s.ids) + 1)
@@ -115,10 +115,10 @@
 	if d.HasArg("key") {
 		a.Key = id
 	}
-	s.handle(a)
+	s.handleEvent(a)
 }
 
-func (s *scenarioRunner) handle(ev Event) {
+func (s *scenarioRunner) handleEvent(ev Event) {
 	for _, action := range s.engine.Handle(s.now, ev) {
 		switch a := action.(type) {
 		case Start:
--- a/core/stops.go
+++ b/core/stops.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func (e *Engine) exported(res *eventResult, r *request, ev *Exported) {
+func (e *Engine) handleExport(res *eventResult, r *request, ev *Exported) {
 	a := r.attempts[ev.Attempt.Number]
 	if a == nil || a.id != ev.Attempt {
 		return
--- a/core/target.go
+++ b/core/target.go
@@ -36,12 +36,12 @@
 	removed  bool
 	inflight int
 
-	others      float64 // requests of other daemons as of the last report
-	reportedAt  time.Time
-	ownAtReport int
-	slots       int
-	models      []string
-	limitFactor float64 // factor of at most 1, learned from refusals
+	othersInflight float64 // requests of other daemons as of the last report
+	reportedAt     time.Time
+	ownAtReport    int
+	slots          int
+	models         []string
+	limitFactor    float64 // factor of at most 1, learned from refusals
 
 	failures     int
 	ejections    int
@@ -85,14 +85,14 @@
 
 // expected estimates the current number of requests of all daemons at the target.
 func (t *target) expected(now time.Time) float64 {
-	others := t.others
+	othersInflight := t.othersInflight
 	if age := now.Sub(t.reportedAt); age > reportMaxAge {
-		others *= math.Exp2(-float64(age-reportMaxAge) / float64(staleHalfLife))
+		othersInflight *= math.Exp2(-float64(age-reportMaxAge) / float64(staleHalfLife))
 	} else if t.ownAtReport > 0 {
 		growth := float64(t.inflight-t.ownAtReport) / float64(t.ownAtReport)
-		others *= max(0, 1+t.tuning.PeerCorrelation*min(1, growth))
+		othersInflight *= max(0, 1+t.tuning.PeerCorrelation*min(1, growth))
 	}
-	return others + float64(t.inflight)
+	return othersInflight + float64(t.inflight)
 }
 
 // Available reports whether the target may take one more request.
@@ -103,7 +103,7 @@
 	if !t.tuning.Limits {
 		return true
 	}
-	return t.inflight == 0 && t.others < float64(t.capacity()) || t.expected(need.Now)+1 <= t.limit(need.Now)
+	return t.inflight == 0 && t.othersInflight < float64(t.capacity()) || t.expected(need.Now)+1 <= t.limit(need.Now)
 }
 
 // Outstanding returns the number of this daemon's requests in progress.
@@ -203,7 +203,7 @@
 	}
 	t.reportedAt = load.At
 	t.ownAtReport = t.ownAt(load.At)
-	t.others = float64(max(0, load.Running+load.Waiting-t.ownAtReport))
+	t.othersInflight = float64(max(0, load.Running+load.Waiting-t.ownAtReport))
 	if load.Slots > 0 {
 		t.slots = load.Slots
 	}
