--- a/relay/budget.go
+++ b/relay/budget.go
@@ -12,13 +12,13 @@
 	// budgetSpread is by how much the times between the decision to try again and the arrival at the target may differ:
 	// attempts that were decided that much more than a window apart may arrive within one. They arrive within
 	// milliseconds over an open connection, and within a fraction of a second over a new one to a busy target.
-	budgetSpread = 500 * time.Millisecond
+	budgetArrivalSpread = 500 * time.Millisecond
 	// budgetLead is the part of a window by which requests may come before the attempts that they earn: an attempt follows
 	// its request, and a daemon without a share of the slack could make none otherwise.
-	budgetLead = budgetSteps / 20
+	budgetLeadSteps = budgetSteps / 20
 	// budgetRemembers is how many steps are remembered: a window, its lead, and the steps in which attempts may still
 	// arrive.
-	budgetRemembers = 2 * budgetSteps
+	budgetHistorySteps = 2 * budgetSteps
 )
 
 // RetryBudgetConfig are the terms of the retry budget, for all daemons together: in any window no more further attempts than
@@ -35,24 +35,24 @@
 	mu    sync.Mutex
 	terms RetryBudgetConfig
 	// began is the start of the first step. Steps are counted on the steady clock, which no change of the time moves.
-	began        time.Time
-	asked, spent stepTotals
+	startedAt     time.Time
+	earned, spent stepCounter
 }
 
 // NewRetryBudget returns a budget of which nothing is spent.
 func NewRetryBudget(now time.Time, terms RetryBudgetConfig) *RetryBudget {
-	return &RetryBudget{terms: terms, began: now}
+	return &RetryBudget{terms: terms, startedAt: now}
 }
 
-func (b *RetryBudget) length() time.Duration { return b.terms.Window / budgetSteps }
+func (b *RetryBudget) stepLength() time.Duration { return b.terms.Window / budgetSteps }
 
-func (b *RetryBudget) step(now time.Time) int64 { return int64(now.Sub(b.began) / b.length()) }
+func (b *RetryBudget) step(now time.Time) int64 { return int64(now.Sub(b.startedAt) / b.stepLength()) }
 
 // RecordRequest counts one request from a caller.
 func (b *RetryBudget) RecordRequest(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.asked.add(b.step(now))
+	b.earned.add(b.step(now))
 }
 
 // RetryBudgetState is what a budget had when a further attempt was asked for, in the window that leaves it least.
@@ -66,7 +66,7 @@
 func (b *RetryBudget) Spend(now time.Time, share float64) (RetryBudgetState, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	state, left := b.look(now, share)
+	state, left := b.evaluate(now, share)
 	if left {
 		b.spent.add(b.step(now))
 	}
@@ -77,13 +77,13 @@
 func (b *RetryBudget) Available(now time.Time, share float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	_, left := b.look(now, share)
+	_, left := b.evaluate(now, share)
 	return left
 }
 
-func (b *RetryBudget) look(now time.Time, share float64) (state RetryBudgetState, left bool) {
+func (b *RetryBudget) evaluate(now time.Time, share float64) (state RetryBudgetState, left bool) {
 	step := b.step(now)
-	b.asked.advance(step)
+	b.earned.advance(step)
 	b.spent.advance(step)
 	state = b.tightest(b.spent.latest, share)
 	return state, float64(state.Spent+1) <= state.Allowed
@@ -93,11 +93,11 @@
 // Only the requests of the window itself count: those before it may have been another daemon's, which spent what they
 // earned before it died, and so the allowances of all daemons add up whoever gets the requests.
 func (b *RetryBudget) tightest(latest int64, share float64) RetryBudgetState {
-	spread := int64((budgetSpread + b.length() - 1) / b.length())
+	spread := int64((budgetArrivalSpread + b.stepLength() - 1) / b.stepLength())
 	var tightest RetryBudgetState
 	for first := latest - budgetSteps; first <= latest; first++ {
 		s := RetryBudgetState{
-			Allowed: b.terms.Ratio*float64(b.requests(first, latest)) + b.terms.Slack*share,
+			Allowed: b.terms.Ratio*float64(b.countRequests(first, latest)) + b.terms.Slack*share,
 			Spent:   b.spent.between(first-spread, latest),
 		}
 		if first == latest-budgetSteps || s.Allowed-float64(s.Spent) < tightest.Allowed-float64(tightest.Spent) {
@@ -109,44 +109,44 @@
 
 // requests returns how many requests count for a window that begins within a step: those in it or in one that begins
 // somewhat earlier, whichever has more, without the steps that they hold in part.
-func (b *RetryBudget) requests(first, latest int64) int {
-	from := first - budgetLead
-	return max(b.asked.between(first+1, latest), b.asked.between(from+1, min(latest, from+budgetSteps-1)))
+func (b *RetryBudget) countRequests(first, latest int64) int {
+	from := first - budgetLeadSteps
+	return max(b.earned.between(first+1, latest), b.earned.between(from+1, min(latest, from+budgetSteps-1)))
 }
 
 // stepTotals counts events by steps, of which it remembers those of the last few windows.
-type stepTotals struct {
+type stepCounter struct {
 	// totals holds how many events there were up to the end of each step.
-	totals [budgetRemembers]int
-	latest int64
+	cumulative [budgetHistorySteps]int
+	latest     int64
 }
 
 // advance begins a step; one before the latest counts as that.
-func (t *stepTotals) advance(step int64) {
-	total := t.totals[t.latest%budgetRemembers]
-	t.latest = max(t.latest, step-budgetRemembers)
+func (t *stepCounter) advance(step int64) {
+	total := t.cumulative[t.latest%budgetHistorySteps]
+	t.latest = max(t.latest, step-budgetHistorySteps)
 	for t.latest < step {
 		t.latest++
-		t.totals[t.latest%budgetRemembers] = total
+		t.cumulative[t.latest%budgetHistorySteps] = total
 	}
 }
 
-func (t *stepTotals) add(step int64) {
+func (t *stepCounter) add(step int64) {
 	t.advance(step)
-	t.totals[t.latest%budgetRemembers]++
+	t.cumulative[t.latest%budgetHistorySteps]++
 }
 
 // between returns how many events there were from the first step to the last.
-func (t *stepTotals) between(first, last int64) int {
+func (t *stepCounter) between(first, last int64) int {
 	if last < first {
 		return 0
 	}
-	return t.upTo(last) - t.upTo(first-1)
+	return t.countUpTo(last) - t.countUpTo(first-1)
 }
 
-func (t *stepTotals) upTo(step int64) int {
+func (t *stepCounter) countUpTo(step int64) int {
 	if step < 0 {
 		return 0
 	}
-	return t.totals[min(step, t.latest)%budgetRemembers]
+	return t.cumulative[min(step, t.latest)%budgetHistorySteps]
 }
--- a/relay/budget_test.go
+++ b/relay/budget_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestTheSlackIsDividedBetweenDaemons(t *testing.T) {
+func TestRetryBudgetDividesSlack(t *testing.T) {
 	b := NewRetryBudget(start, budgetTerms)
 	if spent := spendAll(b, start, 0.2); spent != 10 {
 		t.Errorf("%d attempts from the slack, want 10", spent)
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestADaemonWithoutAShareSpendsWhatItEarned(t *testing.T) {
+func TestRetryBudgetWithoutShareOfSlack(t *testing.T) {
 	b := NewRetryBudget(start, budgetTerms)
 	for range 100 {
 		b.RecordRequest(start)
@@ -52,7 +52,7 @@
 
 // TestRequestsOfTheWindowBeforeEarnNothing has a daemon get no more requests, as one does whose callers go elsewhere: the
 // others earn by them from then on.
-func TestRequestsOfTheWindowBeforeEarnNothing(t *testing.T) {
+func TestRetryBudgetIgnoresEarlierRequests(t *testing.T) {
 	b := NewRetryBudget(start, budgetTerms)
 	for range 100 {
 		b.RecordRequest(start)
@@ -63,7 +63,7 @@
 }
 
 // TestAnEarlierTimeGivesABudgetNothing has the clock go back, as it may between processors.
-func TestAnEarlierTimeGivesABudgetNothing(t *testing.T) {
+func TestRetryBudgetClockGoesBack(t *testing.T) {
 	b := NewRetryBudget(start, budgetTerms)
 	later := start.Add(20 * time.Second)
 	spendAll(b, later, 1)
@@ -74,10 +74,10 @@
 
 // TestDaemonsTogetherKeepTheBudget lets daemons spend whenever they may, attempts arrive up to budgetSpread later, and
 // every span of the window's length is counted.
-func TestDaemonsTogetherKeepTheBudget(t *testing.T) {
+func TestRetryBudgetHoldsAcrossDaemons(t *testing.T) {
 	for seed := range uint64(60) {
-		h := newBudgetHistory(seed)
-		for h.at < budgetHistory {
+		h := newBudgetSimulation(seed)
+		for h.at < budgetSimulationTime {
 			h.step(h.random.IntN(len(h.budgets)))
 		}
 		h.check(t)
@@ -86,12 +86,12 @@
 
 // TestDaemonsThatDieAndStartKeepTheBudget has most daemons die again and again while many attempts fail: what they spent
 // still counts, and those who start, or get the requests of the dead, know nothing of it.
-func TestDaemonsThatDieAndStartKeepTheBudget(t *testing.T) {
+func TestRetryBudgetHoldsAcrossRestarts(t *testing.T) {
 	for seed := range uint64(60) {
-		h := newBudgetHistory(seed)
-		for h.at < budgetHistory {
+		h := newBudgetSimulation(seed)
+		for h.at < budgetSimulationTime {
 			if h.random.IntN(400) == 0 {
-				h.kill(h.random.Float64())
+				h.restart(h.random.Float64())
 			}
 			h.step(h.random.IntN(len(h.budgets)))
 		}
@@ -100,26 +100,26 @@
 }
 
 const (
-	budgetHistory = 40 * time.Second
-	budgetTick    = 5 * time.Millisecond
+	budgetSimulationTime = 40 * time.Second
+	budgetSimulationStep = 5 * time.Millisecond
 )
 
 // budgetPlay is a history of daemons that spend as much as they may.
-type budgetPlay struct {
+type budgetSimulation struct {
 	terms   RetryBudgetConfig
 	random  *rand.Rand
 	at      time.Duration
 	budgets []*RetryBudget
 	// shares are the moments from which on the daemons have a share of the slack.
-	shares         []time.Duration
-	asked, arrived []time.Duration
+	shareFrom          []time.Duration
+	requests, arrivals []time.Duration
 }
 
-func newBudgetHistory(seed uint64) *budgetPlay {
+func newBudgetSimulation(seed uint64) *budgetSimulation {
 	const daemons = 6
-	h := &budgetPlay{
+	h := &budgetSimulation{
 		terms: RetryBudgetConfig{Ratio: 0.2, Slack: 52, Window: 10 * time.Second}, random: rand.New(rand.NewPCG(3, seed)),
-		budgets: make([]*RetryBudget, daemons), shares: make([]time.Duration, daemons),
+		budgets: make([]*RetryBudget, daemons), shareFrom: make([]time.Duration, daemons),
 	}
 	for i := range h.budgets {
 		h.budgets[i] = NewRetryBudget(start, h.terms)
@@ -128,49 +128,49 @@
 }
 
 // step has a request come to a daemon, more often in some spans than in others, and an attempt asked for there.
-func (h *budgetPlay) step(daemon int) {
+func (h *budgetSimulation) step(daemon int) {
 	now := start.Add(h.at)
 	b := h.budgets[daemon]
 	if busy := h.at%(12*time.Second) < 6*time.Second; busy || h.random.IntN(10) == 0 {
 		b.RecordRequest(now)
-		h.asked = append(h.asked, h.at)
+		h.requests = append(h.requests, h.at)
 	}
 	share := 0.0
-	if h.at >= h.shares[daemon] {
+	if h.at >= h.shareFrom[daemon] {
 		share = 1 / float64(len(h.budgets))
 	}
 	if _, ok := b.Spend(now, share); ok {
-		h.arrived = append(h.arrived, h.at+time.Duration(h.random.Int64N(int64(budgetSpread))))
+		h.arrivals = append(h.arrivals, h.at+time.Duration(h.random.Int64N(int64(budgetArrivalSpread))))
 	}
-	h.at += budgetTick
+	h.at += budgetSimulationStep
 }
 
 // kill has a part of the daemons start anew, without a share until what they spent is out of the window.
-func (h *budgetPlay) kill(part float64) {
+func (h *budgetSimulation) restart(part float64) {
 	for i := range h.budgets {
 		if h.random.Float64() < part {
 			h.budgets[i] = NewRetryBudget(start.Add(h.at), h.terms)
-			h.shares[i] = h.at + h.terms.Window + budgetSpread
+			h.shareFrom[i] = h.at + h.terms.Window + budgetArrivalSpread
 		}
 	}
 }
 
-func (h *budgetPlay) check(t *testing.T) {
+func (h *budgetSimulation) check(t *testing.T) {
 	t.Helper()
 	window := h.terms.Window
-	for end := window; end < budgetHistory; end += 100 * time.Millisecond {
+	for end := window; end < budgetSimulationTime; end += 100 * time.Millisecond {
 		most := 0
 		for _, back := range []time.Duration{0, window / 2, window} {
-			most = max(most, within(h.asked, end-back-window, end-back))
+			most = max(most, within(h.requests, end-back-window, end-back))
 		}
-		if got := within(h.arrived, end-window, end); float64(got) > h.terms.Ratio*float64(most)+h.terms.Slack {
+		if got := within(h.arrivals, end-window, end); float64(got) > h.terms.Ratio*float64(most)+h.terms.Slack {
 			t.Fatalf("%d further attempts until %s, with %d requests", got, end, most)
 		}
 	}
 }
 
 // TestASteadyDeploymentUsesItsBudget has many more attempts asked for than are allowed, at an even rate.
-func TestASteadyDeploymentUsesItsBudget(t *testing.T) {
+func TestRetryBudgetIsUsedAtSteadyLoad(t *testing.T) {
 	const daemons, length = 6, 60 * time.Second
 	terms := RetryBudgetConfig{Ratio: 0.2, Slack: 52, Window: 10 * time.Second}
 	budgets := make([]*RetryBudget, daemons)
--- a/relay/choice.go
+++ b/relay/choice.go
@@ -12,19 +12,19 @@
 const (
 	// slotCost is what a full target adds for a plain attempt, against what another zone counts for: at a target that is
 	// a quarter full it is as much as two ways of some milliseconds.
-	slotCost = float64(20 * time.Millisecond)
+	fullTargetCost = float64(20 * time.Millisecond)
 	// othersFade is how long a reported load counts; most attempts are over after that.
-	othersFade = 2 * time.Second
+	otherLoadLifetime = 2 * time.Second
 	// readAgain is how many times over the reading of a shared part that another engine keeps already counts: it takes
 	// the engine's time from all that wait there, and memory from parts that others will ask for.
-	readAgain = 2.0
+	duplicateReadFactor = 2.0
 	// homeBonus is the part of a shared prompt's reading that its home is credited, so that daemons which choose
 	// alone, or have just taken over, choose alike.
-	homeBonus = 0.6
+	preferredDiscount = 0.6
 	// harmWeight is how much the pauses of the streams beside a prompt count against the prompt's own delay.
-	harmWeight = 0.15
+	stallWeight = 0.15
 	// strayCost is what an engine of the other group adds: a long prompt holds up the streams beside it.
-	strayCost = float64(250 * time.Millisecond)
+	wrongGroupCost = float64(250 * time.Millisecond)
 	// groupLeast and groupMost bound the part of the engines that takes the routes with long prompts.
 	minLongShare, maxLongShare = 0.4, 0.75
 	// longRatio is how long a route's prompts must be against the average of the pool to count as long.
@@ -70,9 +70,9 @@
 	// Homes are the regions that the target must be in.
 	AllowedRegions proto.AllowedRegions
 	// Elsewhere says that another daemon sends the request, from which no target wants rest that is not in Tried.
-	Elsewhere bool
+	ForPeer bool
 	// Cold holds the cold targets that may be chosen, and Limited those with a limit.
-	Cold, Limited map[string]bool
+	AllowedCold, AllowedLimited map[string]bool
 }
 
 // Pick returns the target with the least expected delay, with an attempt begun on it, or nil if there is none: also where each that
@@ -87,28 +87,28 @@
 	if w.Engine {
 		p.recordPrompt(now, w)
 	}
-	best, crowded := p.best(now, w, false)
-	if best == nil && !crowded {
+	best, atCapacity := p.best(now, w, false)
+	if best == nil && !atCapacity {
 		best, _ = p.best(now, w, true)
 	}
 	if best == nil {
 		return nil
 	}
 	best.recordChosen(now)
-	best.take(now, w, p.cacheMost())
+	best.startAttempt(now, w, p.maxCacheTokens())
 	return best
 }
 
 // Has tells whether a pool has a target that an attempt may go to.
-func (f *Fleet) Has(now time.Time, pool string, w TargetCriteria) bool {
+func (f *Fleet) HasTarget(now time.Time, pool string, w TargetCriteria) bool {
 	p := f.pool(pool)
 	if p == nil {
 		return false
 	}
 	p.lock()
 	defer p.mu.Unlock()
-	best, crowded := p.best(now, w, false)
-	if best == nil && !crowded {
+	best, atCapacity := p.best(now, w, false)
+	if best == nil && !atCapacity {
 		best, _ = p.best(now, w, true)
 	}
 	return best != nil
@@ -118,7 +118,7 @@
 func (f *Fleet) ReportSlow(now time.Time, t *Target) {
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
-	t.health.failed(now)
+	t.health.recordFailure(now)
 }
 
 // PickByID begins an attempt on a target that another daemon chose; nil if it may get no work.
@@ -130,30 +130,30 @@
 	p.lock()
 	defer p.mu.Unlock()
 	t := p.targets[id]
-	if t == nil || t.closed() || t.rests(now) || !w.AllowedRegions.Allows(t.Spec.Region) || p.isCold(now, t) && !w.Cold[id] {
+	if t == nil || t.closed() || t.backsOff(now) || !w.AllowedRegions.Allows(t.Spec.Region) || p.isCold(now, t) && !w.AllowedCold[id] {
 		return nil
 	}
 	if w.Engine {
 		p.recordPrompt(now, w)
 	}
 	t.recordChosen(now)
-	t.take(now, w, p.cacheMost())
+	t.startAttempt(now, w, p.maxCacheTokens())
 	return t
 }
 
-func (t *Target) take(now time.Time, w TargetCriteria, cacheMost int) {
+func (t *Target) startAttempt(now time.Time, w TargetCriteria, maxCacheTokens int) {
 	t.active++
 	if !w.Engine {
 		return
 	}
-	t.pauseWeight += w.strain()
+	t.pauseWeight += w.pauseWeight()
 	t.startPrompt(now, w)
-	t.cache.record(now, w.SharedParts, cacheMost)
+	t.cache.record(now, w.SharedParts, maxCacheTokens)
 }
 
 // strain is how much a pause of a millisecond counts for a stream: the shorter the pauses that its route allows, the
 // more.
-func (w *TargetCriteria) strain() float64 {
+func (w *TargetCriteria) pauseWeight() float64 {
 	if w.MaxPause <= 0 {
 		return 0
 	}
@@ -161,53 +161,53 @@
 }
 
 // cacheMost is how many tokens of prompt parts an engine of the pool is taken to keep.
-func (p *targetPool) cacheMost() int {
-	if p.memory == 0 {
+func (p *targetPool) maxCacheTokens() int {
+	if p.cacheTokens == 0 {
 		return cacheShare * defaultCacheTokens
 	}
-	return int(cacheShare * float64(p.memory))
+	return int(cacheShare * float64(p.cacheTokens))
 }
 
 // best returns the cheapest target, and whether one was left out since it is crowded; without any in good health, one that was
 // left out is better than none.
-func (p *targetPool) best(now time.Time, w TargetCriteria, failing bool) (best *Target, crowded bool) {
-	home := p.homeOf(now, w)
-	long := p.hasLongPrompts(now, w.Route)
-	p.token, p.stream = p.model.rates()
+func (p *targetPool) best(now time.Time, w TargetCriteria, failing bool) (best *Target, atCapacity bool) {
+	preferred := p.preferredTarget(now, w)
+	longPrompts := p.hasLongPrompts(now, w.Route)
+	p.tokenCost, p.streamCost = p.model.rates()
 	least := math.Inf(1)
 	// The search begins at another target each time, so that equal ones share the work.
-	p.turn++
+	p.rotation++
 	for i := range p.list {
-		t := p.list[(p.turn+i)%len(p.list)]
+		t := p.list[(p.rotation+i)%len(p.list)]
 		cold := p.isCold(now, t)
-		if !p.isOpen(now, t, &w) || !failing && (t.suspected || t.health.ejected(now)) {
+		if !p.isEligible(now, t, &w) || !failing && (t.suspected || t.health.ejected(now)) {
 			continue
 		}
-		if !failing && p.crowded(now, t) {
-			crowded = true
+		if !failing && p.atCapacity(now, t) {
+			atCapacity = true
 			continue
 		}
-		c := t.cost(now, w, home, long)
+		c := t.cost(now, w, preferred, longPrompts)
 		if cold {
-			c += coldCost
+			c += coldPenalty
 		}
 		if c < least {
 			best, least = t, c
 		}
 	}
-	return best, crowded
+	return best, atCapacity
 }
 
 // isOpen tells whether a request may go to a target, whatever its health.
-func (p *targetPool) isOpen(now time.Time, t *Target, w *TargetCriteria) bool {
+func (p *targetPool) isEligible(now time.Time, t *Target, w *TargetCriteria) bool {
 	id := t.Spec.ID
 	switch {
 	case t.closed() || w.Tried[id] || !w.AllowedRegions.Allows(t.Spec.Region):
 		return false
-	case p.isCold(now, t) && !w.Cold[id] || t.notice.HasLimit && !w.Limited[id]:
+	case p.isCold(now, t) && !w.AllowedCold[id] || t.notice.HasLimit && !w.AllowedLimited[id]:
 		return false
 	}
-	return w.Elsewhere || !t.rests(now)
+	return w.ForPeer || !t.backsOff(now)
 }
 
 // AtCapacity tells whether each target of a pool that is in good health has as many requests as it may have at a time.
@@ -218,38 +218,38 @@
 	}
 	p.lock()
 	defer p.mu.Unlock()
-	crowded := false
+	atCapacity := false
 	for _, t := range p.list {
 		if t.closed() || t.suspected || t.health.ejected(now) {
 			continue
 		}
-		if !p.crowded(now, t) {
+		if !p.atCapacity(now, t) {
 			return false
 		}
-		crowded = true
+		atCapacity = true
 	}
-	return crowded
+	return atCapacity
 }
 
 // homeOf picks a target for a prompt part by rendezvous hashing, so that all daemons agree without a message.
-func (p *targetPool) homeOf(now time.Time, w TargetCriteria) *Target {
+func (p *targetPool) preferredTarget(now time.Time, w TargetCriteria) *Target {
 	if len(w.SharedParts) == 0 {
 		return nil
 	}
-	long := p.hasLongPrompts(now, w.Route)
+	longPrompts := p.hasLongPrompts(now, w.Route)
 	part := state.Hash(w.SharedParts[len(w.SharedParts)-1].ID)
-	var home *Target
+	var preferred *Target
 	var rank uint64
 	for _, t := range p.list {
-		if t.closed() || !w.AllowedRegions.Allows(t.Spec.Region) || p.isCold(now, t) || t.notice.HasLimit || t.suspected || t.health.ejected(now) || t.longPrompts != long {
+		if t.closed() || !w.AllowedRegions.Allows(t.Spec.Region) || p.isCold(now, t) || t.notice.HasLimit || t.suspected || t.health.ejected(now) || t.longPrompts != longPrompts {
 			continue
 		}
 		h := state.RendezvousScore(part, t.idHash)
-		if home == nil || h > rank {
-			home, rank = t, h
+		if preferred == nil || h > rank {
+			preferred, rank = t, h
 		}
 	}
-	return home
+	return preferred
 }
 
 // HomeZone returns the zone of the target that a request's prompt is likely to go to, or "".
@@ -260,50 +260,50 @@
 	}
 	p.lock()
 	defer p.mu.Unlock()
-	if home := p.homeOf(now, w); home != nil {
+	if home := p.preferredTarget(now, w); home != nil {
 		return home.Spec.Zone
 	}
 	return ""
 }
 
 // cost is the expected delay of an attempt, and what it costs others.
-func (t *Target) cost(now time.Time, w TargetCriteria, home *Target, long bool) float64 {
+func (t *Target) cost(now time.Time, w TargetCriteria, preferred *Target, longPrompts bool) float64 {
 	c := t.health.cost(now)
 	cross := t.Spec.Zone != w.Zone
 	if cross {
 		c += float64(t.pool.zones.PerRequest) + float64(t.pool.zones.PerMegabyte)*float64(w.InputBytes)/1e6
 	}
-	others := t.othersNow(now)
+	others := t.currentOtherLoad(now)
 	if !w.Engine {
 		load := (float64(t.active) + others) / float64(max(1, t.Spec.Slots))
-		return c + t.slowdown*load*slotCost
+		return c + t.slowdown*load*fullTargetCost
 	}
-	if t.longPrompts != long {
-		c += strayCost
+	if t.longPrompts != longPrompts {
+		c += wrongGroupCost
 	}
-	missing := float64(t.cache.missingTokens(w.SharedParts))
-	if t == home {
-		missing *= 1 - homeBonus
+	missingTokens := float64(t.cache.missingTokens(w.SharedParts))
+	if t == preferred {
+		missingTokens *= 1 - preferredDiscount
 	}
-	token, stream := t.pool.token, t.pool.stream
-	queued := float64(t.unreadTokens) * token * t.slowdown
-	read := (float64(w.OwnTokens) + missing) * token * t.slowdown
+	tokenCost, streamCost := t.pool.tokenCost, t.pool.streamCost
+	queued := float64(t.unreadTokens) * tokenCost * t.slowdown
+	read := (float64(w.OwnTokens) + missingTokens) * tokenCost * t.slowdown
 	// Streams beside a prompt stand still while it is read; what is queued already would hold them up anyway.
-	harm := harmWeight * t.pauseWeight * ((queued+read)*(queued+read) - queued*queued)
-	again := readAgain * missing * token
-	running := (float64(t.active) + others) * stream * t.slowdown
-	return c + (queued+read+harm+again+running)*float64(time.Millisecond)
+	stall := stallWeight * t.pauseWeight * ((queued+read)*(queued+read) - queued*queued)
+	duplicate := duplicateReadFactor * missingTokens * tokenCost
+	running := (float64(t.active) + others) * streamCost * t.slowdown
+	return c + (queued+read+stall+duplicate+running)*float64(time.Millisecond)
 }
 
-func (t *Target) othersNow(now time.Time) float64 {
+func (t *Target) currentOtherLoad(now time.Time) float64 {
 	if t.otherLoad == 0 {
 		return 0
 	}
 	age := now.Sub(t.otherLoadAt)
-	if age >= othersFade {
+	if age >= otherLoadLifetime {
 		return 0
 	}
-	return t.otherLoad * (1 - float64(age)/float64(othersFade))
+	return t.otherLoad * (1 - float64(age)/float64(otherLoadLifetime))
 }
 
 // Load is what a target's answer said of itself.
@@ -340,7 +340,7 @@
 	defer t.pool.mu.Unlock()
 	t.active--
 	if w.Engine {
-		t.pauseWeight = max(0, t.pauseWeight-w.strain())
+		t.pauseWeight = max(0, t.pauseWeight-w.pauseWeight())
 	}
 	if !began {
 		t.finishPrompt(now, w, false)
@@ -351,9 +351,9 @@
 	}
 	switch v {
 	case VerdictSuccess:
-		t.health.succeeded()
+		t.health.recordSuccess()
 	case VerdictFailure:
-		t.health.failed(now)
+		t.health.recordFailure(now)
 	case VerdictOverloaded:
 		t.otherLoad = max(t.otherLoad, float64(t.Spec.Slots))
 		t.otherLoadAt = now
@@ -371,7 +371,7 @@
 func (f *Fleet) AcceptsWork(t *Target) bool {
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
-	return !t.gone && !t.leaves()
+	return !t.unlisted && !t.leaves()
 }
 
 // InService tells whether the run of a target as it was listed is still listed and has not said that it leaves.
@@ -383,7 +383,7 @@
 }
 
 // Out returns the targets of a pool that this daemon leaves out: for their failures, since they may have left, or since they want rest.
-func (f *Fleet) Out(now time.Time, pool string) []string {
+func (f *Fleet) ExcludedTargets(now time.Time, pool string) []string {
 	p := f.pool(pool)
 	if p == nil {
 		return nil
@@ -392,7 +392,7 @@
 	defer p.mu.Unlock()
 	var ids []string
 	for _, t := range p.list {
-		if t.suspected || t.health.ejected(now) || t.rests(now) {
+		if t.suspected || t.health.ejected(now) || t.backsOff(now) {
 			ids = append(ids, t.Spec.ID)
 		}
 	}
@@ -424,9 +424,9 @@
 // SetCacheTokens takes over how many tokens an engine of a pool keeps.
 func (f *Fleet) SetCacheTokens(pool string, tokens int) {
 	f.mu.Lock()
-	p := f.poolLocked(pool)
+	p := f.ensurePool(pool)
 	f.mu.Unlock()
 	p.lock()
 	defer p.mu.Unlock()
-	p.memory = tokens
+	p.cacheTokens = tokens
 }
--- a/relay/coldsends.go
+++ b/relay/coldsends.go
@@ -9,14 +9,14 @@
 
 const (
 	// coldTask begins the names of the tasks of sending requests to a cold target, which only one daemon does at a time.
-	coldTask = "cold/"
+	coldTaskPrefix = "cold/"
 	// coldSettle is how long after another daemon may have sent requests to a cold target this one begins: what that one sent
 	// has arrived by then, since connections to targets are made within some hundred milliseconds or not at all.
-	coldSettle = 2 * time.Second
+	coldHandoverDelay = 2 * time.Second
 	// coldReserve is the part of a cold target's allowance that is left to the most urgent requests.
 	coldReserve = 1.0 / 3
 	// coldTries is how often a target is chosen anew when other requests took the allowance meanwhile.
-	coldTries = 3
+	maxColdPicks = 3
 )
 
 // coldSends counts what this daemon sends to the cold targets that it alone may send to. What arrives at a target within a second
@@ -41,7 +41,7 @@
 	if t == nil {
 		return most / 2
 	}
-	t.sent = slices.DeleteFunc(t.sent, func(at time.Time) bool { return now.Sub(at) > coldSpan })
+	t.sent = slices.DeleteFunc(t.sent, func(at time.Time) bool { return now.Sub(at) > coldWindow })
 	if len(t.sent) == 0 && t.open == 0 {
 		delete(c.targets, id)
 	}
@@ -97,11 +97,11 @@
 }
 
 // mayBeSent returns the cold targets of a pool that a request of a rank may be sent to from here.
-func (p *Placer) mayBeSent(now time.Time, pool string, rank int) map[string]bool {
+func (p *Placer) sendableCold(now time.Time, pool string, rank int) map[string]bool {
 	ids, most := p.fleet.Cold(now, pool)
 	var may map[string]bool
 	for _, id := range ids {
-		if !p.peers.IsSoleOwner(coldTask+id, coldSettle) || !p.coldLimiter.allows(now, id, most, rank) {
+		if !p.peers.IsSoleOwner(coldTaskPrefix+id, coldHandoverDelay) || !p.coldLimiter.allows(now, id, most, rank) {
 			continue
 		}
 		if may == nil {
--- a/relay/coldsends_test.go
+++ b/relay/coldsends_test.go
@@ -17,9 +17,9 @@
 
 // A cold target takes 6.7 requests a second; all daemons together may send it half as many again and five more.
 var (
-	coldSpec  = proto.ColdSpec{WarmUpTime: 3 * time.Second, RequestsPerSecond: 6.7}
-	coldTerms = ColdConfig{Factor: 1.5, Slack: 5}
-	coldMost  = coldTerms.most(coldSpec)
+	coldSpec        = proto.ColdSpec{WarmUpTime: 3 * time.Second, RequestsPerSecond: 6.7}
+	coldTerms       = ColdConfig{Factor: 1.5, Slack: 5}
+	coldMaxRequests = coldTerms.maxRequests(coldSpec)
 )
 
 // coldPeers are daemons that do not reach each other, and divide the targets as daemons do that count each other.
@@ -63,11 +63,11 @@
 }
 
 // mostWithinASpan is the largest number of arrivals within a second, whatever its beginning.
-func mostWithinASpan(arrivals []time.Time) int {
+func maxWithinWindow(arrivals []time.Time) int {
 	slices.SortFunc(arrivals, time.Time.Compare)
 	most, from := 0, 0
 	for to := range arrivals {
-		for arrivals[to].Sub(arrivals[from]) > coldSpan {
+		for arrivals[to].Sub(arrivals[from]) > coldWindow {
 			from++
 		}
 		most = max(most, to-from+1)
@@ -77,7 +77,7 @@
 
 // TestAColdTargetNeverGetsMoreThanItMay sends as often as is allowed, with requests that are on their way for up to some
 // seconds, also many at once: the bound is on what arrives.
-func TestAColdTargetNeverGetsMoreThanItMay(t *testing.T) {
+func TestColdSendLimiterBoundsArrivals(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 3))
 		c := coldSendLimiter{targets: map[string]*coldTarget{}}
@@ -97,7 +97,7 @@
 			if random.IntN(200) == 0 {
 				stuckUntil = now.Add(time.Duration(random.Int64N(int64(4 * time.Second))))
 			}
-			if c.take(now, "t", coldMost) {
+			if c.take(now, "t", coldMaxRequests) {
 				until := now.Add(time.Duration(random.Int64N(int64(5 * time.Millisecond))))
 				if until.Before(stuckUntil) {
 					until = stuckUntil
@@ -105,8 +105,8 @@
 				ways = append(ways, onWay{until})
 			}
 		}
-		if got := mostWithinASpan(arrivals); got > coldMost || got == 0 {
-			t.Fatalf("seed %d: %d requests arrived within a second, %d may", seed, got, coldMost)
+		if got := maxWithinWindow(arrivals); got > coldMaxRequests || got == 0 {
+			t.Fatalf("seed %d: %d requests arrived within a second, %d may", seed, got, coldMaxRequests)
 		}
 	}
 }
@@ -114,7 +114,7 @@
 // TestAPoolThatComesBackColdAmongDaemonsThatAreSplit is the load after a zone or a pool came back at once: 120 engines, all cold,
 // and 20 daemons that do not hear each other, each with an equal part of four times what cold engines may get. The figures are those
 // of a pool of model engines in service: seven a second each while cold.
-func TestAPoolThatComesBackColdAmongDaemonsThatAreSplit(t *testing.T) {
+func TestColdLimitWithPartitionedDaemons(t *testing.T) {
 	const engineCount, daemons, perSecond = 120, 20, 3400
 	clock := clockwork.NewFakeClockAt(start)
 	random := rand.New(rand.NewPCG(5, 5))
@@ -145,8 +145,8 @@
 		}
 	}
 	for id, at := range arrivals {
-		if got := mostWithinASpan(at); got > coldMost {
-			t.Errorf("%s got %d requests within a second, %d may", id, got, coldMost)
+		if got := maxWithinWindow(at); got > coldMaxRequests {
+			t.Errorf("%s got %d requests within a second, %d may", id, got, coldMaxRequests)
 		}
 	}
 	works := coldSpec.RequestsPerSecond * engineCount * length.Seconds()
@@ -155,7 +155,7 @@
 	}
 }
 
-func TestWarmTargetsComeFirstWhileTheyHaveRoom(t *testing.T) {
+func TestWarmTargetsArePreferred(t *testing.T) {
 	p := NewPlacer("vm", clockwork.NewFakeClockAt(start), hclog.NewNullLogger(), coldFleet(4, 2), &coldPeers{self: "vm", all: []proto.VM{"vm"}})
 	chosen := map[string]int{}
 	for range 12 {
@@ -169,12 +169,12 @@
 			chosen[placed.Spec.ID]++
 		}
 	}
-	if n := chosen["e000"]; n == 0 || n > coldMost/2 {
+	if n := chosen["e000"]; n == 0 || n > coldMaxRequests/2 {
 		t.Errorf("a cold target got %d requests at once beside busy ones: %v", n, chosen)
 	}
 }
 
-func TestUrgentRequestsHaveAPartOfTheAllowance(t *testing.T) {
+func TestColdQuotaReservedForUrgentRequests(t *testing.T) {
 	p := NewPlacer("vm", clockwork.NewFakeClockAt(start), hclog.NewNullLogger(), coldFleet(1, 1), &coldPeers{self: "vm", all: []proto.VM{"vm"}})
 	count := func(rank int) int {
 		n := 0
@@ -189,7 +189,7 @@
 }
 
 // TestATargetIsColdForAsLongAsItSays follows what entries say, over time.
-func TestATargetIsColdForAsLongAsItSays(t *testing.T) {
+func TestTargetColdPeriod(t *testing.T) {
 	entry := func(version uint64, coldFor time.Duration) []FleetChange {
 		spec := testTarget("e000", "p", "z")
 		spec.ColdRemaining = coldFor
@@ -234,7 +234,7 @@
 
 // TestACrowdedPoolSendsNothingToTargetsThatFail has 19 of 21 engines fail, and more requests than the others may have at a time: what
 // they may not have is not sent to the ones that fail.
-func TestACrowdedPoolSendsNothingToTargetsThatFail(t *testing.T) {
+func TestPoolAtCapacityAvoidsFailingTargets(t *testing.T) {
 	f := coldFleet(21, 0)
 	want := TargetCriteria{Engine: true, Route: "r", OwnTokens: 20}
 	failing := map[string]bool{}
@@ -261,7 +261,7 @@
 
 // TestNoTargetGetsMoreThanAColdOneMay has all requests share one long part of their prompts: their home may have become cold
 // a second ago, and nobody knows it yet.
-func TestNoTargetGetsMoreThanAColdOneMay(t *testing.T) {
+func TestWarmTargetsRespectColdLimit(t *testing.T) {
 	f := coldFleet(6, 0)
 	var chosen []time.Time
 	first := ""
@@ -277,18 +277,18 @@
 		f.RecordResponseStart(now, target, TargetCriteria{Engine: true, OwnTokens: 20})
 		f.FinishAttempt(now, target, TargetCriteria{Engine: true}, true, VerdictSuccess, Load{})
 	}
-	if got := mostWithinASpan(chosen); got >= coldMost {
-		t.Errorf("one target got %d requests within a second, a cold one may get %d", got, coldMost)
+	if got := maxWithinWindow(chosen); got >= coldMaxRequests {
+		t.Errorf("one target got %d requests within a second, a cold one may get %d", got, coldMaxRequests)
 	}
 }
 
 // TestTargetsThatMayGetOneRequestASecondAreUsed has cold targets work through one request a second, and nothing allowed beyond that: warm
 // ones are chosen all the same, one request after the other.
-func TestTargetsThatMayGetOneRequestASecondAreUsed(t *testing.T) {
+func TestWarmTargetsWithColdLimitOfOne(t *testing.T) {
 	f := fleetWith(putChange(1, testTarget("t", "p", "z")))
 	f.SetColdSpec("p", proto.ColdSpec{WarmUpTime: time.Second, RequestsPerSecond: 1})
 	for i := range 3 {
-		now := start.Add(time.Duration(i) * 2 * coldSpan)
+		now := start.Add(time.Duration(i) * 2 * coldWindow)
 		target := f.Pick(now, "p", TargetCriteria{})
 		if target == nil {
 			t.Fatalf("request %d gets no target", i)
--- a/relay/eras_test.go
+++ b/relay/eras_test.go
@@ -29,7 +29,7 @@
 
 // TestWhatAStoreLostInARestorationStaysKnown has two targets, a and b, in a copy of the store as of version 10; then something happens
 // to a at versions up to 20, and the store comes back from the copy.
-func TestWhatAStoreLostInARestorationStaysKnown(t *testing.T) {
+func TestFleetKeepsChangesLostInRestore(t *testing.T) {
 	type step struct {
 		at     time.Duration
 		change FleetChange
@@ -45,17 +45,17 @@
 		usable string
 	}{
 		{"a said that it leaves", []FleetChange{putIn(1, 20, leavingTarget("a"))}, nil, 0, "b "},
-		{"a said that it leaves, and says so again", []FleetChange{putIn(1, 20, leavingTarget("a"))}, []step{{time.Second, putIn(2, 11, leavingTarget("a"))}}, restoredDoubt, "b "},
+		{"a said that it leaves, and says so again", []FleetChange{putIn(1, 20, leavingTarget("a"))}, []step{{time.Second, putIn(2, 11, leavingTarget("a"))}}, restoredQuarantine, "b "},
 		{"a left and went", []FleetChange{putIn(1, 19, leavingTarget("a")), removedIn(1, 20, "a")}, nil, 0, "b "},
 		{"a went without a word", []FleetChange{removedIn(1, 20, "a")}, nil, 0, "b "},
-		{"a went and goes again", []FleetChange{removedIn(1, 20, "a")}, []step{{time.Second, removedIn(2, 12, "a")}}, restoredDoubt, "b "},
+		{"a went and goes again", []FleetChange{removedIn(1, 20, "a")}, []step{{time.Second, removedIn(2, 12, "a")}}, restoredQuarantine, "b "},
 		{"a went, and was there again before the restoration was known", []FleetChange{removedIn(1, 20, "a")}, []step{{time.Second, putIn(2, 15, testTarget("a", "p", "z"))}}, time.Second, "a b "},
 		{"a left, and its older entry is written again first", []FleetChange{putIn(1, 19, leavingTarget("a")), removedIn(1, 20, "a")}, []step{{time.Second, putIn(2, 11, testTarget("a", "p", "z"))}}, time.Second, "b "},
 		{"a left, and a later run of it starts", []FleetChange{putIn(1, 19, leavingTarget("a")), removedIn(1, 20, "a")}, []step{{time.Second, putIn(2, 15, born)}}, time.Second, "a b "},
-		{"a left, and its entry stays for long", []FleetChange{removedIn(1, 20, "a")}, nil, restoredDoubt, "a b "},
-		{"c came, and is not written again", []FleetChange{putIn(1, 15, testTarget("c", "p", "z"))}, nil, lapseWait, "a b "},
-		{"c came, and is written again", []FleetChange{putIn(1, 15, testTarget("c", "p", "z"))}, []step{{time.Second, putIn(2, 11, testTarget("c", "p", "z"))}}, lapseWait, "a b c "},
-		{"c came a moment ago", []FleetChange{putIn(1, 15, testTarget("c", "p", "z"))}, nil, lapseWait - 1, "a b c "},
+		{"a left, and its entry stays for long", []FleetChange{removedIn(1, 20, "a")}, nil, restoredQuarantine, "a b "},
+		{"c came, and is not written again", []FleetChange{putIn(1, 15, testTarget("c", "p", "z"))}, nil, lapseGracePeriod, "a b "},
+		{"c came, and is written again", []FleetChange{putIn(1, 15, testTarget("c", "p", "z"))}, []step{{time.Second, putIn(2, 11, testTarget("c", "p", "z"))}}, lapseGracePeriod, "a b c "},
+		{"c came a moment ago", []FleetChange{putIn(1, 15, testTarget("c", "p", "z"))}, nil, lapseGracePeriod - 1, "a b c "},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -80,7 +80,7 @@
 }
 
 // TestADaemonThatStartsIsToldWhatTheCopyGotWrong reads the copy by a daemon that never knew that a had left.
-func TestADaemonThatStartsIsToldWhatTheCopyGotWrong(t *testing.T) {
+func TestNewDaemonLearnsInvalidRestoredEntries(t *testing.T) {
 	for _, lost := range []FleetChange{putIn(1, 20, leavingTarget("a")), removedIn(1, 20, "a")} {
 		knew := fleetWith(putIn(1, 1, testTarget("a", "p", "z")), putIn(1, 2, testTarget("b", "p", "z")), lost)
 		copied := []FleetChange{putIn(2, 1, testTarget("a", "p", "z")), putIn(2, 2, testTarget("b", "p", "z"))}
@@ -91,14 +91,14 @@
 		if got := usableIDs(starts, "p"); got != "b " || starts.InvalidDigest() != knew.InvalidDigest() {
 			t.Errorf("usable: %q, digests %d and %d", got, starts.InvalidDigest(), knew.InvalidDigest())
 		}
-		late := start.Add(restoredDoubt)
+		late := start.Add(restoredQuarantine)
 		if len(knew.ExpireInvalid(late)) != 1 || knew.MergeInvalid(late, starts.InvalidEntries()) != nil || len(knew.InvalidEntries()) > 0 {
 			t.Error("daemons keep telling each other of an entry that stayed")
 		}
 	}
 }
 
-func TestEvacuationsInARestoredStore(t *testing.T) {
+func TestEvacuationsAfterRestore(t *testing.T) {
 	asked := func(era, version uint64) proto.Evacuation {
 		return proto.Evacuation{Zone: "y", Version: inEra(era, version)}
 	}
@@ -117,9 +117,9 @@
 		at       time.Duration
 		want     string
 	}{
-		{"asked since the copy", []proto.Evacuation{asked(1, 20)}, nil, nil, rewriteWait - 1, "[y]"},
+		{"asked since the copy", []proto.Evacuation{asked(1, 20)}, nil, nil, evacuationRewriteWait - 1, "[y]"},
 		{"asked since the copy, and again", []proto.Evacuation{asked(1, 20)}, nil, []step{{time.Second, asked(2, 12)}}, time.Hour, "[y]"},
-		{"asked since the copy, and not again", []proto.Evacuation{asked(1, 20)}, nil, nil, rewriteWait, "[]"},
+		{"asked since the copy, and not again", []proto.Evacuation{asked(1, 20)}, nil, nil, evacuationRewriteWait, "[]"},
 		{"asked and taken back since the copy", []proto.Evacuation{asked(1, 20), over(1, 21)}, nil, nil, 0, "[]"},
 		{"taken back since the copy", []proto.Evacuation{asked(1, 5), over(1, 20)}, []proto.Evacuation{asked(2, 5)}, nil, 0, "[]"},
 		{"taken back since the copy, and again", []proto.Evacuation{asked(1, 5), over(1, 20)}, []proto.Evacuation{asked(2, 5)}, []step{{time.Second, over(2, 12)}}, time.Hour, "[]"},
@@ -147,7 +147,7 @@
 
 // TestAnEvacuationThatTheStoreLostIsKeptByThoseWhoStart has a daemon be told of it that reads the store's list only then, and tell the
 // first one what it believes.
-func TestAnEvacuationThatTheStoreLostIsKeptByThoseWhoStart(t *testing.T) {
+func TestNewDaemonKeepsEvacuationLostInRestore(t *testing.T) {
 	knew, starts := fleetWith(putIn(1, 1, testTarget("a", "p", "y"))), fleetWith(putIn(2, 1, testTarget("a", "p", "y")))
 	knew.ApplyEvacuations(start, []proto.Evacuation{{Zone: "y", Version: inEra(1, 20)}})
 	knew.ApplyEvacuations(start, knew.EvacuationsFromList(inEra(2, 10), nil))
@@ -157,7 +157,7 @@
 	if len(knew.EvacuatedZones()) != 1 || len(starts.EvacuatedZones()) != 1 {
 		t.Errorf("evacuated: %v and %v", knew.EvacuatedZones(), starts.EvacuatedZones())
 	}
-	knew.ApplyEvacuations(start, knew.ExpiredEvacuations(start.Add(rewriteWait)))
+	knew.ApplyEvacuations(start, knew.ExpiredEvacuations(start.Add(evacuationRewriteWait)))
 	starts.ApplyEvacuations(start, knew.Evacuations())
 	if len(starts.EvacuatedZones()) > 0 || starts.EvacuationsVersion() != knew.EvacuationsVersion() {
 		t.Errorf("evacuated after the wait: %v as of %s", starts.EvacuatedZones(), starts.EvacuationsVersion())
@@ -166,35 +166,35 @@
 
 // restoredWorld is a store with targets that come, leave and go, which is restored from copies now and then; what it lost is written
 // again within two seconds. Three fleets follow it as daemons do: by changes, by whole lists, and by what another one tells.
-type restoredWorld struct {
+type restoreSimulation struct {
 	random  *rand.Rand
 	now     time.Time
 	era     uint64
 	version uint64
 	rows    map[string]FleetChange
-	copies  []worldCopy
+	copies  []storeCopy
 	// left are the targets that have said that they leave, or are gone, and since when.
 	left map[string]time.Time
 	live map[string]bool
 	// due are writes that are made again.
-	due    []dueWrite
+	due    []pendingWrite
 	fleets [3]*Fleet
 	seen   [3]proto.Revision
 	next   int
 }
 
-type worldCopy struct {
+type storeCopy struct {
 	version uint64
 	rows    map[string]FleetChange
 }
 
-type dueWrite struct {
+type pendingWrite struct {
 	at time.Time
 	id string
 }
 
 // write puts the entry of a target as it is now, or removes it.
-func (w *restoredWorld) write(id string) {
+func (w *restoreSimulation) write(id string) {
 	w.version++
 	c := FleetChange{ID: id, Version: inEra(w.era, w.version)}
 	_, left := w.left[id]
@@ -209,8 +209,8 @@
 	w.rows[id] = c
 }
 
-func (w *restoredWorld) copyRows() {
-	c := worldCopy{version: w.version, rows: map[string]FleetChange{}}
+func (w *restoreSimulation) copyRows() {
+	c := storeCopy{version: w.version, rows: map[string]FleetChange{}}
 	for id, row := range w.rows {
 		c.rows[id] = row
 	}
@@ -219,7 +219,7 @@
 	}
 }
 
-func (w *restoredWorld) restore() {
+func (w *restoreSimulation) restore() {
 	c := w.copies[w.random.IntN(len(w.copies))]
 	lost := w.rows
 	w.era++
@@ -230,14 +230,14 @@
 	}
 	for id, row := range lost {
 		if c.rows[id].Version.Version != row.Version.Version {
-			w.due = append(w.due, dueWrite{w.now.Add(time.Duration(w.random.Int64N(int64(2 * time.Second)))), id})
+			w.due = append(w.due, pendingWrite{w.now.Add(time.Duration(w.random.Int64N(int64(2 * time.Second)))), id})
 		}
 	}
 }
 
-func (w *restoredWorld) step() {
+func (w *restoreSimulation) step() {
 	w.now = w.now.Add(200 * time.Millisecond)
-	var rest []dueWrite
+	var rest []pendingWrite
 	for _, d := range w.due {
 		if w.now.Before(d.at) {
 			rest = append(rest, d)
@@ -276,7 +276,7 @@
 }
 
 // follow has one of the fleets catch up as its daemon does.
-func (w *restoredWorld) follow(i int) {
+func (w *restoreSimulation) follow(i int) {
 	f := w.fleets[i]
 	asOf := inEra(w.era, w.version)
 	var changed, whole []FleetChange
@@ -310,9 +310,9 @@
 
 // TestNothingThatLeftIsUsedThroughRestorations plays random histories. A fleet must not use a target two and a half seconds after the
 // target said that it leaves, which each fleet that knew of it at once had heard, and in the end each must use all that are there.
-func TestNothingThatLeftIsUsedThroughRestorations(t *testing.T) {
+func TestDepartedTargetsAreUnusedAcrossRestores(t *testing.T) {
 	for seed := range uint64(120) {
-		w := &restoredWorld{
+		w := &restoreSimulation{
 			random: rand.New(rand.NewPCG(seed, 17)), now: start, era: 1, rows: map[string]FleetChange{}, left: map[string]time.Time{}, live: map[string]bool{},
 		}
 		for i := range w.fleets {
@@ -322,7 +322,7 @@
 			w.step()
 			for i, f := range w.fleets {
 				for _, target := range f.Usable(w.now, "p") {
-					if at, left := w.left[target.ID]; left && w.now.Sub(at) > lapseWait+200*time.Millisecond && i < 2 {
+					if at, left := w.left[target.ID]; left && w.now.Sub(at) > lapseGracePeriod+200*time.Millisecond && i < 2 {
 						t.Fatalf("seed %d: fleet %d uses %s %s after it left, in era %d", seed, i, target.ID, w.now.Sub(at), w.era)
 					}
 				}
@@ -346,14 +346,14 @@
 			}
 		}
 		for i, f := range w.fleets {
-			if got := namesAt(f, "p", w.now); got != want {
+			if got := usableIDsAt(f, "p", w.now); got != want {
 				t.Fatalf("seed %d: fleet %d uses %q in the end, there are %q", seed, i, got, want)
 			}
 		}
 	}
 }
 
-func namesAt(f *Fleet, pool string, now time.Time) string {
+func usableIDsAt(f *Fleet, pool string, now time.Time) string {
 	all := ""
 	for _, t := range f.Usable(now, pool) {
 		all += t.ID + " "
--- a/relay/fleet.go
+++ b/relay/fleet.go
@@ -33,17 +33,17 @@
 	// pace is how long attempts take against what was expected.
 	slowdown float64
 	// lapsedAt is when the entry went while the store was away; zero if it is listed.
-	lapsedAt  time.Time
-	lapseTold bool
+	lapsedAt      time.Time
+	lapseFromPeer bool
 	// doubted says that another daemon, which reached the store all the time, saw the entry of a lapsed target go: it
 	// has more likely left than lapsed, and gets work only where its pool has no other target.
 	suspected bool
 	// version is the store's version at which the entry last changed.
-	version proto.Revision
-	gone    bool
+	version  proto.Revision
+	unlisted bool
 	// running ends when another run of the target is known, and end ends it.
-	runCtx context.Context
-	end    context.CancelFunc
+	runCtx    context.Context
+	cancelRun context.CancelFunc
 	// long engines take the routes with long prompts.
 	longPrompts bool
 	// evacuated targets are in a zone that is to get nothing more.
@@ -53,9 +53,9 @@
 	// notice is what the target's run has said of itself in answers.
 	notice proto.TargetNotice
 	// restUntil is until when the target wants nothing from this daemon.
-	restUntil time.Time
+	backoffUntil time.Time
 	// lately is when the target was chosen within the last second, in pools whose targets may be cold.
-	lately []time.Time
+	recentPicks []time.Time
 }
 
 // leaves tells whether the target has said that it leaves, by its entry or in an answer.
@@ -69,43 +69,43 @@
 	targets map[string]*Target
 	list    []*Target
 	// stale says that the list is not that of the targets any more.
-	stale bool
+	listStale bool
 	// listed counts the changes of the list, and orderedOf is that of the list in order of hash.
 	listVersion, sortedVersion uint64
 	sortedByHash               []*Target
 	prompts                    map[string]*promptStats
-	turn                       int
+	rotation                   int
 	dividedAt                  time.Time
 	allPrompts                 promptStats
 	model                      engineModel
 	slowdowns                  []float64
 	// token and stream are what a prompt token and a stream beside it add to a first event, in milliseconds, as of the
 	// last choice.
-	token, stream float64
-	zones         ZoneCosts
+	tokenCost, streamCost float64
+	zones                 ZoneCosts
 	// read is how many prompt tokens engines have lately read.
 	recentReadTokens state.DecayingSum
 	// memory is how many tokens an engine of the pool keeps; 0 if that is not known.
-	memory int
+	cacheTokens int
 	// cold says how targets warm up, and coldMost how many requests a cold one may get within a second from all daemons.
-	cold     proto.ColdSpec
-	coldMost int
+	coldSpec  proto.ColdSpec
+	coldLimit int
 	// mayLimit says that a target may name a limit.
-	mayLimit bool
+	mayHaveLimits bool
 	// coldTo is when the last of the targets that are known to be cold is warm.
-	coldTo time.Time
+	lastColdUntil time.Time
 }
 
 // lock locks the pool with its list as it should be; the list is made anew once after many changes.
 func (p *targetPool) lock() {
 	p.mu.Lock()
-	if p.stale {
-		p.stale = false
-		p.relist()
+	if p.listStale {
+		p.listStale = false
+		p.rebuildList()
 	}
 }
 
-func (p *targetPool) relist() {
+func (p *targetPool) rebuildList() {
 	p.listVersion++
 	p.list = p.list[:0]
 	for _, t := range p.targets {
@@ -120,29 +120,29 @@
 	pools map[string]*targetPool
 	byID  map[string]*Target
 	// awayAt and backAt are when the store was last found away, and when it answered again after that.
-	awayAt, backAt time.Time
+	storeDownAt, storeUpAt time.Time
 	// version is that of the newest change of any entry, which is the same at all daemons that know as much.
 	version proto.Revision
 	changed func(pool string)
 	zones   ZoneCosts
 	// void holds the revisions of entries that name no target to use although they read as if they did, and judged those that came
 	// back with a copy of the store and count again, since they stayed.
-	void   map[string]voidEntry
-	judged map[string]proto.Revision
+	invalid     map[string]invalidEntry
+	revalidated map[string]proto.Revision
 	// left holds the targets that left lately, and copied is the revision as of which the store's list was first read in its era.
-	left   map[string]leftTarget
-	copied proto.Revision
+	departed     map[string]departedTarget
+	restoredAsOf proto.Revision
 	// evacuations holds the zones that are or were evacuated, and evacuatedAt is the revision of the newest change.
-	evacuations map[string]proto.Evacuation
-	evacuatedAt proto.Revision
+	evacuations        map[string]proto.Evacuation
+	evacuationsVersion proto.Revision
 	// evacuationRows are the versions of the rows that evacuated zones last, and heldSince is since when evacuations are in force
 	// that a restored store lacks.
-	evacuationRows map[string]uint64
-	heldSince      map[string]time.Time
-	coldTerms      ColdConfig
+	evacuationRowVersions map[string]uint64
+	heldSince             map[string]time.Time
+	coldTerms             ColdConfig
 	// signals are those that runs of targets gave in answers.
-	signals map[proto.RunName]*targetSignals
-	tell    func([]proto.TargetNotice)
+	signals   map[proto.RunName]*targetSignals
+	onNotices func([]proto.TargetNotice)
 }
 
 // FleetOption changes a Fleet at construction.
@@ -152,16 +152,16 @@
 func WithZoneCosts(costs ZoneCosts) FleetOption { return func(f *Fleet) { f.zones = costs } }
 
 // WithNoticeHandler has what targets say told to other daemons, as it becomes known here.
-func WithNoticeHandler(tell func([]proto.TargetNotice)) FleetOption {
-	return func(f *Fleet) { f.tell = tell }
+func WithNoticeHandler(onNotices func([]proto.TargetNotice)) FleetOption {
+	return func(f *Fleet) { f.onNotices = onNotices }
 }
 
 // NewFleet returns an empty fleet; changed is told of each pool whose list of targets changes, without a lock held.
 func NewFleet(changed func(pool string), options ...FleetOption) *Fleet {
 	f := &Fleet{
-		pools: map[string]*targetPool{}, byID: map[string]*Target{}, void: map[string]voidEntry{}, judged: map[string]proto.Revision{},
-		left: map[string]leftTarget{}, evacuations: map[string]proto.Evacuation{}, evacuationRows: map[string]uint64{}, heldSince: map[string]time.Time{},
-		changed: changed, zones: DefaultZoneCosts(), signals: map[proto.RunName]*targetSignals{}, tell: func([]proto.TargetNotice) {},
+		pools: map[string]*targetPool{}, byID: map[string]*Target{}, invalid: map[string]invalidEntry{}, revalidated: map[string]proto.Revision{},
+		departed: map[string]departedTarget{}, evacuations: map[string]proto.Evacuation{}, evacuationRowVersions: map[string]uint64{}, heldSince: map[string]time.Time{},
+		changed: changed, zones: DefaultZoneCosts(), signals: map[proto.RunName]*targetSignals{}, onNotices: func([]proto.TargetNotice) {},
 	}
 	for _, option := range options {
 		option(f)
@@ -186,7 +186,7 @@
 	// the store was away, so that it may come back.
 	FromPeer, Lapsed bool
 	// Restored says that the entry is missing in a copy that the store was restored from, so that it may come back.
-	Restored bool
+	LostInRestore bool
 	// Unusable entries name no target: another writer left them, or they cannot be read.
 	Unusable bool
 	Target   proto.RelayTarget
@@ -198,10 +198,10 @@
 	var notes []FleetEvent
 	for _, c := range changes {
 		f.version = proto.Latest(f.version, c.Version)
-		notes = append(notes, f.apply(now, c)...)
+		notes = append(notes, f.applyChange(now, c)...)
 	}
 	f.mu.Unlock()
-	f.announce(notes)
+	f.notifyChanged(notes)
 	return notes
 }
 
@@ -218,29 +218,29 @@
 	var notes []FleetEvent
 	restored := asOf.Era > f.version.Era
 	if restored {
-		f.copied = asOf
+		f.restoredAsOf = asOf
 	}
 	for _, c := range entries {
 		f.version = proto.Latest(f.version, c.Version)
 		listed[c.ID] = true
-		notes = append(notes, f.apply(now, c)...)
+		notes = append(notes, f.applyChange(now, c)...)
 	}
 	for id, t := range f.byID {
 		switch {
 		case listed[id]:
 		case complete:
-			f.noteLeft(now, t, asOf)
+			f.recordDeparture(now, t, asOf)
 			notes = append(notes, f.drop(t))
 		default:
-			notes = append(notes, f.apply(now, FleetChange{ID: id, Removed: true, Version: asOf, Restored: restored})...)
+			notes = append(notes, f.applyChange(now, FleetChange{ID: id, Removed: true, Version: asOf, LostInRestore: restored})...)
 		}
 	}
-	f.dropVoid(asOf, listed)
+	f.pruneInvalid(asOf, listed)
 	if complete {
 		f.version = proto.Latest(f.version, asOf)
 	}
 	f.mu.Unlock()
-	f.announce(notes)
+	f.notifyChanged(notes)
 	return notes, true
 }
 
@@ -265,8 +265,8 @@
 	// OutcomeLapsed means that the entry went, and may come back.
 	OutcomeLapsed = "lapsed"
 	// outcomeDoubted means that another daemon holds a lapsed target to have left.
-	outcomeDoubted = "doubted"
-	outcomeUpdated = "updated"
+	outcomeSuspected = "doubted"
+	outcomeUpdated   = "updated"
 	// outcomeCold means that a target that was warm has become cold.
 	outcomeCold = "cold"
 	// OutcomeEnded means that the run ended: the target has started again, or is in another pool.
@@ -274,12 +274,12 @@
 	// outcomeStale means that the entry was written by an earlier run, and is not taken in.
 	outcomeStale = "told of an earlier run"
 	// outcomeLeftOver means that the entry came back with a copy of the store, after its target had left.
-	outcomeLeftOver = "left before the store was restored"
+	outcomeDeparted = "left before the store was restored"
 	// outcomeUnusable means that the entry names no target any more.
 	outcomeUnusable = "has an entry that cannot be used"
 )
 
-func (f *Fleet) announce(notes []FleetEvent) {
+func (f *Fleet) notifyChanged(notes []FleetEvent) {
 	pools := map[string]bool{}
 	for _, n := range notes {
 		pools[n.Target.Pool] = true
@@ -289,7 +289,7 @@
 	}
 }
 
-func (f *Fleet) poolLocked(name string) *targetPool {
+func (f *Fleet) ensurePool(name string) *targetPool {
 	p := f.pools[name]
 	if p == nil {
 		p = &targetPool{targets: map[string]*Target{}, model: newEngineModel(), zones: f.zones}
@@ -298,18 +298,18 @@
 	return p
 }
 
-func (f *Fleet) apply(now time.Time, c FleetChange) []FleetEvent {
+func (f *Fleet) applyChange(now time.Time, c FleetChange) []FleetEvent {
 	t := f.byID[c.ID]
 	if t != nil && t.version.After(c.Version) {
 		return nil
 	}
 	switch {
-	case c.Unusable || f.isVoid(c):
+	case c.Unusable || f.isInvalid(c):
 		return f.dropUnusable(now, t, c)
 	case c.Removed:
-		return f.remove(now, t, c)
-	case t == nil && f.isLeftOver(now, c):
-		return []FleetEvent{{Target: c.Target, Outcome: outcomeLeftOver, Version: c.Version}}
+		return f.removeEntry(now, t, c)
+	case t == nil && f.restoredAfterDeparture(now, c):
+		return []FleetEvent{{Target: c.Target, Outcome: outcomeDeparted, Version: c.Version}}
 	case t == nil:
 		return []FleetEvent{f.add(now, c, health{})}
 	}
@@ -319,8 +319,8 @@
 	switch {
 	case c.Target.StartedAt.IsZero() && !old.StartedAt.IsZero():
 		// A target that tells when its run started always does. Daemons that did not know it then must be told.
-		f.void[c.ID] = voidEntry{version: c.Version}
-		return f.unusable(t, c)
+		f.invalid[c.ID] = invalidEntry{version: c.Version}
+		return f.dropAsUnusable(t, c)
 	case c.Target.StartedAt.Before(old.StartedAt):
 		t.version = c.Version
 		return []FleetEvent{{Target: c.Target, Outcome: outcomeStale, Version: c.Version}}
@@ -329,11 +329,11 @@
 	case old.Leaving && !c.Target.Leaving && c.Version.Era > t.version.Era:
 		// The store was restored from a copy of before the target said that it leaves.
 		t.version = c.Version
-		f.voidRestored(now, c)
-		return []FleetEvent{{Target: old, Outcome: outcomeLeftOver, Version: c.Version}}
+		f.quarantineRestored(now, c)
+		return []FleetEvent{{Target: old, Outcome: outcomeDeparted, Version: c.Version}}
 	}
 	if c.Version.After(t.version) {
-		t.warmsIn(now, c.Target.ColdRemaining)
+		t.setWarmUp(now, c.Target.ColdRemaining)
 	}
 	t.Spec, t.version, t.evacuated = c.Target, c.Version, f.isEvacuated(c.Target.Zone)
 	t.lapsedAt, t.suspected = time.Time{}, false
@@ -350,7 +350,7 @@
 
 // add lists a target of which nothing is known but its health.
 func (f *Fleet) add(now time.Time, c FleetChange, known health) FleetEvent {
-	p := f.poolLocked(c.Target.Pool)
+	p := f.ensurePool(c.Target.Pool)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return f.addTo(now, p, c, known)
@@ -358,12 +358,12 @@
 
 func (f *Fleet) addTo(now time.Time, p *targetPool, c FleetChange, known health) FleetEvent {
 	t := &Target{Spec: c.Target, pool: p, idHash: state.Hash(c.Target.ID), slowdown: 1, version: c.Version, health: known, evacuated: f.isEvacuated(c.Target.Zone)}
-	t.runCtx, t.end = context.WithCancel(context.Background())
-	t.warmsIn(now, c.Target.ColdRemaining)
+	t.runCtx, t.cancelRun = context.WithCancel(context.Background())
+	t.setWarmUp(now, c.Target.ColdRemaining)
 	t.apply(f.signals[t.Spec.RunName()])
 	p.targets[c.ID] = t
 	f.byID[c.ID] = t
-	p.stale = true
+	p.listStale = true
 	return FleetEvent{Target: c.Target, Outcome: outcomeAdded}
 }
 
@@ -371,10 +371,10 @@
 // one ended; the pool of the last one is locked. All that is believed of a target is in its Target, so it goes here at
 // once, and work in progress ends.
 func (f *Fleet) restart(now time.Time, t *Target, c FleetChange) []FleetEvent {
-	ended := f.forget(t)
+	ended := f.unlist(t)
 	ended.Outcome, ended.Version = OutcomeEnded, c.Version
 	delete(f.signals, t.Spec.RunName())
-	t.end()
+	t.cancelRun()
 	if c.Target.Pool != t.Spec.Pool {
 		return []FleetEvent{ended, f.add(now, c, health{})}
 	}
@@ -388,14 +388,14 @@
 	}
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
-	if v, void := f.void[c.ID]; t.leaves() || void && !v.until.IsZero() {
-		f.noteLeft(now, t, c.Version)
+	if v, invalid := f.invalid[c.ID]; t.leaves() || invalid && !v.until.IsZero() {
+		f.recordDeparture(now, t, c.Version)
 	}
-	return f.unusable(t, c)
+	return f.dropAsUnusable(t, c)
 }
 
-func (f *Fleet) unusable(t *Target, c FleetChange) []FleetEvent {
-	note := f.forget(t)
+func (f *Fleet) dropAsUnusable(t *Target, c FleetChange) []FleetEvent {
+	note := f.unlist(t)
 	note.Outcome, note.Version = outcomeUnusable, c.Version
 	return []FleetEvent{note}
 }
@@ -404,10 +404,10 @@
 func (f *Fleet) drop(t *Target) FleetEvent {
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
-	return f.forget(t)
+	return f.unlist(t)
 }
 
-func (f *Fleet) remove(now time.Time, t *Target, c FleetChange) []FleetEvent {
+func (f *Fleet) removeEntry(now time.Time, t *Target, c FleetChange) []FleetEvent {
 	if t == nil {
 		return nil
 	}
@@ -415,24 +415,24 @@
 	defer t.pool.mu.Unlock()
 	lapsed := c.Lapsed
 	if !c.FromPeer {
-		lapsed = c.Restored || f.mayHaveLapsed(now)
+		lapsed = c.LostInRestore || f.mayHaveLapsed(now)
 	}
 	if !t.leaves() && lapsed {
 		if !t.lapsedAt.IsZero() {
 			return nil
 		}
-		t.lapsedAt, t.lapseTold = now, c.FromPeer
+		t.lapsedAt, t.lapseFromPeer = now, c.FromPeer
 		return []FleetEvent{{Target: t.Spec, Outcome: OutcomeLapsed, Version: c.Version}}
 	}
-	f.noteLeft(now, t, c.Version)
-	return []FleetEvent{f.forget(t)}
+	f.recordDeparture(now, t, c.Version)
+	return []FleetEvent{f.unlist(t)}
 }
 
-func (f *Fleet) forget(t *Target) FleetEvent {
-	t.gone = true
+func (f *Fleet) unlist(t *Target) FleetEvent {
+	t.unlisted = true
 	delete(t.pool.targets, t.Spec.ID)
 	delete(f.byID, t.Spec.ID)
-	t.pool.stale = true
+	t.pool.listStale = true
 	ended := t.Spec
 	ended.Leaving = t.leaves()
 	return FleetEvent{Target: ended, Outcome: outcomeRemoved}
@@ -457,18 +457,18 @@
 	}
 	p.lock()
 	defer p.mu.Unlock()
-	var specs, doubted []proto.RelayTarget
+	var specs, suspected []proto.RelayTarget
 	for _, t := range p.list {
 		switch {
 		case t.closed() || p.isCold(now, t):
 		case t.suspected:
-			doubted = append(doubted, t.Spec)
+			suspected = append(suspected, t.Spec)
 		default:
 			specs = append(specs, t.Spec)
 		}
 	}
 	if len(specs) == 0 {
-		return doubted
+		return suspected
 	}
 	return specs
 }
--- a/relay/fleet_test.go
+++ b/relay/fleet_test.go
@@ -37,7 +37,7 @@
 	return all
 }
 
-func TestLeavingAndRemovedTargetsGetNoNewWork(t *testing.T) {
+func TestLeavingAndRemovedTargetsAreNotPicked(t *testing.T) {
 	f := fleetWith(putChange(1, testTarget("a", "p", "z")), putChange(2, testTarget("b", "p", "z")))
 	leaving := testTarget("a", "p", "z")
 	leaving.Leaving = true
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestOlderEntriesAndListsAreIgnored(t *testing.T) {
+func TestOutdatedChangesAreIgnored(t *testing.T) {
 	f := fleetWith(putChange(5, testTarget("a", "p", "z")), putChange(6, testTarget("b", "p", "z")))
 	leaving := testTarget("a", "p", "z")
 	leaving.Leaving = true
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestTwoDaemonsThatKnowTheSameShowTheSameVersion(t *testing.T) {
+func TestFleetVersionDependsOnKnownChanges(t *testing.T) {
 	changes := []FleetChange{putChange(3, testTarget("a", "p", "z")), putChange(7, testTarget("b", "p", "z")), removeChange(11, "a")}
 	byWatch, byList := fleetWith(changes...), NewFleet(func(string) {})
 	byList.Replace(start, rev(40), []FleetChange{putChange(7, testTarget("b", "p", "z"))}, false)
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestEntriesThatGoWhileTheStoreIsAwayStayForATime(t *testing.T) {
+func TestEntriesLapseWhileStoreIsDown(t *testing.T) {
 	type step struct {
 		at   time.Duration
 		do   func(f *Fleet, now time.Time)
@@ -113,16 +113,16 @@
 			{4 * time.Second, back, "a b "},
 			{4 * time.Second, gone, "a b "},
 			{5 * time.Second, sweep, "a b "},
-			{4*time.Second + lapseWait, sweep, "b "},
+			{4*time.Second + lapseGracePeriod, sweep, "b "},
 		}},
 		{"lapsed by the word of another daemon", []step{
 			{0, func(f *Fleet, now time.Time) {
 				f.ApplyChanges(now, []FleetChange{{ID: "a", Version: rev(5), Removed: true, FromPeer: true, Lapsed: true}})
 			}, "a b "},
 			{time.Second, sweep, "a b "},
-			{lapseWait, sweep, "b "},
+			{lapseGracePeriod, sweep, "b "},
 		}},
-		{"gone after the return", []step{{0, away, "a b "}, {4 * time.Second, back, "a b "}, {4*time.Second + lapseSeen, gone, "b "}}},
+		{"gone after the return", []step{{0, away, "a b "}, {4 * time.Second, back, "a b "}, {4*time.Second + lapseDetectWindow, gone, "b "}}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -138,7 +138,7 @@
 }
 
 // TestALapseThatWasToldIsAskedAbout has a daemon that reaches the store hear of a removal first from one that does not.
-func TestALapseThatWasToldIsAskedAbout(t *testing.T) {
+func TestLapseReportedByPeerIsChecked(t *testing.T) {
 	f := fleetWith(putChange(1, testTarget("a", "p", "z")), putChange(2, testTarget("b", "p", "z")))
 	told := removeChange(5, "a")
 	told.FromPeer, told.Lapsed = true, true
@@ -152,7 +152,7 @@
 }
 
 // TestALapsedTargetThatAnotherDaemonSawLeaveIsLeftOut is a daemon that was turned away by a store which served others.
-func TestALapsedTargetThatAnotherDaemonSawLeaveIsLeftOut(t *testing.T) {
+func TestSuspectedTargetIsAvoided(t *testing.T) {
 	f := fleetWith(putChange(1, testTarget("a", "p", "z")), putChange(2, testTarget("b", "p", "z")))
 	f.MarkStoreDown(start)
 	notes := f.ApplyChanges(start, []FleetChange{removeChange(5, "a")})
@@ -181,7 +181,7 @@
 	}
 }
 
-func TestALeavingTargetStaysSoWhateverOlderAnswersSay(t *testing.T) {
+func TestLeavingTargetIgnoresOlderEntries(t *testing.T) {
 	leaving := testTarget("a", "p", "z")
 	leaving.Leaving = true
 	f := fleetWith(putChange(1, testTarget("a", "p", "z")), putChange(2, testTarget("b", "p", "z")), putChange(5, leaving))
@@ -194,7 +194,7 @@
 	}
 }
 
-func TestAnEntryThatWasLeavingDoesNotLapse(t *testing.T) {
+func TestLeavingEntryDoesNotLapse(t *testing.T) {
 	leaving := testTarget("a", "p", "z")
 	leaving.Leaving = true
 	f := fleetWith(putChange(1, leaving))
@@ -205,7 +205,7 @@
 	}
 }
 
-func TestFailingTargetsAreLeftOutAndComeBack(t *testing.T) {
+func TestFailingTargetsAreEjectedAndReturn(t *testing.T) {
 	f := fleetWith(putChange(1, testTarget("a", "p", "z")), putChange(2, testTarget("b", "p", "z")))
 	fail := func(now time.Time, id string) {
 		target := f.PickByID(now, "p", id, TargetCriteria{})
@@ -221,13 +221,13 @@
 	if f.Pick(start, "p", TargetCriteria{}) == nil {
 		t.Error("with all targets failing, none was picked: a bad one is better than none")
 	}
-	if out := f.Out(start.Add(ejectMost), "p"); len(out) != 0 {
+	if out := f.ExcludedTargets(start.Add(maxEjection), "p"); len(out) != 0 {
 		t.Errorf("%v are out for ever", out)
 	}
 	for i := range 6 {
 		fail(start.Add(time.Duration(i)*time.Millisecond), "a")
 	}
-	if out := f.Out(start.Add(ejectMost-time.Second), "p"); fmt.Sprint(out) != "[a]" {
+	if out := f.ExcludedTargets(start.Add(maxEjection-time.Second), "p"); fmt.Sprint(out) != "[a]" {
 		t.Errorf("out after failures in a row: %v", out)
 	}
 }
@@ -242,7 +242,7 @@
 	}
 }
 
-func TestPlainWorkGoesToTheLeastLoadedTargetNearby(t *testing.T) {
+func TestPickBalancesLoadAndZone(t *testing.T) {
 	f := fleetWith(putChange(1, testTarget("far", "p", "y")), putChange(2, testTarget("near", "p", "z")))
 	if got := f.Pick(start, "p", TargetCriteria{Zone: "z"}); got.Spec.ID != "near" {
 		t.Errorf("the first attempt went to %s", got.Spec.ID)
@@ -257,7 +257,7 @@
 }
 
 // TestEqualTargetsShareTheWork asks one at a time, so that all are idle at each choice.
-func TestEqualTargetsShareTheWork(t *testing.T) {
+func TestPickRotatesEqualTargets(t *testing.T) {
 	f := fleetWith(putChange(1, testTarget("a", "p", "z")), putChange(2, testTarget("b", "p", "z")), putChange(3, testTarget("c", "p", "z")))
 	counts := map[string]int{}
 	for range 30 {
@@ -270,7 +270,7 @@
 	}
 }
 
-func TestACompleteListIsBelievedWhileTheStoreIsAway(t *testing.T) {
+func TestCompleteListIsAppliedWhileStoreIsDown(t *testing.T) {
 	f := fleetWith(putChange(1, testTarget("a", "p", "z")), putChange(2, testTarget("b", "p", "z")))
 	f.MarkStoreDown(start)
 	if _, taken := f.Replace(start, rev(9), []FleetChange{putChange(2, testTarget("b", "p", "z"))}, true); !taken || usableIDs(f, "p") != "b " {
--- a/relay/fleetcold.go
+++ b/relay/fleetcold.go
@@ -10,10 +10,10 @@
 
 const (
 	// coldSpan is the span in which the requests that arrive at a cold target are counted, whatever its beginning.
-	coldSpan = time.Second
+	coldWindow = time.Second
 	// coldCost is what a cold target adds to the expected time of an attempt: it is slow, and some seconds later it will not
 	// be, so that a queue of less than this at a warm one is better.
-	coldCost = float64(400 * time.Millisecond)
+	coldPenalty = float64(400 * time.Millisecond)
 )
 
 // ColdConfig bound how many requests all daemons together may send to a cold target within a second: Over times what the
@@ -24,7 +24,7 @@
 func WithColdConfig(terms ColdConfig) FleetOption { return func(f *Fleet) { f.coldTerms = terms } }
 
 // most is how many requests a cold target of a pool may get within a second; 0 if there is no bound.
-func (t ColdConfig) most(spec proto.ColdSpec) int {
+func (t ColdConfig) maxRequests(spec proto.ColdSpec) int {
 	if spec.RequestsPerSecond <= 0 {
 		return 0
 	}
@@ -34,22 +34,22 @@
 // SetColdSpec takes over how the targets of a pool warm up.
 func (f *Fleet) SetColdSpec(pool string, spec proto.ColdSpec) {
 	f.mu.Lock()
-	p := f.poolLocked(pool)
+	p := f.ensurePool(pool)
 	f.mu.Unlock()
 	p.lock()
 	defer p.mu.Unlock()
-	p.cold, p.coldMost = spec, f.coldTerms.most(spec)
+	p.coldSpec, p.coldLimit = spec, f.coldTerms.maxRequests(spec)
 }
 
 // warmsIn notes that the target is cold for so long, or warm; its pool is locked.
-func (t *Target) warmsIn(now time.Time, left time.Duration) {
+func (t *Target) setWarmUp(now time.Time, left time.Duration) {
 	t.coldUntil = time.Time{}
 	if left <= 0 {
 		return
 	}
 	t.coldUntil = now.Add(left)
-	if t.coldUntil.After(t.pool.coldTo) {
-		t.pool.coldTo = t.coldUntil
+	if t.coldUntil.After(t.pool.lastColdUntil) {
+		t.pool.lastColdUntil = t.coldUntil
 	}
 }
 
@@ -59,32 +59,32 @@
 		return false
 	}
 	t.coldUntil = time.Time{}
-	return t.pool.coldMost > 0
+	return t.pool.coldLimit > 0
 }
 
 // isCold tells whether a target is cold and the requests for it are bounded by that.
 func (p *targetPool) isCold(now time.Time, t *Target) bool {
-	return p.coldMost > 0 && now.Before(t.coldUntil)
+	return p.coldLimit > 0 && now.Before(t.coldUntil)
 }
 
 // crowded tells whether a target was chosen so often within the last second that it would get too many if it were cold. A
 // target may become cold at any moment, and that is not known before it has written its entry anew, one or two seconds later.
-func (p *targetPool) crowded(now time.Time, t *Target) bool {
-	if p.coldMost == 0 {
+func (p *targetPool) atCapacity(now time.Time, t *Target) bool {
+	if p.coldLimit == 0 {
 		return false
 	}
 	// Where a cold target may get one request, a warm one gets one too, or the pool would serve nobody.
-	most := max(1, p.coldMost-1)
-	return len(t.lately) >= most && now.Sub(t.lately[len(t.lately)-most]) <= coldSpan
+	most := max(1, p.coldLimit-1)
+	return len(t.recentPicks) >= most && now.Sub(t.recentPicks[len(t.recentPicks)-most]) <= coldWindow
 }
 
 // noteChosen notes that a target gets a request; its pool is locked.
 func (t *Target) recordChosen(now time.Time) {
-	if t.pool.coldMost == 0 {
+	if t.pool.coldLimit == 0 {
 		return
 	}
-	t.lately = slices.DeleteFunc(t.lately, func(at time.Time) bool { return now.Sub(at) > coldSpan })
-	t.lately = append(t.lately, now)
+	t.recentPicks = slices.DeleteFunc(t.recentPicks, func(at time.Time) bool { return now.Sub(at) > coldWindow })
+	t.recentPicks = append(t.recentPicks, now)
 }
 
 // Cold returns the targets of a pool that are cold and may get work otherwise, and how many requests one of them may get
@@ -96,7 +96,7 @@
 	}
 	p.lock()
 	defer p.mu.Unlock()
-	if p.coldMost == 0 || !now.Before(p.coldTo) {
+	if p.coldLimit == 0 || !now.Before(p.lastColdUntil) {
 		return nil, 0
 	}
 	for _, t := range p.list {
@@ -104,7 +104,7 @@
 			ids = append(ids, t.Spec.ID)
 		}
 	}
-	return ids, p.coldMost
+	return ids, p.coldLimit
 }
 
 // TimeUntilWarm returns how long it takes until a target of a pool that is cold now is warm, and false if none is cold.
--- a/relay/fleetlapse.go
+++ b/relay/fleetlapse.go
@@ -8,34 +8,34 @@
 
 // lapseSeen is how soon after the store's return an entry must be found gone to count as lapsed: what went while the
 // store was away shows in the first answer, and one that goes later has left.
-const lapseSeen = 300 * time.Millisecond
+const lapseDetectWindow = 300 * time.Millisecond
 
 // lapseWait is how long after the store's return an entry that went while the store was away may come back.
 // The platform states about two seconds; a little is added for the way to this daemon.
-const lapseWait = 2300 * time.Millisecond
+const lapseGracePeriod = 2300 * time.Millisecond
 
 // MarkStoreDown notes that the store did not answer.
 func (f *Fleet) MarkStoreDown(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.awayAt = now
+	f.storeDownAt = now
 }
 
 // MarkStoreUp notes that the store answered.
 func (f *Fleet) MarkStoreUp(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.backAt.Before(f.awayAt) || f.backAt.IsZero() {
-		f.backAt = now
+	if f.storeUpAt.Before(f.storeDownAt) || f.storeUpAt.IsZero() {
+		f.storeUpAt = now
 	}
 }
 
 // mayHaveLapsed tells whether an entry that goes now may only have run out while the store was away.
 func (f *Fleet) mayHaveLapsed(now time.Time) bool {
-	if f.awayAt.IsZero() {
+	if f.storeDownAt.IsZero() {
 		return false
 	}
-	return f.backAt.Before(f.awayAt) || now.Before(f.backAt.Add(lapseSeen))
+	return f.storeUpAt.Before(f.storeDownAt) || now.Before(f.storeUpAt.Add(lapseDetectWindow))
 }
 
 // LapsedTargets returns the ids of targets that are held to have lapsed, and the version before the first of them went. A
@@ -66,12 +66,12 @@
 		t.pool.mu.Lock()
 		if !t.lapsedAt.IsZero() && !t.suspected {
 			t.suspected = true
-			notes = append(notes, FleetEvent{Target: t.Spec, Outcome: outcomeDoubted, Version: t.version})
+			notes = append(notes, FleetEvent{Target: t.Spec, Outcome: outcomeSuspected, Version: t.version})
 		}
 		t.pool.mu.Unlock()
 	}
 	f.mu.Unlock()
-	f.announce(notes)
+	f.notifyChanged(notes)
 	return notes
 }
 
@@ -81,16 +81,16 @@
 	own := !f.mayHaveLapsed(now)
 	var notes []FleetEvent
 	warmed := map[string]bool{}
-	f.forgetLeft(now)
+	f.forgetDepartures(now)
 	f.forgetNotices(now)
 	for _, t := range f.byID {
 		t.pool.mu.Lock()
 		if k := f.signals[t.Spec.RunName()]; k != nil {
 			k.listedAt = now
 		}
-		if !t.lapsedAt.IsZero() && (own || t.lapseTold) && now.Sub(t.lapsedAt) >= lapseWait {
-			f.noteLeft(now, t, t.version)
-			notes = append(notes, f.forget(t))
+		if !t.lapsedAt.IsZero() && (own || t.lapseFromPeer) && now.Sub(t.lapsedAt) >= lapseGracePeriod {
+			f.recordDeparture(now, t, t.version)
+			notes = append(notes, f.unlist(t))
 		}
 		if t.warmed(now) {
 			warmed[t.Spec.Pool] = true
@@ -98,7 +98,7 @@
 		t.pool.mu.Unlock()
 	}
 	f.mu.Unlock()
-	f.announce(notes)
+	f.notifyChanged(notes)
 	for pool := range warmed {
 		f.changed(pool)
 	}
--- a/relay/fleetnotices.go
+++ b/relay/fleetnotices.go
@@ -23,12 +23,12 @@
 	pools := map[string]bool{}
 	f.mu.Lock()
 	for _, n := range list {
-		if s := f.signals[n.Run]; !n.Valid() || s != nil && !s.lacks(n) {
+		if s := f.signals[n.Run]; !n.Valid() || s != nil && !s.updatedBy(n) {
 			continue
 		}
-		s := f.keep(now, n.Run, n.Target)
-		s.learn(now, n, from)
-		pools[f.mark(n.Run, s)] = true
+		s := f.ensureSignals(now, n.Run, n.Target)
+		s.merge(now, n, from)
+		pools[f.applySignals(n.Run, s)] = true
 		news = append(news, s.notice(n.Run))
 	}
 	f.mu.Unlock()
@@ -38,18 +38,18 @@
 		}
 	}
 	if len(news) > 0 {
-		f.tell(news)
+		f.onNotices(news)
 	}
 	return news
 }
 
 // lacks tells whether a notice says what is not known here. Of two limits that daemons were given at the same time the lower one holds.
-func (s *targetSignals) lacks(n proto.TargetNotice) bool {
+func (s *targetSignals) updatedBy(n proto.TargetNotice) bool {
 	newer := n.LimitVersion > s.change || n.LimitVersion == s.change && n.HasLimit && (s.limit == noLimit || n.Limit < s.limit)
 	return n.Leaving && !s.leaving || newer
 }
 
-func (s *targetSignals) learn(now time.Time, n proto.TargetNotice, from proto.VM) {
+func (s *targetSignals) merge(now time.Time, n proto.TargetNotice, from proto.VM) {
 	s.leaving = s.leaving || n.Leaving
 	if n.LimitVersion < s.change {
 		return
@@ -66,7 +66,7 @@
 	defer f.mu.RUnlock()
 	var list []proto.TargetNotice
 	for run, s := range f.signals {
-		if n := s.notice(run); f.lists(run, s) && (n.Leaving || n.LimitVersion > 0) {
+		if n := s.notice(run); f.isListed(run, s) && (n.Leaving || n.LimitVersion > 0) {
 			list = append(list, n)
 		}
 	}
@@ -74,7 +74,7 @@
 }
 
 // lists tells whether a run is listed; the fleet is locked.
-func (f *Fleet) lists(run proto.RunName, s *targetSignals) bool {
+func (f *Fleet) isListed(run proto.RunName, s *targetSignals) bool {
 	t := f.byID[s.target]
 	if t == nil {
 		return false
@@ -112,7 +112,7 @@
 		if s.limit != noLimit {
 			c.Limited++
 		}
-		if now.Before(s.restUntil) {
+		if now.Before(s.backoffUntil) {
 			c.Resting++
 		}
 	}
--- a/relay/fleetnotices_test.go
+++ b/relay/fleetnotices_test.go
@@ -15,7 +15,7 @@
 )
 
 // bornAt is a target of a run that started so many seconds after start.
-func bornAt(seconds int) proto.RelayTarget {
+func targetStartedAt(seconds int) proto.RelayTarget {
 	t := testTarget("t", "p", "z")
 	t.StartedAt = start.Add(time.Duration(seconds) * time.Second)
 	return t
@@ -23,36 +23,36 @@
 
 // TestALeaveSaidInAnAnswerHoldsForTheRun guards against a target that leaves and is used again by a change of its entry, or by one that was
 // not there when it said so; and against a new run that is held to what the last one said.
-func TestALeaveSaidInAnAnswerHoldsForTheRun(t *testing.T) {
+func TestLeaveNoticeAppliesToRun(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		change   func(f *Fleet)
 		used     bool
 	}{
 		{"nothing changes", func(*Fleet) {}, false},
-		{"the entry is written again", func(f *Fleet) { f.ApplyChanges(start, []FleetChange{putChange(2, bornAt(1))}) }, false},
+		{"the entry is written again", func(f *Fleet) { f.ApplyChanges(start, []FleetChange{putChange(2, targetStartedAt(1))}) }, false},
 		{"a later answer does not say so", func(f *Fleet) {
-			f.takeSignal(start.Add(time.Minute), &signal{target: bornAt(1), sent: start.Add(time.Minute)})
+			f.recordSignal(start.Add(time.Minute), &signal{target: targetStartedAt(1), sent: start.Add(time.Minute)})
 		}, false},
 		{"the store is restored from a copy", func(f *Fleet) {
-			f.Replace(start, proto.Revision{Era: 1, Version: 1}, []FleetChange{putIn(1, 1, bornAt(1))}, false)
+			f.Replace(start, proto.Revision{Era: 1, Version: 1}, []FleetChange{putIn(1, 1, targetStartedAt(1))}, false)
 		}, false},
 		{"another writer spoils the entry for a while", func(f *Fleet) {
 			f.ApplyChanges(start, []FleetChange{{ID: "t", Version: proto.Revision{Version: 2}, Unusable: true}})
 			f.Sweep(start.Add(time.Minute))
-			f.ApplyChanges(start.Add(time.Minute), []FleetChange{putChange(3, bornAt(1))})
+			f.ApplyChanges(start.Add(time.Minute), []FleetChange{putChange(3, targetStartedAt(1))})
 		}, false},
 		{"the entry goes and comes back", func(f *Fleet) {
 			f.ApplyChanges(start, []FleetChange{{ID: "t", Version: proto.Revision{Version: 2}, Removed: true}})
-			f.ApplyChanges(start, []FleetChange{putChange(3, bornAt(1))})
+			f.ApplyChanges(start, []FleetChange{putChange(3, targetStartedAt(1))})
 		}, false},
-		{"the target starts again", func(f *Fleet) { f.ApplyChanges(start, []FleetChange{putChange(2, bornAt(2))}) }, true},
+		{"the target starts again", func(f *Fleet) { f.ApplyChanges(start, []FleetChange{putChange(2, targetStartedAt(2))}) }, true},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			f := NewFleet(func(string) {})
-			f.ApplyChanges(start, []FleetChange{putChange(1, bornAt(1))})
-			f.takeSignal(start, &signal{Notice: Notice{Leaving: true}, target: bornAt(1), sent: start})
+			f.ApplyChanges(start, []FleetChange{putChange(1, targetStartedAt(1))})
+			f.recordSignal(start, &signal{Notice: Notice{Leaving: true}, target: targetStartedAt(1), sent: start})
 			s.change(f)
 			if used := f.Pick(start.Add(time.Minute), "p", TargetCriteria{}) != nil; used != s.used {
 				t.Errorf("used: %v", used)
@@ -65,10 +65,10 @@
 }
 
 // TestATargetThatLeavesByItsAnswersHasNotCrashed guards against requests that are held to have ended a target which left in order.
-func TestATargetThatLeavesByItsAnswersHasNotCrashed(t *testing.T) {
+func TestLeaveNoticePreventsCrashReport(t *testing.T) {
 	f := NewFleet(func(string) {})
-	f.ApplyChanges(start, []FleetChange{putChange(1, bornAt(1))})
-	f.takeSignal(start, &signal{Notice: Notice{Leaving: true}, target: bornAt(1), sent: start})
+	f.ApplyChanges(start, []FleetChange{putChange(1, targetStartedAt(1))})
+	f.recordSignal(start, &signal{Notice: Notice{Leaving: true}, target: targetStartedAt(1), sent: start})
 	for _, n := range f.ApplyChanges(start, []FleetChange{{ID: "t", Version: proto.Revision{Version: 2}, Removed: true}}) {
 		if n.Crashed() {
 			t.Errorf("counts as crashed: %+v", n)
@@ -77,13 +77,13 @@
 }
 
 // TestDaemonsThatHeardDifferentThingsComeToKnowTheSame has three daemons hear different things and tell each other in any order.
-func TestDaemonsThatHeardDifferentThingsComeToKnowTheSame(t *testing.T) {
+func TestNoticesConverge(t *testing.T) {
 	var fleets []*Fleet
 	heard := []Notice{{Limited: true, Limit: 2}, {Limited: true, Limit: 1}, {Leaving: true}}
 	for _, n := range heard {
 		f := NewFleet(func(string) {})
-		f.ApplyChanges(start, []FleetChange{putChange(1, bornAt(1))})
-		f.takeSignal(start, &signal{Notice: n, target: bornAt(1), sent: start})
+		f.ApplyChanges(start, []FleetChange{putChange(1, targetStartedAt(1))})
+		f.recordSignal(start, &signal{Notice: n, target: targetStartedAt(1), sent: start})
 		fleets = append(fleets, f)
 	}
 	for range 2 {
@@ -102,10 +102,10 @@
 }
 
 // TestANewTargetUnderAnIDIsNotHeldToWhatTheLastOneSaid guards against a target that starts in another pool and does not tell its start.
-func TestANewTargetUnderAnIDIsNotHeldToWhatTheLastOneSaid(t *testing.T) {
+func TestNewTargetIgnoresNoticesOfPreviousTarget(t *testing.T) {
 	f := NewFleet(func(string) {})
 	f.ApplyChanges(start, []FleetChange{putChange(1, testTarget("t", "q", "z"))})
-	f.takeSignal(start, &signal{Notice: Notice{Leaving: true}, target: testTarget("t", "q", "z"), sent: start})
+	f.recordSignal(start, &signal{Notice: Notice{Leaving: true}, target: testTarget("t", "q", "z"), sent: start})
 	f.ApplyChanges(start, []FleetChange{putChange(2, testTarget("t", "p", "z"))})
 	if f.Pick(start, "p", TargetCriteria{}) == nil {
 		t.Error("the target gets no work")
@@ -113,12 +113,12 @@
 }
 
 // asked has a target of the pool "p" turn this daemon away for a time.
-func asked(f *Fleet, id string, rest time.Duration) {
-	f.takeSignal(start, &signal{Notice: Notice{Backoff: rest}, target: testTarget(id, "p", "z"), sent: start})
+func reportBackoff(f *Fleet, id string, rest time.Duration) {
+	f.recordSignal(start, &signal{Notice: Notice{Backoff: rest}, target: testTarget(id, "p", "z"), sent: start})
 }
 
 // TestATargetRestsForAsLongAsItAskedFor guards against requests within a rest, and against a rest that no target can mean or that never ends.
-func TestATargetRestsForAsLongAsItAskedFor(t *testing.T) {
+func TestTargetBackoffPeriod(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		rest     time.Duration
@@ -127,14 +127,14 @@
 		{"three seconds", 3 * time.Second, 3 * time.Second},
 		{"a part of a second", 100 * time.Millisecond, 100 * time.Millisecond},
 		{"none", 0, 0},
-		{"half an hour", 30 * time.Minute, restMost},
+		{"half an hour", 30 * time.Minute, maxBackoff},
 		{"a year", 365 * 24 * time.Hour, 0},
 		{"for ever", 1<<63 - 1, 0},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			f := fleetWith(putChange(1, testTarget("t", "p", "z")))
-			asked(f, "t", s.rest)
+			reportBackoff(f, "t", s.rest)
 			if s.rests > 0 && f.Pick(start.Add(s.rests-time.Nanosecond), "p", TargetCriteria{}) != nil {
 				t.Error("the target gets work while it rests")
 			}
@@ -149,10 +149,10 @@
 }
 
 // TestARestHoldsForTheDaemonThatWasTurnedAway guards against a target that no daemon uses, since the one that places for the pool was turned away.
-func TestARestHoldsForTheDaemonThatWasTurnedAway(t *testing.T) {
+func TestBackoffAppliesToOneDaemon(t *testing.T) {
 	all, _ := newPlacers(clockwork.NewFakeClockAt(start), engineFleet(1), engineFleet(1))
 	owner, other := all["vm-0"], all["vm-1"]
-	owner.fleet.takeSignal(start, &signal{Notice: Notice{Backoff: time.Second}, target: testTarget("e00", "p", "y"), sent: start})
+	owner.fleet.recordSignal(start, &signal{Notice: Notice{Backoff: time.Second}, target: testTarget("e00", "p", "y"), sent: start})
 	if owner.Choose(t.Context(), "p", promptCriteria("part", 0, 100)) != nil {
 		t.Error("the daemon that was turned away sends a request")
 	}
@@ -162,7 +162,7 @@
 }
 
 // TestARequestThatNoTargetTakesInTimeIsRefusedAtOnce guards against stages that are done for a request whose pool rests, or is at its limits.
-func TestARequestThatNoTargetTakesInTimeIsRefusedAtOnce(t *testing.T) {
+func TestRequestIsRefusedIfAllTargetsAreBlocked(t *testing.T) {
 	const exhausted = 4 * time.Second
 	rest, limit := Notice{Backoff: 3 * time.Second}, Notice{Limited: true, Limit: 0.25}
 	scenarios := []struct {
@@ -190,9 +190,9 @@
 				for i, notice := range s.notices {
 					target := testTarget(fmt.Sprint("e", i), "engines", "z")
 					f.server.fleet.ApplyChanges(f.startedAt, []FleetChange{putChange(uint64(i+1), target)})
-					f.server.fleet.takeSignal(f.startedAt, &signal{Notice: notice, target: target, sent: f.startedAt})
+					f.server.fleet.recordSignal(f.startedAt, &signal{Notice: notice, target: target, sent: f.startedAt})
 					if notice.Limit == limit.Limit {
-						f.server.placer.noteExhausted(f.startedAt, exhausted, f.server.fleet.signalsOf(target.RunName()))
+						f.server.placer.recordExhausted(f.startedAt, exhausted, f.server.fleet.signalsOf(target.RunName()))
 					}
 				}
 				fail := f.run(ctx)
@@ -208,7 +208,7 @@
 }
 
 // TestACallIsMadeWhenItsTargetHasRested guards against calls for pieces within a rest of the only target, and against pieces that are never made.
-func TestACallIsMadeWhenItsTargetHasRested(t *testing.T) {
+func TestCallWaitsForBackoff(t *testing.T) {
 	b := NewBatcher(batchSpec)
 	b.SetTargets([]proto.RelayTarget{testTarget("t", "p", "z")})
 	b.setTargetLimits([]targetLimits{{id: "t", limit: noLimit, backoffUntil: start.Add(time.Second)}}, 1)
@@ -225,7 +225,7 @@
 }
 
 // TestACallIsMadeAgainOnlyAtATargetThatTakesIt guards against a second call, beside one that takes long, to a target that leaves, rests or is at its limit.
-func TestACallIsMadeAgainOnlyAtATargetThatTakesIt(t *testing.T) {
+func TestOverdueCallRespectsNotices(t *testing.T) {
 	target := testTarget("t", "p", "z")
 	scenarios := []struct {
 		testName string
@@ -260,23 +260,23 @@
 }
 
 // TestTheLogTellsWhatTargetsSaid guards against refusals whose log does not say which targets would have taken the request, and when.
-func TestTheLogTellsWhatTargetsSaid(t *testing.T) {
+func TestSignalLogEntries(t *testing.T) {
 	f := fleetWith(putChange(1, testTarget("a", "p", "z")), putChange(2, testTarget("b", "p", "z")), putChange(3, testTarget("c", "p", "z")), putChange(4, testTarget("d", "p", "z")))
-	asked(f, "a", 3*time.Second)
-	f.takeSignal(start, &signal{Notice: Notice{Limited: true, Limit: 0.5}, target: testTarget("b", "p", "z"), sent: start})
-	f.takeSignal(start, &signal{Notice: Notice{Leaving: true}, target: testTarget("c", "p", "z"), sent: start})
+	reportBackoff(f, "a", 3*time.Second)
+	f.recordSignal(start, &signal{Notice: Notice{Limited: true, Limit: 0.5}, target: testTarget("b", "p", "z"), sent: start})
+	f.recordSignal(start, &signal{Notice: Notice{Leaving: true}, target: testTarget("c", "p", "z"), sent: start})
 	fourth := testTarget("d", "p", "z")
 	told := proto.TargetNotice{Target: "d", Run: fourth.RunName(), HasLimit: true, Limit: 2, LimitVersion: 1}
 	f.MergeNotices(start.Add(100*time.Millisecond), []proto.TargetNotice{told}, "vm-2")
 	clock := clockwork.NewFakeClockAt(start.Add(400 * time.Millisecond))
 	p := NewPlacer("self", clock, hclog.NewNullLogger(), f, &scriptedPeers{silent: make(chan struct{})})
-	p.noteExhausted(clock.Now(), 700*time.Millisecond, told)
+	p.recordExhausted(clock.Now(), 700*time.Millisecond, told)
 	lines := p.signalLogEntries("p")
 	for i := range lines {
 		lines[i].notice = proto.TargetNotice{}
 	}
-	want := []signalLine{
-		{Target: "a", Rest: "2.6s"},
+	want := []signalLogEntry{
+		{Target: "a", Backoff: "2.6s"},
 		{Target: "b", Limit: 0.5, Age: "400ms", Next: "0s"},
 		{Target: "c", Leaving: true},
 		{Target: "d", Limit: 2, Age: "300ms", From: "vm-2", Next: "700ms"},
--- a/relay/fleetvoid_test.go
+++ b/relay/fleetvoid_test.go
@@ -8,7 +8,7 @@
 
 // TestAVoidEntryIsNotUsedWhoeverReadsIt has a target's entry written anew without the start of its run: a daemon that knew the
 // run drops the target, and one that did not is told, before it reads the entry or after.
-func TestAVoidEntryIsNotUsedWhoeverReadsIt(t *testing.T) {
+func TestInvalidEntryIsNotUsed(t *testing.T) {
 	spoilt := putChange(4, testTarget("a", "p", "z"))
 	other := putChange(2, testTarget("b", "p", "z"))
 	knew := fleetWith(putChange(1, targetRun("a", firstRunStart)), other)
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestAVoidEntryThatIsGoneIsForgotten(t *testing.T) {
+func TestRemovedInvalidEntryIsForgotten(t *testing.T) {
 	f := fleetWith(putChange(2, testTarget("b", "p", "z")))
 	f.MergeInvalid(start, []proto.InvalidEntry{{ID: "a", Version: rev(4)}, {ID: "c", Version: rev(30)}})
 	f.Replace(start, rev(9), []FleetChange{putChange(2, testTarget("b", "p", "z"))}, false)
--- a/relay/fleetzones.go
+++ b/relay/fleetzones.go
@@ -10,7 +10,7 @@
 
 // rewriteWait is how long an evacuation that a restored store lacks stays in force. The operator writes again what the store lost, as
 // it does all it has asked for; a zone is out of service for this long if the evacuation was taken back in the same moments.
-const rewriteWait = 10 * time.Second
+const evacuationRewriteWait = 10 * time.Second
 
 // isEvacuated tells whether a zone is to get nothing more; the fleet is locked.
 func (f *Fleet) isEvacuated(zone string) bool {
@@ -25,15 +25,15 @@
 	var changed []proto.Evacuation
 	pools := map[string]bool{}
 	for _, e := range list {
-		if known, ok := f.evacuations[e.Zone]; ok && !replaces(e, known) {
+		if known, ok := f.evacuations[e.Zone]; ok && !supersedes(e, known) {
 			continue
 		}
 		before := f.isEvacuated(e.Zone)
-		f.takeEvacuation(now, e)
-		f.evacuatedAt = proto.Latest(f.evacuatedAt, e.Version)
+		f.recordEvacuation(now, e)
+		f.evacuationsVersion = proto.Latest(f.evacuationsVersion, e.Version)
 		if before == e.Ended {
 			changed = append(changed, e)
-			f.markZone(now, e, pools)
+			f.markZoneTargets(now, e, pools)
 		}
 	}
 	f.mu.Unlock()
@@ -44,31 +44,31 @@
 }
 
 // replaces tells whether news of a zone holds against what is known. At the same revision its end does, since that is found out last.
-func replaces(e, known proto.Evacuation) bool {
+func supersedes(e, known proto.Evacuation) bool {
 	return e.Version.After(known.Version) || e.Version == known.Version && e.Ended && !known.Ended
 }
 
 // takeEvacuation remembers news of a zone.
-func (f *Fleet) takeEvacuation(now time.Time, e proto.Evacuation) {
+func (f *Fleet) recordEvacuation(now time.Time, e proto.Evacuation) {
 	delete(f.heldSince, e.Zone)
 	switch {
 	case e.LostInRestore:
 		f.heldSince[e.Zone] = now
 	case !e.Ended:
-		f.evacuationRows[e.Zone] = e.Version.Version
+		f.evacuationRowVersions[e.Zone] = e.Version.Version
 	}
 	f.evacuations[e.Zone] = e
 }
 
 // markZone opens or closes the targets of a zone, and notes their pools. Those that come back count as cold: they may have
 // lost what they kept, and would draw all work at once since they have none.
-func (f *Fleet) markZone(now time.Time, e proto.Evacuation, pools map[string]bool) {
+func (f *Fleet) markZoneTargets(now time.Time, e proto.Evacuation, pools map[string]bool) {
 	for _, t := range f.byID {
 		t.pool.mu.Lock()
 		if t.Spec.Zone == e.Zone {
 			t.evacuated = !e.Ended
 			if e.Ended {
-				t.warmsIn(now, t.pool.cold.WarmUpTime)
+				t.setWarmUp(now, t.pool.coldSpec.WarmUpTime)
 			}
 			pools[t.Spec.Pool] = true
 		}
@@ -88,7 +88,7 @@
 	for _, e := range list {
 		listed[e.Zone] = true
 		known := f.evacuations[e.Zone]
-		if known.Ended && asOf.Era > known.Version.Era && e.Version.Version == f.evacuationRows[e.Zone] {
+		if known.Ended && asOf.Era > known.Version.Era && e.Version.Version == f.evacuationRowVersions[e.Zone] {
 			e = proto.Evacuation{Zone: e.Zone, Version: asOf, Ended: true}
 		}
 		all = append(all, e)
@@ -111,7 +111,7 @@
 	defer f.mu.RUnlock()
 	var ends []proto.Evacuation
 	for zone, since := range f.heldSince {
-		if now.Sub(since) >= rewriteWait {
+		if now.Sub(since) >= evacuationRewriteWait {
 			ends = append(ends, proto.Evacuation{Zone: zone, Version: f.evacuations[zone].Version, Ended: true})
 		}
 	}
@@ -129,7 +129,7 @@
 func (f *Fleet) EvacuationsVersion() proto.Revision {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	return f.evacuatedAt
+	return f.evacuationsVersion
 }
 
 // EvacuatedZones returns the zones that get no new work, in order of name.
--- a/relay/fleetzones_test.go
+++ b/relay/fleetzones_test.go
@@ -18,7 +18,7 @@
 
 // TestAnEvacuatedZoneGetsNothing asks for a target in each way that work takes, with all targets of the other zone failing,
 // doubted or tried before: a bad target is better than none, but not one that the operator has closed.
-func TestAnEvacuatedZoneGetsNothing(t *testing.T) {
+func TestEvacuatedZoneIsNotPicked(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		pick     func(f *Fleet) string
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestAPoolWhoseZonesAreAllEvacuatedHasNoTarget(t *testing.T) {
+func TestPoolWithAllZonesEvacuated(t *testing.T) {
 	f := fleetWith(putChange(1, testTarget("a", "p", "y")))
 	f.ApplyEvacuations(start, evacuation(2, false))
 	if got := f.Pick(start, "p", TargetCriteria{}); got != nil || f.PickByID(start, "p", "a", TargetCriteria{}) != nil || len(f.Usable(start, "p")) > 0 {
@@ -61,7 +61,7 @@
 }
 
 // TestTheNewestWordOnAZoneHolds has news of an evacuation arrive in all orders, whole and in parts.
-func TestTheNewestWordOnAZoneHolds(t *testing.T) {
+func TestNewestEvacuationWins(t *testing.T) {
 	news := []proto.Evacuation{{Zone: "y", Version: rev(10)}, {Zone: "y", Version: rev(20), Ended: true}, {Zone: "y", Version: rev(30)}}
 	for _, order := range [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}} {
 		f := fleetWith(putChange(1, testTarget("a", "p", "y")), putChange(2, testTarget("b", "p", "z")))
@@ -75,7 +75,7 @@
 }
 
 // TestTargetsThatComeDuringAnEvacuationAreClosed lists a new target in the zone, and moves one there.
-func TestTargetsThatComeDuringAnEvacuationAreClosed(t *testing.T) {
+func TestTargetsAddedDuringEvacuationAreClosed(t *testing.T) {
 	f := fleetWith(putChange(1, testTarget("a", "p", "z")), putChange(2, testTarget("b", "p", "z")))
 	f.ApplyEvacuations(start, evacuation(5, false))
 	f.ApplyChanges(start, []FleetChange{putChange(6, testTarget("new", "p", "y")), putChange(7, testTarget("a", "p", "y"))})
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestAWholeListTellsWhichEvacuationsAreOver(t *testing.T) {
+func TestEvacuationsFromList(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		known    []proto.Evacuation
@@ -114,7 +114,7 @@
 }
 
 // TestWorkInProgressInAnEvacuatedZoneGoesOn ends an attempt and a call there as usual.
-func TestWorkInProgressInAnEvacuatedZoneGoesOn(t *testing.T) {
+func TestEvacuationKeepsWorkInProgress(t *testing.T) {
 	f := fleetWith(putChange(1, testTarget("a", "p", "y")))
 	attempt := f.Pick(start, "p", TargetCriteria{})
 	b := NewBatcher(proto.BatchSpec{Slots: 1, MaxPieces: 2, CallCost: time.Millisecond, PieceCost: time.Millisecond, ResultLifetime: time.Second})
--- a/relay/limits.go
+++ b/relay/limits.go
@@ -16,16 +16,16 @@
 	// noLimit stands for the limit of a target that names none.
 	noLimit = -1.0
 	// limitLeast is the least rate at which a target with a limit gets requests, a second. Only an answer tells that the limit is over.
-	limitLeast = 0.2
+	minLimitRate = 0.2
 	// limitBurst is for how long requests that were not sent may be sent later, at one request the least.
 	limitBurst = 250 * time.Millisecond
 	// liveShareOver is how many times its part of the daemons a group that does not hear the others may use of a limit. The lost are most
 	// often dead; the groups of a fleet that is cut in two come to this much of the limit together.
-	liveShareOver = 1.25
+	liveShareFactor = 1.25
 	// permitAgain is when to ask again where the daemon that hands out permits did not answer: by then another one may do it.
-	permitAgain = 100 * time.Millisecond
+	permitRetryDelay = 100 * time.Millisecond
 	// limitTries is how often a target is chosen anew when other requests took what its limit left.
-	limitTries = 3
+	maxLimitPicks = 3
 )
 
 // allowance is a token bucket for the requests that a target's limit allows, which is empty at first and whose rate may change.
@@ -34,7 +34,7 @@
 }
 
 // limitRate is how many requests a second go to a target that names a limit, from daemons that have a part of it.
-func limitRate(limit, part float64) float64 { return max(limitLeast, limit) * part }
+func limitRate(limit, part float64) float64 { return max(minLimitRate, limit) * part }
 
 // refill sets the rate, a second, from a moment on.
 func (a *tokenBucket) refill(now time.Time, perSecond float64) {
@@ -68,30 +68,30 @@
 // others ask it.
 type permits struct {
 	mu              sync.Mutex
-	runs            map[proto.RunName]*permit
+	runs            map[proto.RunName]*permitState
 	granted, denied atomic.Int64
 }
 
 // permit is what is known of the permits for one target.
-type permit struct {
+type permitState struct {
 	tokenBucket
 	// exhaustedUntil is until when another daemon has none to hand out.
 	exhaustedUntil time.Time
-	asked          time.Time
+	lastAsked      time.Time
 }
 
 func newPermits() permits {
-	return permits{runs: map[proto.RunName]*permit{}}
+	return permits{runs: map[proto.RunName]*permitState{}}
 }
 
 // of returns the permits for a target, and whether they are new; the lock is held.
-func (p *permits) of(now time.Time, run proto.RunName) (known *permit, isNew bool) {
+func (p *permits) lookup(now time.Time, run proto.RunName) (known *permitState, isNew bool) {
 	known, ok := p.runs[run]
 	if !ok {
-		known = &permit{}
+		known = &permitState{}
 		p.runs[run] = known
 	}
-	known.asked = now
+	known.lastAsked = now
 	return known, !ok
 }
 
@@ -100,7 +100,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for run, known := range p.runs {
-		if now.Sub(known.asked) > noticesKept {
+		if now.Sub(known.lastAsked) > noticeRetention {
 			delete(p.runs, run)
 		}
 	}
@@ -111,23 +111,23 @@
 	if s.Counted <= 0 || s.Live <= 0 {
 		return 1
 	}
-	return min(1, liveShareOver*float64(s.Live)/float64(s.Counted))
+	return min(1, liveShareFactor*float64(s.Live)/float64(s.Counted))
 }
 
 // handsOut tells whether this daemon hands out the permits for the targets of a pool, or else who does.
-func (p *Placer) handsOut(pool string) (owner proto.VM, own bool) {
+func (p *Placer) permitOwner(pool string) (owner proto.VM, own bool) {
 	owner = p.peers.Owner(placementTaskPrefix+pool, nil)
 	return owner, owner == "" || owner == p.self
 }
 
 // mayBeAsked returns the targets of a pool that name a limit and may have something left of it, as far as is known here.
-func (p *Placer) mayBeAsked(now time.Time, pool string) map[string]bool {
+func (p *Placer) usableLimited(now time.Time, pool string) map[string]bool {
 	limited := p.fleet.limited(pool)
 	if len(limited) == 0 {
 		return nil
 	}
 	may := map[string]bool{}
-	for i, in := range p.permitsIn(now, pool, limited) {
+	for i, in := range p.permitWaits(now, pool, limited) {
 		may[limited[i].Target] = in == 0
 	}
 	return may
@@ -135,15 +135,15 @@
 
 // permitsIn is how long it takes until there may be a permit for each of some targets of a pool, as far as is known here; 0 if there may be
 // one now.
-func (p *Placer) permitsIn(now time.Time, pool string, targets []proto.TargetNotice) []time.Duration {
-	_, own := p.handsOut(pool)
+func (p *Placer) permitWaits(now time.Time, pool string, targets []proto.TargetNotice) []time.Duration {
+	_, own := p.permitOwner(pool)
 	share := p.peers.Share()
 	liveShare := share.liveShare()
 	p.permits.mu.Lock()
 	defer p.permits.mu.Unlock()
 	in := make([]time.Duration, len(targets))
 	for i := range targets {
-		known, _ := p.permits.of(now, targets[i].Run)
+		known, _ := p.permits.lookup(now, targets[i].Run)
 		in[i] = max(0, known.exhaustedUntil.Sub(now))
 		if own {
 			in[i] = known.wait(now, limitRate(targets[i].Limit, liveShare))
@@ -154,16 +154,16 @@
 
 // grant hands out a permit, if this daemon does so and there is one.
 func (p *Placer) grant(now time.Time, pool string, n *proto.TargetNotice, to proto.VM) proto.PermitAnswer {
-	owner, own := p.handsOut(pool)
+	owner, own := p.permitOwner(pool)
 	if !own {
 		p.log.Info("permits are handed out elsewhere", "pool", pool, "target", n.Target, "asker", to, "by", owner)
-		return proto.PermitAnswer{RetryAfter: permitAgain}
+		return proto.PermitAnswer{RetryAfter: permitRetryDelay}
 	}
 	share := p.peers.Share()
 	perSecond := limitRate(n.Limit, share.liveShare())
 	p.permits.mu.Lock()
 	defer p.permits.mu.Unlock()
-	known, isNew := p.permits.of(now, n.Run)
+	known, isNew := p.permits.lookup(now, n.Run)
 	if isNew {
 		p.log.Info("permits for a target are handed out here", "pool", pool, "run", n.Run, "limit", n.Limit, "perSecond", perSecond, "live", share.Live, "counted", share.Counted)
 	}
@@ -180,7 +180,7 @@
 	now := p.clock.Now()
 	if !ask.Notice.Valid() {
 		p.log.Warn("a limit in a message cannot be kept", "target", ask.Notice.Target, "limit", ask.Notice.Limit, "from", from)
-		return proto.PermitAnswer{RetryAfter: permitAgain}
+		return proto.PermitAnswer{RetryAfter: permitRetryDelay}
 	}
 	p.fleet.MergeNotices(now, []proto.TargetNotice{ask.Notice}, from)
 	if known := p.fleet.signalsOf(ask.Notice.Run); known.HasLimit {
@@ -196,38 +196,38 @@
 		return true
 	}
 	now := p.clock.Now()
-	owner, own := p.handsOut(placed.pool)
+	owner, own := p.permitOwner(placed.pool)
 	var answer proto.PermitAnswer
 	if own {
 		answer = p.grant(now, placed.pool, &n, p.self)
 	} else {
-		answer = p.askPermit(ctx, owner, placed.pool, &n)
+		answer = p.requestPermit(ctx, owner, placed.pool, &n)
 	}
 	placed.permitted = answer.Granted
 	if !answer.Granted && !own {
-		p.noteExhausted(now, answer.RetryAfter, n)
+		p.recordExhausted(now, answer.RetryAfter, n)
 	}
 	return answer.Granted
 }
 
-func (p *Placer) askPermit(ctx context.Context, owner proto.VM, pool string, n *proto.TargetNotice) proto.PermitAnswer {
+func (p *Placer) requestPermit(ctx context.Context, owner proto.VM, pool string, n *proto.TargetNotice) proto.PermitAnswer {
 	ctx, cancel := context.WithTimeout(ctx, placementTimeout)
 	defer cancel()
 	m, err := p.peers.Call(ctx, owner, proto.PermitAsk{Pool: pool, Notice: *n})
 	answer, ok := m.(proto.PermitAnswer)
 	if err != nil || !ok {
 		p.log.Info("no word on a permit", "pool", pool, "target", n.Target, "limit", n.Limit, "owner", owner, "error", err)
-		return proto.PermitAnswer{RetryAfter: permitAgain}
+		return proto.PermitAnswer{RetryAfter: permitRetryDelay}
 	}
 	return answer
 }
 
 // noteExhausted takes in that the daemon that hands out permits for targets has none for a while.
-func (p *Placer) noteExhausted(now time.Time, wait time.Duration, targets ...proto.TargetNotice) {
+func (p *Placer) recordExhausted(now time.Time, wait time.Duration, targets ...proto.TargetNotice) {
 	p.permits.mu.Lock()
 	defer p.permits.mu.Unlock()
 	for i := range targets {
-		known, _ := p.permits.of(now, targets[i].Run)
+		known, _ := p.permits.lookup(now, targets[i].Run)
 		known.exhaustedUntil = now.Add(wait)
 	}
 }
@@ -238,16 +238,16 @@
 	if len(targets) == 0 {
 		return 0, false
 	}
-	return slices.Min(p.permitsIn(p.clock.Now(), pool, targets)), true
+	return slices.Min(p.permitWaits(p.clock.Now(), pool, targets)), true
 }
 
 // signalLines returns what the first targets of a pool signal, and when those with a limit may get a request.
-func (p *Placer) signalLogEntries(pool string) []signalLine {
+func (p *Placer) signalLogEntries(pool string) []signalLogEntry {
 	now := p.clock.Now()
-	lines := p.fleet.signalLines(now, pool)
+	lines := p.fleet.signalLogEntries(now, pool)
 	for i := range lines {
 		if line := &lines[i]; line.notice.HasLimit {
-			line.Next = formatDuration(p.permitsIn(now, pool, []proto.TargetNotice{line.notice})[0])
+			line.Next = formatDuration(p.permitWaits(now, pool, []proto.TargetNotice{line.notice})[0])
 		}
 	}
 	return lines
@@ -257,10 +257,10 @@
 // get one now; 0 if one may, as far as is known here.
 func (p *Placer) signalWait(pool string, homes proto.AllowedRegions) (in time.Duration, reason string) {
 	now := p.clock.Now()
-	for i, t := range p.fleet.allHeld(now, pool, homes) {
+	for i, t := range p.fleet.allBlocked(now, pool, homes) {
 		left, why := t.left, reasonBackoff
 		if t.notice.HasLimit {
-			if wait := p.permitsIn(now, pool, []proto.TargetNotice{t.notice})[0]; wait > left {
+			if wait := p.permitWaits(now, pool, []proto.TargetNotice{t.notice})[0]; wait > left {
 				left, why = wait, reasonRateLimited
 			}
 		}
--- a/relay/limits_bench_test.go
+++ b/relay/limits_bench_test.go
@@ -8,28 +8,28 @@
 
 // BenchmarkLimitWays compares ways to divide a limit between daemons: part of what the target takes that is used, the most that
 // arrives within a span against what may, and messages a second.
-func BenchmarkLimitWays(b *testing.B) {
+func BenchmarkLimitSharing(b *testing.B) {
 	const length = 40 * time.Second
 	ways := []struct {
 		testName string
 		// apart daemons do not hear each other, so that each keeps to a part of its own; unasked ones do not answer each other.
-		apart, unasked bool
+		isolated, silent bool
 	}{{"handed out by one daemon", false, false}, {"equal parts", true, false}, {"one daemon sends alone", false, true}}
 	for _, way := range ways {
 		for _, daemons := range []int{6, 30, 95} {
 			for _, limit := range []float64{0.3, 1, 5, 50} {
 				b.Run(fmt.Sprintf("%s/daemons=%d/limit=%g", way.testName, daemons, limit), func(b *testing.B) {
 					for range b.N {
-						w := newLimitFleet(1, daemons, limit)
-						w.runs(limitTold, 3*limit+3, daemons, false)
-						w.unasked = way.unasked
-						if way.apart {
-							w.partsAll()
+						w := newLimitSimulation(1, daemons, limit)
+						w.run(limitLearnTime, 3*limit+3, daemons, false)
+						w.silent = way.silent
+						if way.isolated {
+							w.isolateAll()
 						}
 						from, calls, before := w.clock.Now(), w.calls, len(w.arrivals)
-						w.runs(length, 3*limit+3, daemons, false)
+						w.run(length, 3*limit+3, daemons, false)
 						b.ReportMetric(float64(len(w.arrivals)-before)/(limit*length.Seconds()), "used")
-						b.ReportMetric(float64(w.most(from))/float64(limitMost(limit)), "ofBound")
+						b.ReportMetric(float64(w.maxArrivals(from))/float64(maxAllowedArrivals(limit)), "ofBound")
 						b.ReportMetric(float64(w.calls-calls)/length.Seconds(), "asks/s")
 					}
 				})
@@ -39,8 +39,8 @@
 }
 
 // partsAll has no daemon reach another.
-func (w *limitFleet) partsAll() {
+func (w *limitSimulation) isolateAll() {
 	for i, d := range w.daemons {
-		d.group, d.believed = i, i
+		d.group, d.assumedGroup = i, i
 	}
 }
--- a/relay/limits_test.go
+++ b/relay/limits_test.go
@@ -19,19 +19,19 @@
 	limitTick   = 10 * time.Millisecond
 	limitAnswer = 20 * time.Millisecond
 	// limitHop is how long news takes to other daemons, and limitLag how long a daemon takes to find out who is cut off.
-	limitHop = 100 * time.Millisecond
-	limitLag = time.Second
+	limitNoticeDelay  = 100 * time.Millisecond
+	limitDetectionLag = time.Second
 	// limitSpan, limitOver and limitSlack are what may arrive at a target beyond its limit, limitTold after it first named that.
-	limitSpan  = 4 * time.Second
-	limitOver  = 1.5
-	limitSlack = 5
-	limitTold  = 3 * time.Second
+	limitSpan      = 4 * time.Second
+	limitFactor    = 1.5
+	limitSlack     = 5
+	limitLearnTime = 3 * time.Second
 	// limitUse is the part of what a target takes that a calm fleet uses at least.
-	limitUse = 0.8
+	minLimitUse = 0.8
 )
 
 // limitFleet is a deployment of daemons before one target that names a limit, under a clock of its own.
-type limitFleet struct {
+type limitSimulation struct {
 	clock   *clockwork.FakeClock
 	random  *rand.Rand
 	daemons []*limitDaemon
@@ -40,8 +40,8 @@
 	arrivals []time.Time
 	due      []limitEvent
 	// calls counts what daemons ask each other; unasked ones do not answer.
-	calls   int
-	unasked bool
+	calls  int
+	silent bool
 }
 
 // limitEvent is an answer or a message on its way.
@@ -52,20 +52,20 @@
 
 // limitDaemon is one daemon; it reaches the others of its group, and believes to reach those of the group of some time ago.
 type limitDaemon struct {
-	world  *limitFleet
+	sim    *limitSimulation
 	vm     proto.VM
 	placer *Placer
 	fleet  *Fleet
 	group  int
 	// believed is the group that the daemon goes by.
-	believed int
+	assumedGroup int
 }
 
-func newLimitFleet(seed uint64, daemons int, limit float64) *limitFleet {
-	w := &limitFleet{clock: clockwork.NewFakeClockAt(start), random: rand.New(rand.NewPCG(seed, 11)), limit: limit}
+func newLimitSimulation(seed uint64, daemons int, limit float64) *limitSimulation {
+	w := &limitSimulation{clock: clockwork.NewFakeClockAt(start), random: rand.New(rand.NewPCG(seed, 11)), limit: limit}
 	for i := range daemons {
-		d := &limitDaemon{world: w, vm: proto.VM(fmt.Sprint("vm-", i))}
-		d.fleet = NewFleet(func(string) {}, WithNoticeHandler(d.tell))
+		d := &limitDaemon{sim: w, vm: proto.VM(fmt.Sprint("vm-", i))}
+		d.fleet = NewFleet(func(string) {}, WithNoticeHandler(d.sendNotices))
 		d.fleet.ApplyChanges(start, []FleetChange{putChange(1, testTarget("t", "p", "z"))})
 		d.placer = NewPlacer(d.vm, w.clock, hclog.NewNullLogger(), d.fleet, d)
 		w.daemons = append(w.daemons, d)
@@ -73,15 +73,15 @@
 	return w
 }
 
-func (w *limitFleet) after(wait time.Duration, do func()) {
+func (w *limitSimulation) schedule(wait time.Duration, do func()) {
 	w.due = append(w.due, limitEvent{w.clock.Now().Add(wait), do})
 }
 
 // tell passes news on to the daemons of the group.
-func (d *limitDaemon) tell(news []proto.TargetNotice) {
-	for _, other := range d.world.daemons {
+func (d *limitDaemon) sendNotices(news []proto.TargetNotice) {
+	for _, other := range d.sim.daemons {
 		if other != d && other.group == d.group {
-			d.world.after(limitHop, func() { other.fleet.MergeNotices(d.world.clock.Now(), news, d.vm) })
+			d.sim.schedule(limitNoticeDelay, func() { other.fleet.MergeNotices(d.sim.clock.Now(), news, d.vm) })
 		}
 	}
 }
@@ -89,8 +89,8 @@
 func (d *limitDaemon) Owner(task string, _ map[proto.VM]bool) proto.VM {
 	var owner proto.VM
 	var best uint64
-	for _, other := range d.world.daemons {
-		if rank := state.RendezvousScore(state.Hash(task), state.Hash(string(other.vm))); other.believed == d.believed && (owner == "" || rank > best) {
+	for _, other := range d.sim.daemons {
+		if rank := state.RendezvousScore(state.Hash(task), state.Hash(string(other.vm))); other.assumedGroup == d.assumedGroup && (owner == "" || rank > best) {
 			owner, best = other.vm, rank
 		}
 	}
@@ -101,37 +101,37 @@
 func (d *limitDaemon) IsSoleOwner(string, time.Duration) bool { return true }
 func (d *limitDaemon) Send(to proto.VM, m proto.Message) {
 	if note, ok := m.(proto.PlaceNote); ok && d.reaches(to) {
-		d.world.daemon(to).placer.HandlePlaceNote(note)
+		d.sim.daemon(to).placer.HandlePlaceNote(note)
 	}
 }
 
 func (d *limitDaemon) Share() Share {
 	live := 0
-	for _, other := range d.world.daemons {
-		if other.believed == d.believed {
+	for _, other := range d.sim.daemons {
+		if other.assumedGroup == d.assumedGroup {
 			live++
 		}
 	}
-	return Share{Counted: len(d.world.daemons), Live: live}
+	return Share{Counted: len(d.sim.daemons), Live: live}
 }
 
 func (d *limitDaemon) Call(_ context.Context, to proto.VM, m proto.Message) (proto.Message, error) {
-	d.world.calls++
-	if !d.reaches(to) || d.world.unasked {
+	d.sim.calls++
+	if !d.reaches(to) || d.sim.silent {
 		return nil, fmt.Errorf("cut off")
 	}
 	switch ask := m.(type) {
 	case proto.PermitAsk:
-		return d.world.daemon(to).placer.HandlePermitAsk(d.vm, ask), nil
+		return d.sim.daemon(to).placer.HandlePermitAsk(d.vm, ask), nil
 	case proto.PlaceAsk:
-		return d.world.daemon(to).placer.HandlePlaceAsk(ask), nil
+		return d.sim.daemon(to).placer.HandlePlaceAsk(ask), nil
 	}
 	return nil, fmt.Errorf("not known")
 }
 
-func (d *limitDaemon) reaches(vm proto.VM) bool { return d.world.daemon(vm).group == d.group }
+func (d *limitDaemon) reaches(vm proto.VM) bool { return d.sim.daemon(vm).group == d.group }
 
-func (w *limitFleet) daemon(vm proto.VM) *limitDaemon {
+func (w *limitSimulation) daemon(vm proto.VM) *limitDaemon {
 	for _, d := range w.daemons {
 		if d.vm == vm {
 			return d
@@ -141,7 +141,7 @@
 }
 
 // asks has a daemon send a request, if it finds a target.
-func (w *limitFleet) asks(d *limitDaemon, engine bool) {
+func (w *limitSimulation) send(d *limitDaemon, engine bool) {
 	placed := d.placer.Choose(context.Background(), "p", TargetCriteria{Engine: engine, Route: "r", OwnTokens: 100})
 	if placed == nil {
 		return
@@ -149,24 +149,24 @@
 	sent := w.clock.Now()
 	w.arrivals = append(w.arrivals, sent)
 	notice := Notice{Limit: max(0, w.limit), Limited: w.limit >= 0}
-	w.after(limitAnswer, func() {
-		d.fleet.takeSignal(w.clock.Now(), &signal{Notice: notice, target: placed.Spec, sent: sent})
+	w.schedule(limitAnswer, func() {
+		d.fleet.recordSignal(w.clock.Now(), &signal{Notice: notice, target: placed.Spec, sent: sent})
 		placed.Finish(VerdictSuccess, Load{})
 	})
 }
 
 // runs plays a time with so many requests a second; spread is the number of daemons that get them.
-func (w *limitFleet) runs(length time.Duration, perSecond float64, spread int, engine bool) {
+func (w *limitSimulation) run(length time.Duration, perSecond float64, spread int, engine bool) {
 	credit := 0.0
 	for end := w.clock.Now().Add(length); w.clock.Now().Before(end); w.clock.Advance(limitTick) {
-		w.events()
+		w.deliverDue()
 		for credit += perSecond * limitTick.Seconds(); credit >= 1; credit-- {
-			w.asks(w.daemons[w.random.IntN(spread)], engine)
+			w.send(w.daemons[w.random.IntN(spread)], engine)
 		}
 	}
 }
 
-func (w *limitFleet) events() {
+func (w *limitSimulation) deliverDue() {
 	now := w.clock.Now()
 	var later []limitEvent
 	due := w.due
@@ -182,30 +182,32 @@
 }
 
 // splits puts each daemon into one of so many groups, which do not reach each other from now on and find that out later.
-func (w *limitFleet) splits(groups int) {
+func (w *limitSimulation) split(groups int) {
 	for _, d := range w.daemons {
 		d.group = w.random.IntN(groups)
 		group := d.group
-		w.after(time.Duration(w.random.Int64N(int64(limitLag))), func() { d.believed = group })
+		w.schedule(time.Duration(w.random.Int64N(int64(limitDetectionLag))), func() { d.assumedGroup = group })
 	}
 }
 
 // most is the largest number of arrivals within a span, from a moment on.
-func (w *limitFleet) most(from time.Time) int {
-	most, first := 0, 0
+func (w *limitSimulation) maxArrivals(from time.Time) int {
+	maxArrivals, first := 0, 0
 	for last, at := range w.arrivals {
 		for w.arrivals[first].Before(from) && first < last || at.Sub(w.arrivals[first]) > limitSpan {
 			first++
 		}
-		most = max(most, last-first+1)
+		maxArrivals = max(maxArrivals, last-first+1)
 	}
-	return most
+	return maxArrivals
 }
 
-func limitMost(limit float64) int { return int(limitOver*limitSpan.Seconds()*limit + limitSlack) }
+func maxAllowedArrivals(limit float64) int {
+	return int(limitFactor*limitSpan.Seconds()*limit + limitSlack)
+}
 
 // TestALimitIsKeptAndUsedByACalmFleet guards against a limit that each daemon keeps for itself, or that is divided until nobody is served.
-func TestALimitIsKeptAndUsedByACalmFleet(t *testing.T) {
+func TestLimitIsRespectedAndUsed(t *testing.T) {
 	const length = 40 * time.Second
 	for _, daemons := range []int{6, 30, 95} {
 		for _, limit := range []float64{0.3, 1, 5, 50} {
@@ -216,11 +218,11 @@
 			}{{"even, engines", daemons, true}, {"even, plain", daemons, false}, {"all at one daemon", 1, false}} {
 				t.Run(fmt.Sprintf("%d daemons, limit %g, %s", daemons, limit, load.testName), func(t *testing.T) {
 					t.Parallel()
-					w := newLimitFleet(1, daemons, limit)
-					w.runs(limitTold, 3*limit+3, load.spread, load.engine)
+					w := newLimitSimulation(1, daemons, limit)
+					w.run(limitLearnTime, 3*limit+3, load.spread, load.engine)
 					from := w.clock.Now()
-					w.runs(length, 3*limit+3, load.spread, load.engine)
-					if got, may := w.most(from), limitMost(limit); got > may {
+					w.run(length, 3*limit+3, load.spread, load.engine)
+					if got, may := w.maxArrivals(from), maxAllowedArrivals(limit); got > may {
 						t.Errorf("%d requests arrived within %s, %d may", got, limitSpan, may)
 					}
 					used := 0
@@ -229,7 +231,7 @@
 							used++
 						}
 					}
-					if takes := limit * length.Seconds(); float64(used) < limitUse*takes {
+					if takes := limit * length.Seconds(); float64(used) < minLimitUse*takes {
 						t.Errorf("%d requests arrived, the target takes %.0f", used, takes)
 					}
 				})
@@ -239,33 +241,33 @@
 }
 
 // TestALimitIsKeptByAFleetThatIsSplit guards against groups of daemons that each use a whole limit while they do not hear each other.
-func TestALimitIsKeptByAFleetThatIsSplit(t *testing.T) {
+func TestLimitIsRespectedByPartitionedFleet(t *testing.T) {
 	for seed := range uint64(60) {
 		random := rand.New(rand.NewPCG(seed, 2))
 		daemons, limit := []int{6, 30, 95}[random.IntN(3)], []float64{0.3, 1, 5, 50}[random.IntN(4)]
-		w := newLimitFleet(seed, daemons, limit)
+		w := newLimitSimulation(seed, daemons, limit)
 		engine := random.IntN(2) == 0
-		w.runs(limitTold, 2*limit+3, daemons, engine)
+		w.run(limitLearnTime, 2*limit+3, daemons, engine)
 		from := w.clock.Now()
 		for range 8 {
-			w.splits(1 + random.IntN(3))
-			w.runs(time.Duration(1+random.IntN(8))*time.Second, 2*limit+3, daemons, engine)
+			w.split(1 + random.IntN(3))
+			w.run(time.Duration(1+random.IntN(8))*time.Second, 2*limit+3, daemons, engine)
 		}
-		if got, may := w.most(from), limitMost(limit); got > may {
+		if got, may := w.maxArrivals(from), maxAllowedArrivals(limit); got > may {
 			t.Errorf("seed %d: %d daemons: %d requests arrived within %s at a target with a limit of %g, %d may", seed, daemons, got, limitSpan, limit, may)
 		}
 	}
 }
 
 // TestALimitEndsWithTheAnswersThatNameIt guards against a target that is held to a limit which it names no more.
-func TestALimitEndsWithTheAnswersThatNameIt(t *testing.T) {
+func TestLimitIsLiftedByResponses(t *testing.T) {
 	for _, limit := range []float64{0, 0.01, 1} {
 		t.Run(fmt.Sprintf("limit %g", limit), func(t *testing.T) {
-			w := newLimitFleet(1, 6, limit)
-			w.runs(10*time.Second, 20, 6, false)
+			w := newLimitSimulation(1, 6, limit)
+			w.run(10*time.Second, 20, 6, false)
 			limited := len(w.arrivals)
 			w.limit = noLimit
-			w.runs(10*time.Second, 20, 6, false)
+			w.run(10*time.Second, 20, 6, false)
 			if after := len(w.arrivals) - limited; after < 60 {
 				t.Errorf("%d of 200 requests arrived within ten seconds of the end of a limit; %d had before", after, limited)
 			}
@@ -274,7 +276,7 @@
 }
 
 // TestLimitsThatSayNothingDoNoHarm guards against values that would stop all work for a target, or let it through in a burst.
-func TestLimitsThatSayNothingDoNoHarm(t *testing.T) {
+func TestExtremeLimits(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		notice   Notice
@@ -287,13 +289,13 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			w := newLimitFleet(1, 2, noLimit)
+			w := newLimitSimulation(1, 2, noLimit)
 			f := w.daemons[0].fleet
-			f.takeSignal(start, &signal{Notice: s.notice, target: testTarget("t", "p", "z"), sent: start, partial: s.partial})
+			f.recordSignal(start, &signal{Notice: s.notice, target: testTarget("t", "p", "z"), sent: start, partial: s.partial})
 			if got := len(f.limited("p")) > 0; got != s.limited {
 				t.Errorf("limited: %v", got)
 			}
-			w.runs(5*time.Second, 10, 2, false)
+			w.run(5*time.Second, 10, 2, false)
 			if len(w.arrivals) < 10 {
 				t.Errorf("%d of 50 requests arrived", len(w.arrivals))
 			}
@@ -302,25 +304,25 @@
 }
 
 // TestALimitedTargetOfAZoneThatComesBackIsUsed guards against a target that is never used again since nothing counts what its limit allows.
-func TestALimitedTargetOfAZoneThatComesBackIsUsed(t *testing.T) {
-	w := newLimitFleet(1, 1, 1)
+func TestLimitedTargetIsUsedAfterEvacuation(t *testing.T) {
+	w := newLimitSimulation(1, 1, 1)
 	d := w.daemons[0]
-	w.runs(5*time.Second, 5, 1, false)
+	w.run(5*time.Second, 5, 1, false)
 	d.fleet.ApplyEvacuations(w.clock.Now(), []proto.Evacuation{{Zone: "z", Version: proto.Revision{Version: 5}}})
-	w.runs(2*time.Second, 5, 1, false)
+	w.run(2*time.Second, 5, 1, false)
 	d.fleet.ApplyEvacuations(w.clock.Now(), []proto.Evacuation{{Zone: "z", Version: proto.Revision{Version: 6}, Ended: true}})
 	from := len(w.arrivals)
-	w.runs(5*time.Second, 5, 1, false)
+	w.run(5*time.Second, 5, 1, false)
 	if len(w.arrivals) == from {
 		t.Error("nothing arrived after the zone came back")
 	}
 }
 
 // TestADaemonThatMakesCallsBesideTheOwnerKeepsToAPart guards against two daemons that each use a target's whole limit for calls.
-func TestADaemonThatMakesCallsBesideTheOwnerKeepsToAPart(t *testing.T) {
+func TestNonOwnerUsesPartOfLimit(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(start)
 	p := newTestPieceScheduler(clock, &scriptedPeers{silent: make(chan struct{})}, &stubSender{})
-	p.fleet.takeSignal(start, &signal{Notice: Notice{Limited: true, Limit: 4}, target: testTarget("t1", "p", "z"), sent: start})
+	p.fleet.recordSignal(start, &signal{Notice: Notice{Limited: true, Limit: 4}, target: testTarget("t1", "p", "z"), sent: start})
 	w := p.workerFor(shard{pool: "p"})
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -334,12 +336,12 @@
 }
 
 // TestANewerLimitHoldsForPermits guards against permits at a limit that an asking daemon knows and that the target has lowered since.
-func TestANewerLimitHoldsForPermits(t *testing.T) {
-	w := newLimitFleet(1, 1, 1)
+func TestPermitUsesNewerLimit(t *testing.T) {
+	w := newLimitSimulation(1, 1, 1)
 	d := w.daemons[0]
 	for i, limit := range []float64{100, 1} {
 		at := start.Add(time.Duration(i) * time.Second)
-		d.fleet.takeSignal(at, &signal{Notice: Notice{Limited: true, Limit: limit}, target: testTarget("t", "p", "z"), sent: at})
+		d.fleet.recordSignal(at, &signal{Notice: Notice{Limited: true, Limit: limit}, target: testTarget("t", "p", "z"), sent: at})
 	}
 	stale := proto.PermitAsk{Pool: "p", Notice: proto.TargetNotice{Target: "t", Run: "t", HasLimit: true, Limit: 100, LimitVersion: 1}}
 	granted := 0
--- a/relay/notices.go
+++ b/relay/notices.go
@@ -11,7 +11,7 @@
 )
 
 // noticingSender sends requests and takes in what targets say of themselves in their answers, whatever they were asked.
-type noticingSender struct {
+type noticeSender struct {
 	sender  Sender
 	dialect Dialect
 	fleet   *Fleet
@@ -19,28 +19,28 @@
 	log     hclog.Logger
 }
 
-func newNoticeSender(sender Sender, dialect Dialect, fleet *Fleet, clock clockwork.Clock, log hclog.Logger) *noticingSender {
-	return &noticingSender{sender: sender, dialect: dialect, fleet: fleet, clock: clock, log: log}
+func newNoticeSender(sender Sender, dialect Dialect, fleet *Fleet, clock clockwork.Clock, log hclog.Logger) *noticeSender {
+	return &noticeSender{sender: sender, dialect: dialect, fleet: fleet, clock: clock, log: log}
 }
 
 // Send returns the head of the answer. Its error is a *SendError.
-func (s *noticingSender) Send(ctx context.Context, to netip.AddrPort, out *TargetRequest) (*TargetResponse, error) {
+func (s *noticeSender) Send(ctx context.Context, to netip.AddrPort, out *TargetRequest) (*TargetResponse, error) {
 	sent := s.clock.Now()
 	in, err := s.sender.Send(ctx, to, out)
 	// An answer of another target that has the address now says nothing of the one that was asked.
 	if err == nil && in.Status != http.StatusMisdirectedRequest {
-		s.takeSignal(sent, to, out, in)
+		s.recordSignal(sent, to, out, in)
 	}
 	return in, err
 }
 
-func (s *noticingSender) takeSignal(sent time.Time, to netip.AddrPort, out *TargetRequest, in *TargetResponse) {
+func (s *noticeSender) recordSignal(sent time.Time, to netip.AddrPort, out *TargetRequest, in *TargetResponse) {
 	h := signal{Notice: s.dialect.ParseNotice(in.Status, in.Header), target: out.Target, sent: sent}
 	if h.target.ID == "" {
 		if !h.Leaving && !h.Limited && h.Backoff <= 0 {
 			return
 		}
-		target, known := s.fleet.at(to)
+		target, known := s.fleet.targetAt(to)
 		if !known {
 			return
 		}
@@ -51,8 +51,8 @@
 		s.log.Warn("a target's notice cannot be read", "target", h.target.ID, "pool", h.target.Pool, "address", to, "status", in.Status, "values", h.Unreadable)
 		h.partial = true
 	}
-	for _, change := range s.fleet.takeSignal(s.clock.Now(), &h) {
+	for _, change := range s.fleet.recordSignal(s.clock.Now(), &h) {
 		s.log.Info(change.event, "target", h.target.ID, "run", h.target.RunName(), "pool", h.target.Pool, "address", to, "limit", change.limit, "before", change.before,
-			"rest", formatDuration(change.rest), "status", in.Status, "uri", out.URI, "took", formatDuration(s.clock.Now().Sub(sent)))
+			"rest", formatDuration(change.backoff), "status", in.Status, "uri", out.URI, "took", formatDuration(s.clock.Now().Sub(sent)))
 	}
 }
--- a/relay/noticescope_test.go
+++ b/relay/noticescope_test.go
@@ -16,7 +16,7 @@
 
 // TestALateAnswerChangesNothingThatIsNewer guards against a limit that ends or changes by an answer from before it was known, or by one that
 // may lack what holds, and against a run that is closed by what the one before said.
-func TestALateAnswerChangesNothingThatIsNewer(t *testing.T) {
+func TestOutdatedResponseKeepsSignals(t *testing.T) {
 	limited := Notice{Limited: true, Limit: 2}
 	known := start.Add(time.Second)
 	scenarios := []struct {
@@ -25,21 +25,21 @@
 		limited  bool
 		used     bool
 	}{
-		{"an answer to an earlier request names none", signal{target: bornAt(1), sent: start}, true, true},
-		{"a call that frees results names none", signal{target: bornAt(1), sent: known, partial: true}, true, true},
-		{"an answer to a later request names none", signal{target: bornAt(1), sent: known}, false, true},
-		{"an answer of the run before says that it leaves", signal{Notice: Notice{Leaving: true}, target: bornAt(0), sent: known}, true, true},
-		{"an answer of the run says that it leaves", signal{Notice: Notice{Leaving: true}, target: bornAt(1), sent: start}, true, false},
+		{"an answer to an earlier request names none", signal{target: targetStartedAt(1), sent: start}, true, true},
+		{"a call that frees results names none", signal{target: targetStartedAt(1), sent: known, partial: true}, true, true},
+		{"an answer to a later request names none", signal{target: targetStartedAt(1), sent: known}, false, true},
+		{"an answer of the run before says that it leaves", signal{Notice: Notice{Leaving: true}, target: targetStartedAt(0), sent: known}, true, true},
+		{"an answer of the run says that it leaves", signal{Notice: Notice{Leaving: true}, target: targetStartedAt(1), sent: start}, true, false},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			f := fleetWith(putChange(1, bornAt(1)))
-			f.takeSignal(known, &signal{Notice: limited, target: bornAt(1), sent: start})
-			f.takeSignal(known.Add(time.Millisecond), &s.h)
+			f := fleetWith(putChange(1, targetStartedAt(1)))
+			f.recordSignal(known, &signal{Notice: limited, target: targetStartedAt(1), sent: start})
+			f.recordSignal(known.Add(time.Millisecond), &s.h)
 			if got := len(f.limited("p")) > 0; got != (s.limited && s.used) {
 				t.Errorf("limited: %v", got)
 			}
-			if got := f.Pick(known, "p", TargetCriteria{Limited: map[string]bool{"t": true}}) != nil; got != s.used {
+			if got := f.Pick(known, "p", TargetCriteria{AllowedLimited: map[string]bool{"t": true}}) != nil; got != s.used {
 				t.Errorf("used: %v", got)
 			}
 		})
@@ -47,9 +47,9 @@
 }
 
 // TestALimitThatCannotBeKeptIsNotLearnt guards against a value in a message of another daemon that would stop or open a target.
-func TestALimitThatCannotBeKeptIsNotLearnt(t *testing.T) {
+func TestInvalidLimitIsIgnored(t *testing.T) {
 	for _, limit := range []float64{-1, math.NaN(), math.Inf(1)} {
-		w := newLimitFleet(1, 1, 1)
+		w := newLimitSimulation(1, 1, 1)
 		n := proto.TargetNotice{Target: "t", Run: "t", HasLimit: true, Limit: limit, LimitVersion: 9}
 		if news := w.daemons[0].fleet.MergeNotices(start, []proto.TargetNotice{n}, "other"); len(news) > 0 {
 			t.Errorf("a limit of %g was learnt", limit)
@@ -64,10 +64,10 @@
 }
 
 // TestAPlacerThatWasTurnedAwayChoosesForOthers guards against a target that no other daemon is sent to while it wants rest from the one that places.
-func TestAPlacerThatWasTurnedAwayChoosesForOthers(t *testing.T) {
+func TestPlacerIgnoresOwnBackoffForPeers(t *testing.T) {
 	all, _ := newPlacers(clockwork.NewFakeClockAt(start), engineFleet(1))
 	owner := all["vm-0"]
-	owner.fleet.takeSignal(start, &signal{Notice: Notice{Backoff: time.Second}, target: testTarget("e00", "p", "y"), sent: start})
+	owner.fleet.recordSignal(start, &signal{Notice: Notice{Backoff: time.Second}, target: testTarget("e00", "p", "y"), sent: start})
 	if a := owner.HandlePlaceAsk(proto.PlaceAsk{Pool: "p"}); a.Target != "e00" {
 		t.Errorf("chosen for another daemon: %+v", a)
 	}
@@ -79,10 +79,10 @@
 // noticeDialect reads every answer as saying the same.
 type noticeDialect struct {
 	stubDialect
-	says Notice
+	notice Notice
 }
 
-func (d noticeDialect) ParseNotice(int, http.Header) Notice { return d.says }
+func (d noticeDialect) ParseNotice(int, http.Header) Notice { return d.notice }
 
 // statusSender answers with a status.
 type statusSender struct{ status int }
@@ -92,10 +92,10 @@
 }
 
 // TestAnAnswerOfAnotherTargetSaysNothingOfTheOneAsked guards against a target that is closed by what another one at its address says.
-func TestAnAnswerOfAnotherTargetSaysNothingOfTheOneAsked(t *testing.T) {
+func TestMisdirectedResponseKeepsSignals(t *testing.T) {
 	for status, leaves := range map[int]bool{http.StatusOK: true, http.StatusServiceUnavailable: true, http.StatusMisdirectedRequest: false} {
 		f := fleetWith(putChange(1, testTarget("t", "p", "z")))
-		s := newNoticeSender(statusSender{status}, noticeDialect{says: Notice{Leaving: true}}, f, clockwork.NewFakeClockAt(start), hclog.NewNullLogger())
+		s := newNoticeSender(statusSender{status}, noticeDialect{notice: Notice{Leaving: true}}, f, clockwork.NewFakeClockAt(start), hclog.NewNullLogger())
 		target := testTarget("t", "p", "z")
 		if _, err := s.Send(t.Context(), target.Address, &TargetRequest{Target: target}); err != nil {
 			t.Fatal(err)
@@ -107,10 +107,10 @@
 }
 
 // stuckAfter bounds the wait for a goroutine; it decides no verdict on a machine that is not stuck.
-const stuckAfter = 20 * time.Second
+const stuckTimeout = 20 * time.Second
 
 // TestResultsAreFreedWhenTheirMakerTakesCalls guards against calls that free results at a target that rests, or that use up its limit.
-func TestResultsAreFreedWhenTheirMakerTakesCalls(t *testing.T) {
+func TestFreeCallsRespectNotices(t *testing.T) {
 	maker := netip.MustParseAddrPort("10.0.0.1:80")
 	scenarios := []struct {
 		testName string
@@ -128,7 +128,7 @@
 			target := testTarget("m", "p", "z")
 			target.Address = maker
 			p.fleet.ApplyChanges(start, []FleetChange{removeChange(2, "t1"), putChange(3, target)})
-			p.fleet.takeSignal(start, &signal{Notice: s.notice, target: target, sent: start})
+			p.fleet.recordSignal(start, &signal{Notice: s.notice, target: target, sent: start})
 			p.freeQueue.enqueue(nil, []string{"10.0.0.1:80/a"})
 			calls := func() int {
 				sender.mu.Lock()
@@ -141,7 +141,7 @@
 				t.Fatalf("%d calls before %s", n, s.after)
 			}
 			clock.Advance(time.Nanosecond)
-			for end := time.Now().Add(stuckAfter); calls() == 0; time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(stuckTimeout); calls() == 0; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatalf("no call after %s", s.after)
 				}
--- a/relay/outage_test.go
+++ b/relay/outage_test.go
@@ -15,15 +15,15 @@
 // daemon knows a configuration. Callers come back once: one who is told 0.4 s, as for a busy daemon, returns into an
 // outage of seconds and is lost, and one who returns too late has no time left to be served. Outages of the platform's
 // store last some seconds; deadlines of streams are 6 to 20 s and those of short requests about 1 s.
-func TestCallersOfAnOutageOfEverythingComeBackWhenTheyMayBeServed(t *testing.T) {
+func TestOutageRetryAfter(t *testing.T) {
 	scenarios := []struct {
 		wait, least, most time.Duration
 	}{
 		{8 * time.Second, 2100 * time.Millisecond, 2667 * time.Millisecond},
 		{20 * time.Second, 5300 * time.Millisecond, 6667 * time.Millisecond},
 		{time.Second, 260 * time.Millisecond, 334 * time.Millisecond},
-		{300 * time.Millisecond, outageLeast, outageLeast},
-		{0, outageUnknown, outageUnknown},
+		{300 * time.Millisecond, minOutageRetry, minOutageRetry},
+		{0, outageDefaultRetry, outageDefaultRetry},
 	}
 	for _, s := range scenarios {
 		t.Run(s.wait.String(), func(t *testing.T) {
@@ -54,7 +54,7 @@
 
 func (d *waitDialect) SetRetryAfter(_ http.Header, wait time.Duration) { d.back = wait }
 
-func TestADaemonWithoutAConfigurationSaysWhenToComeBack(t *testing.T) {
+func TestUnconfiguredServerSetsRetryAfter(t *testing.T) {
 	dialect := &waitDialect{wait: 6 * time.Second}
 	s := NewServer(ServerConfig{
 		Clock: clockwork.NewFakeClockAt(start), Log: hclog.NewNullLogger(), Dialect: dialect, Tables: &Tables{}, Limits: Limits{MaxOpen: 1},
--- a/relay/overload_test.go
+++ b/relay/overload_test.go
@@ -16,7 +16,7 @@
 )
 
 // kindOfLoad is one kind of request of the load below.
-type kindOfLoad struct {
+type loadKind struct {
 	route     string
 	rank      int
 	perSecond float64
@@ -29,7 +29,7 @@
 
 // The load is that of a platform of live scores in service: summaries that begin with one of some hundred shared parts, recaps after
 // three stages, short captions; 140 engines are a quarter busy with it, and 21 can take some two thirds.
-var liveScores = []kindOfLoad{
+var liveScores = []loadKind{
 	{"summary", 0, 63, 2900, 1500, 300 * time.Millisecond, 1600 * time.Millisecond},
 	{"recap", 1, 143, 1800, 0, 1100 * time.Millisecond, 3600 * time.Millisecond},
 	{"caption", 2, 42, 550, 0, 1000 * time.Millisecond, 3600 * time.Millisecond},
@@ -37,14 +37,14 @@
 
 const (
 	// modelRate is how many tokens an engine of the model reads in a second, streams beside.
-	modelRate = 19_000
-	modelTick = 5 * time.Millisecond
-	modelGap  = 600 * time.Millisecond
+	modelRate     = 19_000
+	modelTick     = 5 * time.Millisecond
+	modelMaxPause = 600 * time.Millisecond
 )
 
 // modelRequest is a request on its way.
 type modelRequest struct {
-	kind   *kindOfLoad
+	kind   *loadKind
 	digest proto.RequestDigest
 	first  time.Time
 	tries  int
@@ -62,7 +62,7 @@
 }
 
 // overload is a deployment of daemons before engines, of which some go at once.
-type overload struct {
+type overloadSimulation struct {
 	t       *testing.T
 	clock   *clockwork.FakeClock
 	random  *rand.Rand
@@ -81,8 +81,8 @@
 	admits          bool
 }
 
-func newOverload(t *testing.T, engines, daemons int, seed uint64) *overload {
-	o := &overload{
+func newOverloadSimulation(t *testing.T, engines, daemons int, seed uint64) *overloadSimulation {
+	o := &overloadSimulation{
 		t: t, clock: clockwork.NewFakeClockAt(start), random: rand.New(rand.NewPCG(seed, 1)), engines: map[string]*modelEngine{},
 		inTime: map[int]float64{}, served: map[string]int{}, refused: map[string]int{}, asked: map[string]int{}, admits: true,
 	}
@@ -98,20 +98,20 @@
 			}
 		}
 		vm := proto.VM(fmt.Sprint("vm-", i))
-		all[vm] = NewPlacer(vm, o.clock, hclog.NewNullLogger(), f, &peersOf{self: vm, owner: "vm-0", all: all})
+		all[vm] = NewPlacer(vm, o.clock, hclog.NewNullLogger(), f, &stubPeers{self: vm, owner: "vm-0", all: all})
 		o.placers, o.fleets = append(o.placers, all[vm]), append(o.fleets, f)
 	}
 	return o
 }
 
-func (o *overload) add(id string) {
+func (o *overloadSimulation) add(id string) {
 	e := &modelEngine{}
 	o.engines[id] = e
 	o.order = append(o.order, e)
 }
 
 // arrive has callers send requests for one tick.
-func (o *overload) arrive(times float64) {
+func (o *overloadSimulation) arrive(times float64) {
 	now := o.clock.Now()
 	for i := range liveScores {
 		k := &liveScores[i]
@@ -132,7 +132,7 @@
 	return n
 }
 
-func (o *overload) step(times float64) {
+func (o *overloadSimulation) step(times float64) {
 	o.clock.Advance(modelTick)
 	o.arrive(times)
 	now := o.clock.Now()
@@ -157,7 +157,7 @@
 }
 
 // begin asks whether to begin a request; a caller that is refused comes back once.
-func (o *overload) begin(r *modelRequest) {
+func (o *overloadSimulation) begin(r *modelRequest) {
 	now := o.clock.Now()
 	p := o.placers[o.random.IntN(len(o.placers))]
 	r.tries++
@@ -175,7 +175,7 @@
 	o.waiting = append(o.waiting, r)
 }
 
-func (o *overload) refuse(r *modelRequest, wait time.Duration) {
+func (o *overloadSimulation) refuse(r *modelRequest, wait time.Duration) {
 	if r.tries >= 2 {
 		o.refused[r.kind.route]++
 		return
@@ -185,10 +185,10 @@
 }
 
 // place sends a request to an engine; one that is gone refuses the connection, and another is tried.
-func (o *overload) place(r *modelRequest) {
+func (o *overloadSimulation) place(r *modelRequest) {
 	p := o.placers[o.random.IntN(len(o.placers))]
 	w := TargetCriteria{
-		Engine: true, Route: r.kind.route, Rank: r.kind.rank, OwnTokens: r.kind.own, MaxPause: modelGap, Zone: "z", Tried: map[string]bool{},
+		Engine: true, Route: r.kind.route, Rank: r.kind.rank, OwnTokens: r.kind.own, MaxPause: modelMaxPause, Zone: "z", Tried: map[string]bool{},
 		SharedParts: []proto.PromptPart{{ID: fmt.Sprint(r.kind.route, o.random.IntN(200)), Tokens: r.kind.shared}},
 	}
 	for range maxAttempts {
@@ -214,7 +214,7 @@
 }
 
 // read has an engine read for one tick.
-func (o *overload) read(e *modelEngine) {
+func (o *overloadSimulation) read(e *modelEngine) {
 	if e.gone {
 		return
 	}
@@ -232,7 +232,7 @@
 	}
 }
 
-func (o *overload) firstEvent(r *modelRequest) {
+func (o *overloadSimulation) firstEvent(r *modelRequest) {
 	now := o.clock.Now()
 	r.placed.RecordResponseStart()
 	r.placed.Finish(VerdictSuccess, Load{})
@@ -243,7 +243,7 @@
 }
 
 // lose has engines go at once, with what they read; their entries stay until they lapse.
-func (o *overload) lose(count int) {
+func (o *overloadSimulation) fail(count int) {
 	for i := range count {
 		e := o.engines[fmt.Sprintf("e%03d", i)]
 		e.gone = true
@@ -257,14 +257,14 @@
 }
 
 // lapse has the entries of engines that are gone be removed.
-func (o *overload) lapse(count int) {
+func (o *overloadSimulation) expire(count int) {
 	for i := range count {
 		o.change(func(version uint64) FleetChange { return removeChange(version, fmt.Sprintf("e%03d", i)) })
 	}
 }
 
 // come has new engines list themselves.
-func (o *overload) come(count int) {
+func (o *overloadSimulation) addEngines(count int) {
 	for i := range count {
 		target := testTarget(fmt.Sprintf("new%03d", i), "p", "z")
 		target.Slots = 24
@@ -273,21 +273,21 @@
 	}
 }
 
-func (o *overload) change(of func(version uint64) FleetChange) {
+func (o *overloadSimulation) change(of func(version uint64) FleetChange) {
 	o.version++
 	for _, f := range o.fleets {
 		f.ApplyChanges(o.clock.Now(), []FleetChange{of(1000 + o.version)})
 	}
 }
 
-func (o *overload) play(length time.Duration, times float64) {
+func (o *overloadSimulation) run(length time.Duration, times float64) {
 	for end := o.clock.Now().Add(length); o.clock.Now().Before(end); {
 		o.step(times)
 	}
 }
 
 // between is how many tokens of requests in time were read in some seconds, a second.
-func (o *overload) between(from, to int) float64 {
+func (o *overloadSimulation) goodput(from, to int) float64 {
 	sum := 0.0
 	for s := from; s < to; s++ {
 		sum += o.inTime[s]
@@ -308,29 +308,29 @@
 // TestMostOfAPoolOfEnginesIsLost has 119 of 140 engines go at once, with and without a burst after it, and others come later. In each two
 // seconds from three seconds on at least 0.8 of what the others can read must be for requests that are in time, and three seconds after they
 // came all must be served in time again.
-func TestMostOfAPoolOfEnginesIsLost(t *testing.T) {
+func TestLossOfMostEngines(t *testing.T) {
 	for _, burst := range []float64{1, 1.6} {
 		t.Run(fmt.Sprint("load times ", burst), func(t *testing.T) {
 			const engines, lost = 140, 119
-			o := newOverload(t, engines, 8, 3)
-			o.play(4*time.Second, 1)
-			if got := o.between(2, 4); got < 0.8*offered(1) {
+			o := newOverloadSimulation(t, engines, 8, 3)
+			o.run(4*time.Second, 1)
+			if got := o.goodput(2, 4); got < 0.8*offered(1) {
 				t.Fatalf("before the loss %.0f tokens a second are in time of %.0f", got, offered(1))
 			}
-			o.lose(lost)
-			o.play(4*time.Second, 1)
-			o.lapse(lost)
-			o.play(2*time.Second, 1)
-			o.play(6*time.Second, burst)
+			o.fail(lost)
+			o.run(4*time.Second, 1)
+			o.expire(lost)
+			o.run(2*time.Second, 1)
+			o.run(6*time.Second, burst)
 			bound := (engines - lost) * float64(modelRate)
 			for from := 8; from < 16; from += 2 {
-				if got := o.between(from, from+2); got < 0.8*min(bound, offered(1)) {
+				if got := o.goodput(from, from+2); got < 0.8*min(bound, offered(1)) {
 					t.Errorf("from second %d on %.0f tokens a second are in time, the engines read %.0f", from, got, bound)
 				}
 			}
-			o.come(lost)
-			o.play(6*time.Second, 1)
-			if got := o.between(19, 22); got < 0.9*offered(1) {
+			o.addEngines(lost)
+			o.run(6*time.Second, 1)
+			if got := o.goodput(19, 22); got < 0.9*offered(1) {
 				t.Errorf("after the return %.0f tokens a second are in time of %.0f", got, offered(1))
 			}
 		})
@@ -338,15 +338,15 @@
 }
 
 // fewAreLeft plays a seed in which 119 of 140 engines go, and returns the part of the requests of each kind that is served then, and of all.
-func fewAreLeft(t *testing.T, seed uint64) (rates map[string]float64, all float64) {
+func serveAfterLoss(t *testing.T, seed uint64) (rates map[string]float64, all float64) {
 	t.Helper()
-	o := newOverload(t, 140, 8, seed)
-	o.play(3*time.Second, 1)
-	o.lose(119)
-	o.play(4*time.Second, 1)
-	o.lapse(119)
+	o := newOverloadSimulation(t, 140, 8, seed)
+	o.run(3*time.Second, 1)
+	o.fail(119)
+	o.run(4*time.Second, 1)
+	o.expire(119)
 	o.asked, o.served = map[string]int{}, map[string]int{}
-	o.play(12*time.Second, 1)
+	o.run(12*time.Second, 1)
 	rates = map[string]float64{}
 	served, asked := 0, 0
 	for _, k := range liveScores {
@@ -358,9 +358,9 @@
 
 // TestUrgentRequestsGoFirstWhenFewEnginesAreLeft wants the most urgent kind served nearly whole, and each kind at least a quarter as often
 // as all.
-func TestUrgentRequestsGoFirstWhenFewEnginesAreLeft(t *testing.T) {
+func TestUrgentRequestsAreServedFirstAfterLoss(t *testing.T) {
 	for seed := range uint64(8) {
-		rates, all := fewAreLeft(t, seed)
+		rates, all := serveAfterLoss(t, seed)
 		if rates["summary"] < 0.9 {
 			t.Errorf("seed %d: the most urgent requests are served at %.2f", seed, rates["summary"])
 		}
@@ -379,9 +379,9 @@
 // spread 0.05; counted by the requests that came in the window alone, recaps were ahead by 0.07 in the mean and no caption by 0.05.
 //
 // TestNoKindIsServedMoreOftenThanAMoreUrgentOne allows for 5 in 100, as the platform's users do.
-func TestNoKindIsServedMoreOftenThanAMoreUrgentOne(t *testing.T) {
+func TestServedFractionFollowsUrgency(t *testing.T) {
 	for seed := range uint64(8) {
-		rates, _ := fewAreLeft(t, seed)
+		rates, _ := serveAfterLoss(t, seed)
 		for i := range liveScores[1:] {
 			urgent, less := liveScores[i].route, liveScores[i+1].route
 			if rates[less] > rates[urgent]+0.05 {
@@ -392,9 +392,9 @@
 }
 
 // TestCalmPoolsAskNobody has no daemon ask for admission while engines have little to read, nor any request refused.
-func TestCalmPoolsAskNobody(t *testing.T) {
-	o := newOverload(t, 140, 8, 5)
-	o.play(5*time.Second, 1)
+func TestIdlePoolsNeedNoAdmission(t *testing.T) {
+	o := newOverloadSimulation(t, 140, 8, 5)
+	o.run(5*time.Second, 1)
 	for _, p := range o.placers {
 		if p.reportedBusy("p") || len(p.admissions) > 0 && p.admissions["p"].demand != nil {
 			t.Error("requests were admitted in a calm pool")
@@ -413,7 +413,7 @@
 			for e := range engines {
 				f.ApplyChanges(start, []FleetChange{putChange(uint64(e+1), testTarget(fmt.Sprintf("e%03d", e), "p", "z"))})
 			}
-			p := NewPlacer("vm", clockwork.NewFakeClockAt(start), hclog.NewNullLogger(), f, &peersOf{self: "vm", owner: "vm"})
+			p := NewPlacer("vm", clockwork.NewFakeClockAt(start), hclog.NewNullLogger(), f, &stubPeers{self: "vm", owner: "vm"})
 			for i := range b.N {
 				p.DecideAdmission(proto.AdmitAsk{Pool: "p", Route: "r", Digest: proto.RequestDigest(i), Rank: i % 6, OwnTokens: 2000, Slack: time.Second})
 			}
--- a/relay/place.go
+++ b/relay/place.go
@@ -18,11 +18,11 @@
 	// placeWait bounds the asking for a target: the way is a millisecond, and without an answer the daemon decides alone.
 	placementTimeout = 60 * time.Millisecond
 	// placeLate is how long a late answer is waited for, to say that it is not used.
-	placeLate = 2 * time.Second
+	lateAnswerTimeout = 2 * time.Second
 	// placeTask begins the name of the task of placing the requests of a pool.
 	placementTaskPrefix = "place/"
 	// leaseMost is how long a placed request is counted when nobody says how it ended.
-	leaseMost = 25 * time.Second
+	maxLeaseAge = 25 * time.Second
 )
 
 // Placer chooses the targets of a pool of engines for all daemons, so that one daemon knows what each engine was
@@ -44,13 +44,13 @@
 	// permits are those for targets that name a limit.
 	permits permits
 
-	mu     sync.Mutex
-	next   uint64
-	leases map[uint64]placement
+	mu        sync.Mutex
+	nextLease uint64
+	leases    map[uint64]placementLease
 }
 
 // placement is an attempt that this daemon placed for another.
-type placement struct {
+type placementLease struct {
 	target *Target
 	want   TargetCriteria
 	began  bool
@@ -59,7 +59,7 @@
 
 // NewPlacer returns a placer that has placed nothing.
 func NewPlacer(self proto.VM, clock clockwork.Clock, log hclog.Logger, fleet *Fleet, peers Peers) *Placer {
-	return &Placer{self: self, clock: clock, log: log, fleet: fleet, peers: peers, leases: map[uint64]placement{}, coldLimiter: coldSendLimiter{targets: map[string]*coldTarget{}}, permits: newPermits(), admissions: map[string]*admissionController{}, busyUntil: map[string]time.Time{}}
+	return &Placer{self: self, clock: clock, log: log, fleet: fleet, peers: peers, leases: map[uint64]placementLease{}, coldLimiter: coldSendLimiter{targets: map[string]*coldTarget{}}, permits: newPermits(), admissions: map[string]*admissionController{}, busyUntil: map[string]time.Time{}}
 }
 
 // Placement is a target chosen for an attempt.
@@ -83,17 +83,17 @@
 
 // Choose returns the target for an attempt, or nil if there is none; Ended must be called for it.
 func (p *Placer) Choose(ctx context.Context, pool string, w TargetCriteria) *Placement {
-	for range max(coldTries, limitTries) {
+	for range max(maxColdPicks, maxLimitPicks) {
 		now := p.clock.Now()
-		w.Cold, w.Limited = p.mayBeSent(now, pool, w.Rank), p.mayBeAsked(now, pool)
+		w.AllowedCold, w.AllowedLimited = p.sendableCold(now, pool, w.Rank), p.usableLimited(now, pool)
 		placed := p.choose(ctx, pool, w)
-		if placed == nil || (!w.Cold[placed.Spec.ID] || p.countCold(now, placed)) && p.permitted(ctx, placed) {
+		if placed == nil || (!w.AllowedCold[placed.Spec.ID] || p.countCold(now, placed)) && p.permitted(ctx, placed) {
 			return placed
 		}
 		// Other requests have taken what was left for the target.
 		placed.Finish(VerdictNone, Load{})
 	}
-	w.Cold, w.Limited = nil, nil
+	w.AllowedCold, w.AllowedLimited = nil, nil
 	placed := p.choose(ctx, pool, w)
 	if placed != nil && !p.permitted(ctx, placed) {
 		placed.Finish(VerdictNone, Load{})
@@ -106,13 +106,13 @@
 // for it.
 func (p *Placer) ChooseByID(ctx context.Context, pool, id string, w TargetCriteria) *Placement {
 	now := p.clock.Now()
-	w.Cold, w.Limited = p.mayBeSent(now, pool, w.Rank), p.mayBeAsked(now, pool)
+	w.AllowedCold, w.AllowedLimited = p.sendableCold(now, pool, w.Rank), p.usableLimited(now, pool)
 	t := p.fleet.PickByID(now, pool, id, w)
 	if t == nil {
 		return nil
 	}
 	placed := &Placement{Target: t, Spec: p.fleet.Spec(t), placer: p, pool: pool, want: w}
-	if w.Cold[id] && !p.countCold(now, placed) || !p.permitted(ctx, placed) {
+	if w.AllowedCold[id] && !p.countCold(now, placed) || !p.permitted(ctx, placed) {
 		placed.Finish(VerdictNone, Load{})
 		return nil
 	}
@@ -122,10 +122,10 @@
 func (p *Placer) choose(ctx context.Context, pool string, w TargetCriteria) *Placement {
 	if w.Engine {
 		if owner := p.peers.Owner(placementTaskPrefix+pool, nil); owner != "" && owner != p.self {
-			if placed, decided := p.remote(ctx, owner, pool, w); decided {
+			if placed, decided := p.chooseRemotely(ctx, owner, pool, w); decided {
 				return placed
 			}
-			w.Limited = p.mayBeAsked(p.clock.Now(), pool)
+			w.AllowedLimited = p.usableLimited(p.clock.Now(), pool)
 		}
 	}
 	t := p.fleet.Pick(p.clock.Now(), pool, w)
@@ -136,21 +136,21 @@
 }
 
 // remote asks the daemon that places for the pool; it has decided unless this daemon should choose alone.
-func (p *Placer) remote(ctx context.Context, owner proto.VM, pool string, w TargetCriteria) (placed *Placement, decided bool) {
-	without := p.fleet.Out(p.clock.Now(), pool)
+func (p *Placer) chooseRemotely(ctx context.Context, owner proto.VM, pool string, w TargetCriteria) (placed *Placement, decided bool) {
+	without := p.fleet.ExcludedTargets(p.clock.Now(), pool)
 	for id := range w.Tried {
 		without = append(without, id)
 	}
 	a, ok, err := p.ask(ctx, owner, proto.PlaceAsk{
 		Pool: pool, Route: w.Route, SharedParts: w.SharedParts, OwnTokens: w.OwnTokens, Zone: w.Zone, InputBytes: w.InputBytes, Excluded: without, MaxPause: w.MaxPause,
-		Cold: slices.Collect(maps.Keys(w.Cold)), AllowedRegions: w.AllowedRegions,
+		Cold: slices.Collect(maps.Keys(w.AllowedCold)), AllowedRegions: w.AllowedRegions,
 	})
 	p.recordBusy(pool, a.AdmissionRequired)
 	if err == nil && ok && a.AtCapacity {
 		return nil, true
 	}
 	if a.LimitWait > 0 {
-		p.noteExhausted(p.clock.Now(), a.LimitWait, p.fleet.limited(pool)...)
+		p.recordExhausted(p.clock.Now(), a.LimitWait, p.fleet.limited(pool)...)
 	}
 	if err != nil || !ok || a.Target == "" {
 		p.log.Info("choosing a target alone", "pool", pool, "owner", owner, "error", err, "limitsExhaustedFor", formatDuration(a.LimitWait))
@@ -178,7 +178,7 @@
 	}
 	replies := make(chan reply, 1)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), placeLate)
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), lateAnswerTimeout)
 		defer cancel()
 		m, err := p.peers.Call(ctx, owner, ask)
 		replies <- reply{m, err}
@@ -215,8 +215,8 @@
 // HasAlternative tells whether a request could go to another target than those that it was sent to, as far as is known here.
 func (p *Placer) HasAlternative(pool string, w TargetCriteria) bool {
 	now := p.clock.Now()
-	w.Cold, w.Limited = p.mayBeSent(now, pool, w.Rank), p.mayBeAsked(now, pool)
-	return p.fleet.Has(now, pool, w)
+	w.AllowedCold, w.AllowedLimited = p.sendableCold(now, pool, w.Rank), p.usableLimited(now, pool)
+	return p.fleet.HasTarget(now, pool, w)
 }
 
 // ReportSlow notes that the attempt takes longer than it should, so that others go to other targets meanwhile.
@@ -239,15 +239,15 @@
 // HandlePlaceAsk chooses a target for another daemon.
 func (p *Placer) HandlePlaceAsk(ask proto.PlaceAsk) proto.PlaceAnswer {
 	now := p.clock.Now()
-	w := TargetCriteria{Route: ask.Route, SharedParts: ask.SharedParts, OwnTokens: ask.OwnTokens, Zone: ask.Zone, InputBytes: ask.InputBytes, MaxPause: ask.MaxPause, AllowedRegions: ask.AllowedRegions, Engine: true, Elsewhere: true, Tried: map[string]bool{}, Cold: map[string]bool{}}
+	w := TargetCriteria{Route: ask.Route, SharedParts: ask.SharedParts, OwnTokens: ask.OwnTokens, Zone: ask.Zone, InputBytes: ask.InputBytes, MaxPause: ask.MaxPause, AllowedRegions: ask.AllowedRegions, Engine: true, ForPeer: true, Tried: map[string]bool{}, AllowedCold: map[string]bool{}}
 	for _, id := range ask.Excluded {
 		w.Tried[id] = true
 	}
 	for _, id := range ask.Cold {
-		w.Cold[id] = true
+		w.AllowedCold[id] = true
 	}
 	busy := p.isBusy(now, ask.Pool)
-	t, permitted := p.pick(now, ask.Pool, w)
+	t, permitted := p.pickForPeer(now, ask.Pool, w)
 	if t == nil {
 		in, _ := p.limitWait(ask.Pool)
 		return proto.PlaceAnswer{AtCapacity: p.fleet.AtCapacity(now, ask.Pool), LimitWait: in, AdmissionRequired: busy}
@@ -255,15 +255,15 @@
 	id, times := p.fleet.Spec(t).ID, p.fleet.EngineTimes(ask.Pool)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.next++
-	p.leases[p.next] = placement{target: t, want: w, at: now}
-	return proto.PlaceAnswer{Target: id, Lease: p.next, Times: times, AdmissionRequired: busy, Permitted: permitted}
+	p.nextLease++
+	p.leases[p.nextLease] = placementLease{target: t, want: w, at: now}
+	return proto.PlaceAnswer{Target: id, Lease: p.nextLease, Times: times, AdmissionRequired: busy, Permitted: permitted}
 }
 
 // pick chooses a target for another daemon, and counts the request within the limit of the target if that names one.
-func (p *Placer) pick(now time.Time, pool string, w TargetCriteria) (t *Target, permitted bool) {
-	for range limitTries {
-		w.Limited = p.mayBeAsked(now, pool)
+func (p *Placer) pickForPeer(now time.Time, pool string, w TargetCriteria) (t *Target, permitted bool) {
+	for range maxLimitPicks {
+		w.AllowedLimited = p.usableLimited(now, pool)
 		t = p.fleet.Pick(now, pool, w)
 		if t == nil {
 			return nil, false
@@ -310,15 +310,15 @@
 	p.permits.sweep(now)
 	p.sweepAdmissions(now)
 	p.mu.Lock()
-	var over []placement
+	var over []placementLease
 	for id, l := range p.leases {
-		if now.Sub(l.at) > leaseMost {
+		if now.Sub(l.at) > maxLeaseAge {
 			over = append(over, l)
 			delete(p.leases, id)
 		}
 	}
 	p.mu.Unlock()
-	slices.SortFunc(over, func(a, b placement) int { return a.at.Compare(b.at) })
+	slices.SortFunc(over, func(a, b placementLease) int { return a.at.Compare(b.at) })
 	for _, l := range over {
 		p.fleet.FinishAttempt(now, l.target, l.want, l.began, VerdictNone, Load{})
 	}
--- a/relay/place_test.go
+++ b/relay/place_test.go
@@ -16,26 +16,28 @@
 )
 
 // peersOf is a network of daemons in one process; a cut daemon answers nobody.
-type peersOf struct {
+type stubPeers struct {
 	self  proto.VM
 	owner proto.VM
 	cut   bool
 	all   map[proto.VM]*Placer
 }
 
-func (p *peersOf) Owner(string, map[proto.VM]bool) proto.VM { return p.owner }
-func (p *peersOf) Silent(proto.VM) bool                     { return p.cut }
-func (p *peersOf) IsSoleOwner(string, time.Duration) bool   { return !p.cut }
+func (p *stubPeers) Owner(string, map[proto.VM]bool) proto.VM { return p.owner }
+func (p *stubPeers) Silent(proto.VM) bool                     { return p.cut }
+func (p *stubPeers) IsSoleOwner(string, time.Duration) bool   { return !p.cut }
 
-func (p *peersOf) Share() Share { return Share{Fraction: 1 / float64(len(p.all)), Counted: len(p.all)} }
+func (p *stubPeers) Share() Share {
+	return Share{Fraction: 1 / float64(len(p.all)), Counted: len(p.all)}
+}
 
-func (p *peersOf) Send(to proto.VM, m proto.Message) {
+func (p *stubPeers) Send(to proto.VM, m proto.Message) {
 	if n, ok := m.(proto.PlaceNote); ok && !p.cut {
 		p.all[to].HandlePlaceNote(n)
 	}
 }
 
-func (p *peersOf) Call(_ context.Context, to proto.VM, m proto.Message) (proto.Message, error) {
+func (p *stubPeers) Call(_ context.Context, to proto.VM, m proto.Message) (proto.Message, error) {
 	if ask, ok := m.(proto.AdmitAsk); ok && !p.cut {
 		return p.all[to].DecideAdmission(ask), nil
 	}
@@ -57,11 +59,11 @@
 	return f
 }
 
-func newPlacers(clock clockwork.Clock, fleets ...*Fleet) (map[proto.VM]*Placer, []*peersOf) {
+func newPlacers(clock clockwork.Clock, fleets ...*Fleet) (map[proto.VM]*Placer, []*stubPeers) {
 	all := map[proto.VM]*Placer{}
-	var nets []*peersOf
+	var nets []*stubPeers
 	for i, f := range fleets {
-		net := &peersOf{self: proto.VM(fmt.Sprint("vm-", i)), owner: "vm-0", all: all}
+		net := &stubPeers{self: proto.VM(fmt.Sprint("vm-", i)), owner: "vm-0", all: all}
 		nets = append(nets, net)
 		all[net.self] = NewPlacer(net.self, clock, hclog.NewNullLogger(), f, net)
 	}
@@ -72,7 +74,7 @@
 	return TargetCriteria{Engine: true, Route: "r", Zone: "y", OwnTokens: own, SharedParts: []proto.PromptPart{{ID: shared, Tokens: sharedTokens}}}
 }
 
-func TestThePlacerKnowsWhatAllDaemonsSent(t *testing.T) {
+func TestPlacerBalancesRequestsOfAllDaemons(t *testing.T) {
 	all, _ := newPlacers(clockwork.NewFakeClockAt(start), engineFleet(4), engineFleet(4), engineFleet(4))
 	counts := map[string]int{}
 	for i := range 8 {
@@ -86,7 +88,7 @@
 	}
 }
 
-func TestAPromptGoesWhereItsPartIsKept(t *testing.T) {
+func TestPromptGoesToCachingEngine(t *testing.T) {
 	all, _ := newPlacers(clockwork.NewFakeClockAt(start), engineFleet(6), engineFleet(6))
 	var first string
 	for i := range 6 {
@@ -102,7 +104,7 @@
 	}
 }
 
-func TestABusyHomeIsLeft(t *testing.T) {
+func TestBusyPreferredTargetIsAvoided(t *testing.T) {
 	all, _ := newPlacers(clockwork.NewFakeClockAt(start), engineFleet(6))
 	ids := map[string]bool{}
 	for range 12 {
@@ -113,7 +115,7 @@
 	}
 }
 
-func TestADaemonThatDoesNotReachThePlacerChoosesAlone(t *testing.T) {
+func TestUnreachableOwnerIsBypassed(t *testing.T) {
 	all, nets := newPlacers(clockwork.NewFakeClockAt(start), engineFleet(4), engineFleet(4))
 	nets[1].cut = true
 	placed := all["vm-1"].Choose(context.Background(), "p", promptCriteria("part", 6000, 500))
@@ -123,7 +125,7 @@
 	placed.Finish(VerdictSuccess, Load{})
 }
 
-func TestLeasesEndAndAreForgotten(t *testing.T) {
+func TestLeasesAreReleased(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(start)
 	owner := engineFleet(2)
 	all, nets := newPlacers(clock, owner, engineFleet(2))
@@ -146,7 +148,7 @@
 	lost := all["vm-1"].Choose(context.Background(), "p", promptCriteria("b", 0, 100))
 	nets[1].cut = true
 	lost.Finish(VerdictSuccess, Load{})
-	clock.Advance(leaseMost + time.Second)
+	clock.Advance(maxLeaseAge + time.Second)
 	all["vm-0"].Sweep()
 	if active() != 0 {
 		t.Errorf("%d active long after a note was lost", active())
@@ -158,7 +160,7 @@
 	}
 }
 
-func TestATargetThatTheAskerLeavesOutIsNotPlaced(t *testing.T) {
+func TestExcludedTargetIsNotPlaced(t *testing.T) {
 	all, _ := newPlacers(clockwork.NewFakeClockAt(start), engineFleet(2), engineFleet(2))
 	w := promptCriteria("part", 6000, 500)
 	w.Tried = map[string]bool{"e00": true}
@@ -169,7 +171,7 @@
 	}
 }
 
-func TestRoutesWithLongAndShortPromptsAreKeptApart(t *testing.T) {
+func TestLongAndShortPromptsAreSeparated(t *testing.T) {
 	f := engineFleet(8)
 	now := start
 	long, short := map[string]int{}, map[string]int{}
@@ -194,7 +196,7 @@
 	}
 }
 
-func TestTheCacheOfAnEngineIsBounded(t *testing.T) {
+func TestPromptCacheIsBounded(t *testing.T) {
 	var c promptCache
 	for i := range 50 {
 		c.record(start.Add(time.Duration(i)*time.Second), []proto.PromptPart{{ID: "root", Tokens: 100}, {ID: fmt.Sprint(i), Tokens: 1000}}, 5000)
@@ -215,12 +217,12 @@
 
 // TestAnEntryMayChangeWhileItsTargetIsChosen is for the race detector: the entry of a chosen target is read while the
 // store's answer replaces it.
-func TestAnEntryMayChangeWhileItsTargetIsChosen(t *testing.T) {
+func TestEntryChangesDuringChoice(t *testing.T) {
 	fleet := NewFleet(func(string) {})
 	spec := testTarget("t", "p", "z")
 	spec.Address = netip.MustParseAddrPort("10.0.0.1:80")
 	fleet.ApplyChanges(start, []FleetChange{{ID: "t", Version: rev(1), Target: spec}})
-	peers := &peersOf{self: "one", owner: "one"}
+	peers := &stubPeers{self: "one", owner: "one"}
 	placer := NewPlacer("one", clockwork.NewFakeClock(), hclog.NewNullLogger(), fleet, peers)
 	done := make(chan struct{})
 	go func() {
@@ -259,12 +261,12 @@
 
 // latePeers answer after a time, and not at all if the asker's time is over by then.
 type latePeers struct {
-	*peersOf
+	*stubPeers
 	delay time.Duration
 }
 
 func (p *latePeers) Call(ctx context.Context, to proto.VM, m proto.Message) (proto.Message, error) {
-	answer, err := p.peersOf.Call(ctx, to, m)
+	answer, err := p.stubPeers.Call(ctx, to, m)
 	select {
 	case <-time.After(p.delay):
 		return answer, err
@@ -275,7 +277,7 @@
 
 // TestALateChoiceIsGivenBack has the daemon that places for a pool answer later than is waited for. The asker decides alone, and the
 // engine that was chosen for it counts for nobody.
-func TestALateChoiceIsGivenBack(t *testing.T) {
+func TestLatePlacementIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := clockwork.NewRealClock()
 		all, nets := newPlacers(clock, engineFleet(4), engineFleet(4))
--- a/relay/ranks.go
+++ b/relay/ranks.go
@@ -38,7 +38,7 @@
 	}
 	ranks := map[string]map[urgency]int{}
 	for pool, urgencies := range found {
-		ranks[pool] = number(urgencies)
+		ranks[pool] = numberUrgencies(urgencies)
 	}
 	return ranks
 }
@@ -55,7 +55,7 @@
 	return all
 }
 
-func number(urgencies map[urgency]bool) map[urgency]int {
+func numberUrgencies(urgencies map[urgency]bool) map[urgency]int {
 	order := slices.SortedFunc(maps.Keys(urgencies), func(a, b urgency) int {
 		return cmp.Or(cmp.Compare(a.workspace, b.workspace), cmp.Compare(a.route, b.route))
 	})
--- a/relay/ranks_test.go
+++ b/relay/ranks_test.go
@@ -8,7 +8,7 @@
 
 func priority(p int) *int { return &p }
 
-func TestRanksOrderWorkspacesFirstAndRoutesWithin(t *testing.T) {
+func TestRanksOrderWorkspacesBeforeRoutes(t *testing.T) {
 	to := []proto.WeightedPool{{Pool: "engines", Weight: 1}}
 	routes := []proto.Route{
 		{Name: "menu", Priority: 0, Split: to},
--- a/relay/shards_test.go
+++ b/relay/shards_test.go
@@ -11,7 +11,7 @@
 	"emberlead/proto"
 )
 
-func poolOf(n int) []proto.RelayTarget {
+func testTargets(n int) []proto.RelayTarget {
 	targets := make([]proto.RelayTarget, n)
 	for i := range targets {
 		targets[i] = testTarget(fmt.Sprint("t", i), "p", "z")
@@ -19,7 +19,7 @@
 	return targets
 }
 
-func TestAPoolIsDividedByItsSize(t *testing.T) {
+func TestShardCount(t *testing.T) {
 	for targets, want := range map[int]int{0: 1, 1: 1, 24: 1, 25: 2, 48: 2, 72: 3, 700: 30} {
 		if got := shardCount(targets); got != want {
 			t.Errorf("%d targets are divided into %d shards, want %d", targets, got, want)
@@ -27,8 +27,8 @@
 	}
 }
 
-func TestEachTargetIsInOneShard(t *testing.T) {
-	targets := poolOf(100)
+func TestTargetsInShardPartitionPool(t *testing.T) {
+	targets := testTargets(100)
 	shards := shardCount(len(targets))
 	seen := map[string]int{}
 	for i := range shards {
@@ -52,10 +52,10 @@
 }
 
 // TestAnotherShardTakesItsPartFromAllOthers counts the targets that change their shard as a pool grows.
-func TestAnotherShardTakesItsPartFromAllOthers(t *testing.T) {
+func TestAddedShardMovesFewTargets(t *testing.T) {
 	moved := 0
 	const targets, shards = 1000, 9
-	for _, target := range poolOf(targets) {
+	for _, target := range testTargets(targets) {
 		before, after := shardOf(target.ID, shards), shardOf(target.ID, shards+1)
 		if before != after && after != shards {
 			t.Errorf("%s moves from shard %d to %d, which was there before", target.ID, before, after)
@@ -74,14 +74,14 @@
 	peers := &recordingPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}}
 	p := newTestPieceScheduler(clockwork.NewRealClock(), peers, &stubSender{})
 	var changes []FleetChange
-	for i, target := range poolOf(targets) {
+	for i, target := range testTargets(targets) {
 		changes = append(changes, putChange(uint64(i+1), target))
 	}
 	p.fleet.ApplyChanges(start, changes)
 	return p
 }
 
-func TestStagesGoToTheShorterOfTwoQueues(t *testing.T) {
+func TestChooseShardPrefersShorterQueue(t *testing.T) {
 	p := shardedPieces(3 * shardTargets)
 	got := map[int]int{}
 	for i := range 300 {
@@ -104,7 +104,7 @@
 }
 
 // TestResultsAreFreedAtTheShardThatMadeThem has another daemon batch for all shards.
-func TestResultsAreFreedAtTheShardThatMadeThem(t *testing.T) {
+func TestResultsAreFreedAtTheirShard(t *testing.T) {
 	p := shardedPieces(3 * shardTargets)
 	peers := p.peers.(*recordingPeers)
 	for i := range 20 {
@@ -121,7 +121,7 @@
 }
 
 // TestBatchersFollowAPoolThatGrows has a pool of one shard become one of two.
-func TestBatchersFollowAPoolThatGrows(t *testing.T) {
+func TestShardsFollowPoolGrowth(t *testing.T) {
 	p := shardedPieces(shardTargets)
 	first := p.workerFor(shard{"p", 0})
 	if n := len(first.targets()); n != shardTargets {
--- a/relay/signalterms.go
+++ b/relay/signalterms.go
@@ -14,13 +14,13 @@
 	}
 	p.lock()
 	defer p.mu.Unlock()
-	if !p.mayLimit {
+	if !p.mayHaveLimits {
 		return nil
 	}
-	p.mayLimit = false
+	p.mayHaveLimits = false
 	var list []proto.TargetNotice
 	for _, t := range p.list {
-		p.mayLimit = p.mayLimit || t.notice.HasLimit
+		p.mayHaveLimits = p.mayHaveLimits || t.notice.HasLimit
 		if t.notice.HasLimit && !t.closed() {
 			list = append(list, t.notice)
 		}
@@ -36,10 +36,10 @@
 }
 
 // rests tells whether the target wants nothing from this daemon.
-func (t *Target) rests(now time.Time) bool { return now.Before(t.restUntil) }
+func (t *Target) backsOff(now time.Time) bool { return now.Before(t.backoffUntil) }
 
 // restsFor returns how long it takes until a target of a pool that wants rest from this daemon may get work, and false if none wants rest.
-func (f *Fleet) backoffRemaining(now time.Time, pool string) (left time.Duration, rests bool) {
+func (f *Fleet) backoffRemaining(now time.Time, pool string) (left time.Duration, backsOff bool) {
 	p := f.pool(pool)
 	if p == nil {
 		return 0, false
@@ -47,39 +47,39 @@
 	p.lock()
 	defer p.mu.Unlock()
 	for _, t := range p.list {
-		if t.closed() || !t.rests(now) {
+		if t.closed() || !t.backsOff(now) {
 			continue
 		}
-		if in := t.restUntil.Sub(now); !rests || in < left {
-			left, rests = in, true
+		if in := t.backoffUntil.Sub(now); !backsOff || in < left {
+			left, backsOff = in, true
 		}
 	}
-	return left, rests
+	return left, backsOff
 }
 
 // heldTarget is a target that may get no request for a while by what it signals: for left, if it asked for rest, and within its limit.
-type heldTarget struct {
+type blockedTarget struct {
 	notice proto.TargetNotice
 	left   time.Duration
 }
 
 // allHeld returns the targets of a pool in some regions that may get work, if each of them rests or names a limit; nil if one does neither.
-func (f *Fleet) allHeld(now time.Time, pool string, homes proto.AllowedRegions) []heldTarget {
+func (f *Fleet) allBlocked(now time.Time, pool string, homes proto.AllowedRegions) []blockedTarget {
 	p := f.pool(pool)
 	if p == nil {
 		return nil
 	}
 	p.lock()
 	defer p.mu.Unlock()
-	var held []heldTarget
+	var held []blockedTarget
 	for _, t := range p.list {
 		if t.closed() || !homes.Allows(t.Spec.Region) {
 			continue
 		}
-		if !t.rests(now) && !t.notice.HasLimit {
+		if !t.backsOff(now) && !t.notice.HasLimit {
 			return nil
 		}
-		held = append(held, heldTarget{t.notice, max(0, t.restUntil.Sub(now))})
+		held = append(held, blockedTarget{t.notice, max(0, t.backoffUntil.Sub(now))})
 	}
 	return held
 }
@@ -102,10 +102,10 @@
 	defer p.mu.Unlock()
 	var list []targetLimits
 	for _, t := range p.list {
-		if !t.notice.HasLimit && !t.rests(now) {
+		if !t.notice.HasLimit && !t.backsOff(now) {
 			continue
 		}
-		terms := targetLimits{id: t.Spec.ID, limit: noLimit, backoffUntil: t.restUntil}
+		terms := targetLimits{id: t.Spec.ID, limit: noLimit, backoffUntil: t.backoffUntil}
 		if t.notice.HasLimit {
 			terms.limit = t.notice.Limit
 		}
@@ -115,10 +115,10 @@
 }
 
 // signalLinesMost bounds the targets whose notices stand in one line of the log.
-const signalLinesMost = 8
+const maxSignalLogEntries = 8
 
 // signalLine is what a target signals, for the log. It belongs to the line of a request, so the age tells how old it was then.
-type signalLine struct {
+type signalLogEntry struct {
 	Target  string  `json:"target"`
 	Leaving bool    `json:"leaving,omitempty"`
 	Limit   float64 `json:"perSecond,omitempty"`
@@ -128,13 +128,13 @@
 	From proto.VM `json:"from,omitempty"`
 	Next string   `json:"next,omitempty"`
 	// Rest is how much longer the target wants rest.
-	Rest string `json:"rest,omitempty"`
+	Backoff string `json:"rest,omitempty"`
 
 	notice proto.TargetNotice
 }
 
 // signalLines returns what the first targets of a pool signal that holds.
-func (f *Fleet) signalLines(now time.Time, pool string) []signalLine {
+func (f *Fleet) signalLogEntries(now time.Time, pool string) []signalLogEntry {
 	p := f.pool(pool)
 	if p == nil {
 		return nil
@@ -143,20 +143,20 @@
 	defer f.mu.RUnlock()
 	p.lock()
 	defer p.mu.Unlock()
-	var lines []signalLine
+	var lines []signalLogEntry
 	for _, t := range p.list {
 		s := f.signals[t.Spec.RunName()]
-		if s == nil || len(lines) == signalLinesMost {
+		if s == nil || len(lines) == maxSignalLogEntries {
 			continue
 		}
-		line := signalLine{Target: t.Spec.ID, Leaving: s.leaving}
+		line := signalLogEntry{Target: t.Spec.ID, Leaving: s.leaving}
 		if s.limit != noLimit {
 			line.Limit, line.Age, line.From, line.notice = s.limit, formatDuration(now.Sub(s.limitAt)), s.limitFrom, t.notice
 		}
-		if t.rests(now) {
-			line.Rest = formatDuration(t.restUntil.Sub(now))
+		if t.backsOff(now) {
+			line.Backoff = formatDuration(t.backoffUntil.Sub(now))
 		}
-		if line != (signalLine{Target: t.Spec.ID}) {
+		if line != (signalLogEntry{Target: t.Spec.ID}) {
 			lines = append(lines, line)
 		}
 	}
--- a/relay/targetsignals.go
+++ b/relay/targetsignals.go
@@ -9,14 +9,14 @@
 
 // noticesKept is how long what a run of a target has said is remembered once the run is not listed. Its entry may come back, as
 // after another writer spoilt it or with a copy of the store.
-const noticesKept = 10 * time.Minute
+const noticeRetention = 10 * time.Minute
 
 // What targets that turn a daemon away may ask of it.
 const (
 	// restMost bounds a rest, since a target may recover sooner than it thought.
-	restMost = 5 * time.Minute
+	maxBackoff = 5 * time.Minute
 	// restCredible is the longest rest that is believed. One that asks for more, such as a year, is not left out for that.
-	restCredible = time.Hour
+	maxCredibleBackoff = time.Hour
 )
 
 // signal is what a target signals in one answer.
@@ -35,7 +35,7 @@
 	event string
 	// limit and before are the limits in force now and before, in requests a second; negative if there is none.
 	limit, before float64
-	rest          time.Duration
+	backoff       time.Duration
 }
 
 // targetSignals is what a run of a target has signalled.
@@ -48,14 +48,14 @@
 	// limitFrom is the daemon that told the limit; "" if an answer to this one did.
 	limitFrom proto.VM
 	// change counts the changes of the limit, at whatever daemon.
-	change    uint64
-	restUntil time.Time
+	change       uint64
+	backoffUntil time.Time
 	// listedAt is when the run was last seen to be listed.
 	listedAt time.Time
 }
 
 // at returns the target that has an address.
-func (f *Fleet) at(address netip.AddrPort) (proto.RelayTarget, bool) {
+func (f *Fleet) targetAt(address netip.AddrPort) (proto.RelayTarget, bool) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	for _, t := range f.byID {
@@ -67,7 +67,7 @@
 }
 
 // signalsAt returns whether the target that has an address names a limit, and until when it wants rest from this daemon.
-func (f *Fleet) signalsAt(address netip.AddrPort) (limited bool, restUntil time.Time) {
+func (f *Fleet) signalsAt(address netip.AddrPort) (limited bool, backoffUntil time.Time) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	for run, s := range f.signals {
@@ -76,7 +76,7 @@
 			continue
 		}
 		if spec := f.Spec(t); spec.Address == address && spec.RunName() == run {
-			return s.limit != noLimit, s.restUntil
+			return s.limit != noLimit, s.backoffUntil
 		}
 	}
 	return false, time.Time{}
@@ -93,7 +93,7 @@
 }
 
 // takeSignal takes in the signal of a target's answer, and returns what changed by it.
-func (f *Fleet) takeSignal(now time.Time, h *signal) []signalChange {
+func (f *Fleet) recordSignal(now time.Time, h *signal) []signalChange {
 	run := h.target.RunName()
 	f.mu.RLock()
 	_, known := f.signals[run]
@@ -102,35 +102,35 @@
 		return nil
 	}
 	f.mu.Lock()
-	s := f.keep(now, run, h.target.ID)
+	s := f.ensureSignals(now, run, h.target.ID)
 	before := s.notice(run)
 	var changes []signalChange
 	if h.Leaving && !s.leaving {
 		s.leaving = true
 		changes = append(changes, signalChange{event: "target draining", limit: s.limit, before: s.limit})
 	}
-	if change, changed := s.takeLimit(now, h); changed {
+	if change, changed := s.recordLimit(now, h); changed {
 		changes = append(changes, change)
 	}
-	if change, changed := s.takeRest(now, h); changed {
+	if change, changed := s.recordBackoff(now, h); changed {
 		changes = append(changes, change)
 	}
 	pool, notice := "", s.notice(run)
 	if len(changes) > 0 {
-		pool = f.mark(run, s)
+		pool = f.applySignals(run, s)
 	}
 	f.mu.Unlock()
 	if pool != "" {
 		f.changed(pool)
 	}
 	if notice != before {
-		f.tell([]proto.TargetNotice{notice})
+		f.onNotices([]proto.TargetNotice{notice})
 	}
 	return changes
 }
 
 // keep returns what is kept of a run, which is nothing yet if it is new; the fleet is locked.
-func (f *Fleet) keep(now time.Time, run proto.RunName, target string) *targetSignals {
+func (f *Fleet) ensureSignals(now time.Time, run proto.RunName, target string) *targetSignals {
 	s := f.signals[run]
 	if s == nil {
 		s = &targetSignals{target: target, limit: noLimit, listedAt: now}
@@ -141,7 +141,7 @@
 
 // takeLimit takes in the limit that an answer names, or that it names none. An answer to a request from before the limit became known
 // may be older than that.
-func (s *targetSignals) takeLimit(now time.Time, h *signal) (change signalChange, changed bool) {
+func (s *targetSignals) recordLimit(now time.Time, h *signal) (change signalChange, changed bool) {
 	limit := noLimit
 	if h.Limited {
 		limit = h.Limit
@@ -159,22 +159,22 @@
 }
 
 // takeRest takes in for how long the target wants nothing from this daemon.
-func (s *targetSignals) takeRest(now time.Time, h *signal) (change signalChange, changed bool) {
-	change = signalChange{event: "target asks for rest", limit: s.limit, before: s.limit, rest: h.Backoff}
-	if h.Backoff > restCredible {
+func (s *targetSignals) recordBackoff(now time.Time, h *signal) (change signalChange, changed bool) {
+	change = signalChange{event: "target asks for rest", limit: s.limit, before: s.limit, backoff: h.Backoff}
+	if h.Backoff > maxCredibleBackoff {
 		change.event = "excessive rest of a target ignored"
 		return change, true
 	}
-	until := now.Add(min(h.Backoff, restMost))
-	if h.Backoff <= 0 || !until.After(s.restUntil) {
+	until := now.Add(min(h.Backoff, maxBackoff))
+	if h.Backoff <= 0 || !until.After(s.backoffUntil) {
 		return signalChange{}, false
 	}
-	s.restUntil = until
+	s.backoffUntil = until
 	return change, true
 }
 
 // mark applies what a run has signalled to its target, and returns the pool, or "" if the run is not listed; the fleet is locked.
-func (f *Fleet) mark(run proto.RunName, s *targetSignals) (pool string) {
+func (f *Fleet) applySignals(run proto.RunName, s *targetSignals) (pool string) {
 	t := f.byID[s.target]
 	if t == nil {
 		return ""
@@ -193,14 +193,14 @@
 	if s == nil {
 		return
 	}
-	t.notice, t.restUntil = s.notice(t.Spec.RunName()), s.restUntil
-	t.pool.mayLimit = t.pool.mayLimit || t.notice.HasLimit
+	t.notice, t.backoffUntil = s.notice(t.Spec.RunName()), s.backoffUntil
+	t.pool.mayHaveLimits = t.pool.mayHaveLimits || t.notice.HasLimit
 }
 
 // forgetNotices forgets what runs have signalled that are not listed any more; the fleet is locked.
 func (f *Fleet) forgetNotices(now time.Time) {
 	for run, s := range f.signals {
-		if now.Sub(s.listedAt) > noticesKept {
+		if now.Sub(s.listedAt) > noticeRetention {
 			delete(f.signals, run)
 		}
 	}
