--- a/relay/batch.go
+++ b/relay/batch.go
@@ -6,58 +6,61 @@
 	"emberlead/proto"
 )
 
-// Figures of batching.
+// Limits and weights of batching.
 const (
-	// pieceTries is how often the pieces of one stage are sent anew after a call that failed: three targets that fail one
-	// after the other have a common cause, and the request's time is over by then.
+	// pieceTries is the number of failed calls after which the pieces of a stage are given up: three targets that fail
+	// one after the other have a common cause, and by then the deadline of the request has passed.
 	pieceTries = 3
-	// aloneAfter is after how many failed calls a job's pieces go in a call of their own. What ends targets by one of its
-	// pieces fails then by itself, and those that were in the call with it are served by their third one. After the first
-	// failure all go together again: most targets end by themselves, and calls for few pieces take as long as full ones.
+	// aloneAfter is the number of failed calls after which the pieces of a job get a call of their own. A piece that
+	// crashes its target then affects no other job, and the jobs that shared the failed calls succeed on their third
+	// one. After the first failure the pieces are still batched with others: most targets fail for reasons of their
+	// own, and calls with few pieces take as long as full ones.
 	aloneAfter = pieceTries - 1
-	// crossCalls is for how many full calls' time a job waits for a target in the zone of its inputs: one of them is free
-	// again within a call's length, and what crosses zones is paid for.
+	// crossCalls is how long a job waits for a target in the zone of its inputs, as a multiple of the time of a full
+	// call: one of these targets becomes idle within one call, and traffic between zones costs money.
 	crossCalls = 1.2
-	// spareCalls is how many calls' time a less urgent job must have left to leave the last idle target to others.
+	// spareCalls is how much time a less urgent job must have left to leave the last idle target to others, as a
+	// multiple of its call time.
 	spareCalls = 2
-	// bulkInputs is from how many bytes of inputs on their zone matters.
+	// minBulkInputBytes is the number of bytes from which the zone of the inputs affects placement.
 	minBulkInputBytes = 50_000
-	// wholeRoom is the part of a target's room up to which a job is begun with all of its pieces or not at all: a larger
-	// one would wait for long.
+	// wholeRoom is the fraction of the result storage of a target up to which a job starts only if there is room for
+	// all of its pieces. Larger jobs would wait too long for that.
 	wholeRoom = 0.5
-	// rankShare is the part of its goal by which a job's turn comes later for each step of rank; with much more the least
-	// urgent would wait to their end in a burst.
+	// rankShare is the fraction of its latency goal by which a job is moved back in the queue for each step of rank.
+	// With a much larger one the least urgent jobs would wait until their deadlines during a burst.
 	rankShare = 0.4
-	// begunLead is by how many empty calls' time the turn of a request comes earlier for which work was done before: what
-	// it has taken up so far, room above all, is given back sooner.
+	// begunLead is how far a job of a request that already did work is moved ahead in the queue, as a multiple of the
+	// time of an empty call. The resources that the request holds, above all result storage, are then released sooner.
 	begunLead = 1.5
-	// overdueAt is how many times its expected time a call may take before its pieces are queued again: past twice, a
-	// second call ends before the first one more often than not.
+	// overdueAt is how many times its expected time a call may take before its pieces are queued again: beyond a factor
+	// of two, a second call finishes before the first one more often than not.
 	overdueAt = 2.2
-	// hiddenShare is the part of the time that results are kept unless they are freed, after which unknown ones count
-	// for nothing: most are freed long before.
+	// hiddenShare is the fraction of the lifetime of results after which results unknown to this daemon no longer
+	// count. Most results are freed long before they expire.
 	hiddenShare = 0.5
-	// holdCalls is for how many full calls' time a result takes up room before that is learnt: that of its own call, and
-	// that of the next stage's. holdWeight is the weight of one result.
+	// holdCalls is the initial estimate of how long a result occupies storage, in full calls: that of the call that
+	// makes it, and that of the next stage. holdWeight is the weight of one observation.
 	holdCalls  = 2
 	holdWeight = 0.05
-	// rankReserve is the part of its time that a job must leave free for each step of priority to be admitted.
+	// rankReserve is the fraction of its time that a job must have to spare for each step of rank to be admitted.
 	rankReserve = 0.1
-	// lateMargin and latePart bound what is taken although it will be late: with the work ahead of it so many times
-	// over, as more urgent work goes on coming, it must be made within that part of the time for which its result is of
-	// use. Its caller would be sent away for at least as long, and half of those who come back late fail.
+	// lateMargin and latePart decide whether a job that will be late is accepted: with lateMargin times the work ahead
+	// of it, since more urgent work keeps arriving, it must be done within latePart of the time until its deadline. If
+	// it were refused, its caller would have to wait for at least as long, and half of the callers that retry late
+	// fail.
 	lateMargin = 2
 	latePart   = 0.5
-	// giveUpEvery is how often the queue is searched for jobs that wait in vain, which takes as long as the queue; a
-	// caller hears of it that much later.
+	// giveUpEvery is how often the queue is searched for jobs that cannot meet their deadlines, which takes time
+	// proportional to its length. Callers learn of a refusal that much later.
 	giveUpEvery = 50 * time.Millisecond
-	// allTurns is a turn after all others, late ones included.
+	// allTurns is a position behind all other jobs, late ones included.
 	allTurns = time.Hour
-	// retryFloor is the least time to come back that a refusal names.
+	// minRetryWait is the shortest retry time that a refusal names.
 	minRetryWait = 300 * time.Millisecond
-	// roomWait is how long a target that had no room is left out: results are freed every 20 ms.
+	// roomWait is how long a target without room for results is skipped: results are freed every 20 ms.
 	roomWait = 100 * time.Millisecond
-	// outBase and outMost bound how long a stage target is left out after a failed call.
+	// outBase and outMost are the shortest and the longest time for which a target is skipped after a failed call.
 	outBase = 250 * time.Millisecond
 	outMost = 3 * time.Second
 )
@@ -68,13 +71,15 @@
 	pace  float64
 	inRow int
 	outTo time.Time
-	// restUntil is until when the target wants no call.
+	// backoffUntil is the end of the backoff that the target asked for.
 	restUntil time.Time
-	// limit is how many requests a second the target takes, if it is limited, and allowed counts those.
+	// limit is the number of requests per second that the target accepts, if it named a limit, and allowed counts the
+	// requests against it.
 	limit   float64
 	limited bool
 	allowed tokenBucket
-	// room are the bytes of results that are kept or being made, and hidden those found to be kept beside at hiddenAt.
+	// room is the number of bytes of results that are kept or being made. hidden is the number of bytes of further
+	// results that were found at hiddenAt.
 	room     int64
 	hidden   int64
 	hiddenAt time.Time
@@ -85,36 +90,36 @@
 	handle string
 	bytes  int64
 	until  time.Time
-	// since is when the call that made it began.
+	// since is the time when the call that made the result started.
 	since time.Time
 }
 
-// Batcher fills the calls to the targets of one pool from the jobs of all requests. It makes decisions only: a
-// driver sends the calls and reports what came of them.
+// Batcher fills the calls to the targets of one pool from the jobs of all requests. It does no I/O: its caller sends
+// the calls and reports their outcomes.
 type Batcher struct {
 	spec    proto.BatchSpec
 	targets map[string]*batchTarget
 	jobs    []*Job
 	model   *callModel
 	kept    map[string]*batchTarget
-	// lastLook is when the queue was last searched for jobs that wait in vain, and resort says that the order of the
-	// jobs may have changed.
+	// lastLook is when the queue was last searched for jobs that cannot meet their deadlines. resort is set when the
+	// order of the jobs may have changed.
 	lastLook time.Time
 	resort   bool
-	// began is when the first job came.
+	// began is when the first job was added.
 	began time.Time
-	// hold is how long a result takes up room on average, from its call's start until it is freed.
+	// hold is the average time for which a result occupies storage, from the start of its call until it is freed.
 	hold float64
-	// refuses tells which requests are not worked on.
+	// refuses reports whether a request must not be worked on.
 	refuses func(proto.RequestDigest) bool
-	// liveShare is the part of a target's limit that this batcher may use.
+	// liveShare is the fraction of the rate limits of targets that this batcher may use.
 	liveShare float64
 }
 
-// BatcherOption changes a Batcher at construction.
+// BatcherOption configures a Batcher.
 type BatcherOption func(*Batcher)
 
-// WithRefusals has the batcher end the jobs of requests that are not to be worked on.
+// WithRefusals makes the batcher fail the jobs of requests that must not be worked on.
 func WithRefusals(refuses func(proto.RequestDigest) bool) BatcherOption {
 	return func(b *Batcher) { b.refuses = refuses }
 }
@@ -130,19 +135,19 @@
 	return b
 }
 
-// fullCall is the time of a call full of pieces with results of such a size.
+// fullCall returns the time of a call that is full of pieces with results of the given size.
 func (b *Batcher) fullCall(bytes int) float64 {
 	return b.model.callCost() + float64(b.spec.MaxPieces)*b.model.pieceCost(bytes)
 }
 
-// SetSpec takes over a changed description of the pool.
+// SetSpec replaces the specification of the pool.
 func (b *Batcher) SetSpec(spec proto.BatchSpec) {
 	b.spec = spec
 	b.model.respec(spec)
 }
 
-// SetTargets takes over the targets that may get new work; calls at work elsewhere go on, but for those to a target that
-// has started again. It returns the jobs that end by that.
+// SetTargets replaces the targets that may get new calls. Calls in progress at other targets continue, except those at
+// a target that has restarted. It returns the jobs that end because of the change.
 func (b *Batcher) SetTargets(specs []proto.RelayTarget) []FinishedJob {
 	var ends []FinishedJob
 	listed := map[string]bool{}
@@ -175,7 +180,7 @@
 	}
 }
 
-// Add queues a job, or returns the answer that refuses it because its results would not come in time.
+// Add queues a job, or returns the refusal if its results would not be ready in time.
 func (b *Batcher) Add(now time.Time, j *Job) *proto.PiecesAnswer {
 	if b.began.IsZero() {
 		b.began = now
@@ -208,7 +213,7 @@
 	return nil
 }
 
-// homeless tells whether no target is in the regions that a job is bound to.
+// homeless reports whether no target is in the regions that a job is restricted to.
 func (b *Batcher) homeless(j *Job) bool {
 	for _, t := range b.targets {
 		if !t.spec.Leaving && j.Params.AllowedRegions.Allows(t.spec.Region) {
@@ -218,7 +223,7 @@
 	return j.Params.AllowedRegions.Restricted
 }
 
-// NextCalls returns the calls to send now, and the jobs whose time is over.
+// NextCalls returns the calls to send now and the jobs that ended.
 func (b *Batcher) NextCalls(now time.Time) ([]*Call, []FinishedJob) {
 	ends := b.expire(now)
 	ends = append(ends, b.refuseJobs()...)
@@ -241,7 +246,7 @@
 	return FinishedJob{Job: j, Answer: a}
 }
 
-// Withdraw ends a request's jobs because nobody waits for them, and returns the results that were made already.
+// Withdraw cancels the jobs of a request because nobody waits for them, and returns the results that were already made.
 func (b *Batcher) Withdraw(request string, stage int) []string {
 	var unused []string
 	for _, j := range b.jobs {
@@ -258,7 +263,7 @@
 	return unused
 }
 
-// Queued returns the number of jobs and of pieces that wait.
+// Queued returns the number of jobs and of pieces in the queue.
 func (b *Batcher) Queued() (jobs, pieces int) {
 	for _, j := range b.jobs {
 		if !j.done && j.left() > 0 {
@@ -269,5 +274,5 @@
 	return jobs, pieces
 }
 
-// Busy tells whether there are jobs, so that time can bring something to do.
+// Busy reports whether there are jobs, so that NextCalls must be called again later.
 func (b *Batcher) Busy() bool { return len(b.jobs) > 0 }
--- a/relay/batch_test.go
+++ b/relay/batch_test.go
@@ -17,7 +17,7 @@
 	return b
 }
 
-// job has pieces with results of 1,000 bytes each and an hour's time.
+// job returns a job whose results have 1,000 bytes each and that is due in an hour.
 func job(id string, pieces int) *Job {
 	return &Job{Params: proto.PiecesAsk{Pool: "p", RequestID: id, Pieces: pieces, ResultBytes: 1000}, Due: start.Add(time.Hour), Deadline: start.Add(2 * time.Hour)}
 }
@@ -139,9 +139,6 @@
 	}
 }
 
-// TestAJobThatWillBeLateButSurelyMadeIsTaken has the queue of the test above and more time: sent away, its caller would
-// come back no earlier than it is served here.
-// TestALateJobThatWillNotBeMadeIsGivenUpAtOnce fills the queue with urgent work after a late job was taken.
 func TestAJobIsNotBegunWithAPartOfItsResults(t *testing.T) {
 	b := batcher(testTarget("t1", "p", "z"))
 	add(t, b, job("a", 8), job("b", 6), job("c", 4))
@@ -150,7 +147,7 @@
 	if pieces(first) != "a0 a1 a2 a3 a4 a5 a6 a7 " || len(ends) != 1 {
 		t.Fatalf("first call %q", pieces(first))
 	}
-	// Room is left for four results of twelve.
+	// There is room for four of the twelve results.
 	calls := next(b, start)
 	if len(calls) != 1 || pieces(calls[0]) != "c0 c1 c2 c3 " {
 		t.Fatalf("%d calls: b would keep four results until there is room for two more", len(calls))
@@ -282,8 +279,8 @@
 	}
 }
 
-// TestEveryJobEndsOnceWithItsOwnResults plays random arrivals, failures, lost room, overdue calls and targets that
-// come and go.
+// TestEveryJobEndsOnceWithItsOwnResults plays random arrivals, failures, targets without room, overdue calls, and
+// targets that come and go.
 func TestEveryJobEndsOnceWithItsOwnResults(t *testing.T) {
 	for seed := range uint64(300) {
 		playBatches(t, rand.New(rand.NewPCG(seed, 1)))
@@ -395,7 +392,8 @@
 	}
 }
 
-// BenchmarkLongQueue is one turn of a pool behind which much has piled up, as an owner takes some hundred times a second.
+// BenchmarkLongQueue measures one round of scheduling with a long queue; the owner of a pool runs several hundred per
+// second.
 func BenchmarkLongQueue(b *testing.B) {
 	for _, jobs := range []int{30, 300} {
 		b.Run(fmt.Sprintf("jobs=%d", jobs), func(b *testing.B) {
--- a/relay/batchends_test.go
+++ b/relay/batchends_test.go
@@ -11,7 +11,8 @@
 	"emberlead/proto"
 )
 
-// TestACallThatFailsTwiceIsMadeJobByJob has one request end each target that makes a piece of it, and others in its calls.
+// TestACallThatFailsTwiceIsMadeJobByJob has a request that crashes each target that makes a piece of it, while its
+// pieces share calls with those of other requests.
 func TestACallThatFailsTwiceIsMadeJobByJob(t *testing.T) {
 	crashes := newTestCrashTracker(clockwork.NewFakeClockAt(start))
 	pool := batchSpec
--- a/relay/batchfill.go
+++ b/relay/batchfill.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// fill makes one call from the jobs whose turn it is, or returns nil.
+// fill builds a call from the first jobs of the queue that can start, or returns nil.
 func (b *Batcher) fill(now time.Time) *Call {
 	idle, inService := b.idle(now)
 	if idle == 0 {
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// idle counts the targets that can take a call now, and those in service.
+// idle counts the targets that can take a call now and the targets in service.
 func (b *Batcher) idle(now time.Time) (idle, inService int) {
 	for _, t := range b.targets {
 		if t.spec.Leaving || b.isOut(now, t) {
@@ -39,8 +39,8 @@
 	return idle, inService
 }
 
-// keepsLast tells whether one target is left idle, and what waits does not fill a call: a call for a few pieces takes
-// nearly as long as a full one, and what is urgent would wait for its end.
+// keepsLast reports whether only one target is idle and the queue does not fill a call. A call with few pieces takes
+// nearly as long as a full one, and urgent work that arrives meanwhile would have to wait for it.
 func (b *Batcher) keepsLast(idle, inService int) bool {
 	if inService < 2 || idle != 1 {
 		return false
@@ -49,12 +49,13 @@
 	return waiting < b.spec.MaxPieces
 }
 
-// canWait tells whether a job that is not of the most urgent ones has time to wait for a call of others.
+// canWait reports whether a job of a lower priority has time to wait for another call.
 func (b *Batcher) canWait(now time.Time, j *Job) bool {
 	return j.Params.Rank > 0 && j.Due.Sub(now) >= time.Duration(spareCalls*j.length)
 }
 
-// targetFor returns an idle target for a job: one in the zone of its inputs, or any once it has waited for that.
+// targetFor returns an idle target for a job: one in the zone of its inputs, or any target once the job has waited long
+// enough.
 func (b *Batcher) targetFor(now time.Time, j *Job) *batchTarget {
 	var best *batchTarget
 	least := math.Inf(1)
@@ -79,9 +80,9 @@
 	return best
 }
 
-// whole is how many of a job's pieces a target must have room for to begin with them: the results of a part would only
-// take up room until the rest is made. Jobs that need much of a target's room may begin with any part, or they would
-// wait for long.
+// whole returns the number of pieces of a job for which a target must have room before the job starts: the results of
+// some pieces would only occupy storage until the others are made. Jobs that need a large part of the storage may start
+// with any number, or they would wait too long.
 func (b *Batcher) whole(j *Job) int {
 	n := min(j.left(), b.spec.MaxPieces)
 	if float64(n*j.Params.ResultBytes) > wholeRoom*float64(b.spec.MaxResultBytes) {
@@ -94,7 +95,7 @@
 	return j.Params.Zone != "" && t.spec.Zone != j.Params.Zone
 }
 
-// patience is how long a job waits for a target in the zone of its inputs, if there is one in service.
+// patience returns how long a job waits for a target in the zone of its inputs, if there is one in service.
 func (b *Batcher) patience(now time.Time, j *Job) time.Duration {
 	for _, t := range b.targets {
 		if !b.crosses(t, j) && j.Params.AllowedRegions.Allows(t.spec.Region) && !t.spec.Leaving && !b.isOut(now, t) {
@@ -113,7 +114,7 @@
 		c.Expected = b.expected(c, t)
 		return c
 	}
-	// Jobs of the target's own zone go before those whose inputs would cross zones.
+	// Jobs with inputs in the zone of the target come before those whose inputs would cross zones.
 	for _, own := range []bool{true, false} {
 		for _, j := range b.jobs {
 			if len(c.Items) >= b.spec.MaxPieces {
@@ -128,12 +129,13 @@
 	return c
 }
 
-// expected is how long a call should take.
+// expected returns the expected time of a call.
 func (b *Batcher) expected(c *Call, t *batchTarget) time.Duration {
 	return time.Duration(b.model.times.sum(contents(c, nil)) * t.pace)
 }
 
-// mayFill keeps the pieces of a job together where they fit into a call, since their results are needed together.
+// mayFill reports whether the pieces of a job may be added to a call. Pieces of a job that fit into one call are not
+// split, since their results are needed together.
 func (b *Batcher) mayFill(now time.Time, c *Call, t *batchTarget, j *Job, own bool) bool {
 	if j.alone || !j.Params.AllowedRegions.Allows(t.spec.Region) || !own && now.Before(j.since.Add(b.patience(now, j))) {
 		return false
--- a/relay/batchinputs.go
+++ b/relay/batchinputs.go
@@ -6,9 +6,9 @@
 	"emberlead/proto"
 )
 
-// fetched returns the inputs of a call under way that nothing else will read, by the shards whose results they are; its
-// target has fetched them by now. The room that they take up is what the pool before this one waits for. Where the target may
-// have no room for some results, which are then made again, inputs are kept.
+// fetched returns the inputs of a call in progress that nothing else will read, by the shard that made them. The target
+// has fetched them by now, and the previous pool needs the storage that they occupy. Inputs are kept if the target may
+// have no room for some results, as these are then made again.
 func (b *Batcher) fetched(now time.Time, c *Call) map[shard][]string {
 	t := b.targets[c.Target.ID]
 	if t == nil || t.call != c || b.roomInDoubt(now, t) {
@@ -25,19 +25,19 @@
 	return given
 }
 
-// roomInDoubt tells whether a target may keep results of which this daemon does not know: it did so a while ago, or has
-// them from a daemon that batched for the pool before this one. When all daemons die together, nine in ten of the inputs
-// that are given up too soon would be given up in the seconds after that.
+// roomInDoubt reports whether a target may hold results unknown to this daemon: it was found to recently, or the
+// results were made for a daemon that batched for the pool before this one. If all daemons crash together, nine in ten
+// of the inputs that would be released too early would be released in the seconds after that.
 func (b *Batcher) roomInDoubt(now time.Time, t *batchTarget) bool {
 	return b.spec.MaxResultBytes > 0 && (now.Sub(t.hiddenAt) < b.spec.ResultLifetime || now.Sub(b.began) < b.spec.ResultLifetime)
 }
 
-// readsLast tells whether all pieces of a job are being made for the first time and nothing else reads its inputs.
+// readsLast reports whether all pieces of a job are being made for the first time and nothing else reads its inputs.
 func (j *Job) readsLast() bool {
 	return !j.done && !j.inputsFreed && j.left() == 0 && j.exclude == "" && j.Params.InputPool != ""
 }
 
-// withoutInputs ends a job of which a piece would have to be made again.
+// withoutInputs ends a job with a piece that would have to be made again.
 func (b *Batcher) withoutInputs(j *Job) FinishedJob {
 	return b.end(j, proto.PiecesAnswer{Outcome: proto.PiecesLost, Detail: "a piece has to be made again, and its inputs were given up"})
 }
--- a/relay/batchinputs_test.go
+++ b/relay/batchinputs_test.go
@@ -7,7 +7,7 @@
 	"emberlead/proto"
 )
 
-// reader is a job that alone reads the results of another pool.
+// reader returns a job that is the only reader of results of another pool.
 func reader(id string, pieces int) *Job {
 	j := job(id, pieces)
 	j.Params.Inputs, j.Params.InputPool = []string{"input of " + id}, "before"
@@ -54,7 +54,7 @@
 	}
 }
 
-// TestInputsAreKeptWhileAnEarlierDaemonsResultsMayBeThere has a daemon batch for a pool since a moment ago.
+// TestInputsAreKeptWhileAnEarlierDaemonsResultsMayBeThere has a daemon that has just started to batch for a pool.
 func TestInputsAreKeptWhileAnEarlierDaemonsResultsMayBeThere(t *testing.T) {
 	b := batcher(testTarget("t1", "p", "z"))
 	add(t, b, reader("a", 2), reader("b", 7))
@@ -70,7 +70,7 @@
 	}
 }
 
-// TestInputsOfPiecesThatWereQueuedAgainAreKept has a call take too long, so that two targets read the same inputs.
+// TestInputsOfPiecesThatWereQueuedAgainAreKept has an overdue call, so that two targets read the same inputs.
 func TestInputsOfPiecesThatWereQueuedAgainAreKept(t *testing.T) {
 	b := batcher(testTarget("t1", "p", "z"), testTarget("t2", "p", "z"))
 	b.began = start.Add(-batchSpec.ResultLifetime)
@@ -89,7 +89,7 @@
 	}
 }
 
-// TestAPieceWithoutInputsIsNotMadeAgain has calls go wrong after their inputs were given up.
+// TestAPieceWithoutInputsIsNotMadeAgain has calls fail after their inputs were released.
 func TestAPieceWithoutInputsIsNotMadeAgain(t *testing.T) {
 	scenarios := []struct {
 		name string
--- a/relay/batchlimits.go
+++ b/relay/batchlimits.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// setTerms takes over what targets have said of the work that they take, and the part of their limits that this batcher may use.
+// setTargetLimits sets the rate limits and backoffs that targets asked for, and the fraction of the limits that this
+// batcher may use.
 func (b *Batcher) setTargetLimits(terms []targetLimits, liveShare float64) {
 	b.liveShare = liveShare
 	for _, t := range b.targets {
@@ -16,14 +17,14 @@
 	}
 }
 
-// isOut tells whether a target gets no call for the moment.
+// isOut reports whether a target gets no call for now.
 func (b *Batcher) isOut(now time.Time, t *batchTarget) bool {
 	return now.Before(t.outTo) || now.Before(t.restUntil) || b.allowedIn(now, t) > 0
 }
 
 func (b *Batcher) rate(t *batchTarget) float64 { return limitRate(t.limit, b.liveShare) }
 
-// allowedIn is how long it takes until the limit of a target allows a call.
+// allowedIn returns the time until the rate limit of a target allows a call.
 func (b *Batcher) allowedIn(now time.Time, t *batchTarget) time.Duration {
 	if !t.limited {
 		return 0
@@ -31,14 +32,14 @@
 	return t.allowed.wait(now, b.rate(t))
 }
 
-// countSend counts a call within the limit of its target.
+// countSend counts a call against the rate limit of its target.
 func (b *Batcher) countSend(now time.Time, t *batchTarget) {
 	if t.limited {
 		t.allowed.take(now, b.rate(t))
 	}
 }
 
-// mayRepeat tells whether a call may be made again at its target, and counts it.
+// mayRepeat reports whether a call may be repeated at its target, and counts it against the rate limit.
 func (b *Batcher) mayRepeat(now time.Time, c *Call) bool {
 	t := b.targets[c.Target.ID]
 	switch {
@@ -50,7 +51,7 @@
 	return !t.limited || t.allowed.take(now, b.rate(t))
 }
 
-// paceWithin is the pace of a target's calls, or that of its limit if that is slower.
+// paceWithin returns the slowdown of a target, or that of its rate limit if that is slower.
 func (b *Batcher) paceWithin(t *batchTarget) float64 {
 	if !t.limited {
 		return t.pace
--- a/relay/batchqueue.go
+++ b/relay/batchqueue.go
@@ -8,8 +8,8 @@
 	"emberlead/proto"
 )
 
-// share is the target time that a piece costs in a full call, or that its result takes of the target's room if that
-// is more.
+// share returns the target time that a piece costs in a full call, or the share of the result storage that its result
+// occupies if that is more.
 func (b *Batcher) share(bytes int) float64 {
 	work := b.model.callCost()/float64(max(1, b.spec.MaxPieces)) + b.model.pieceCost(bytes)
 	if b.spec.MaxResultBytes == 0 {
@@ -18,8 +18,9 @@
 	return max(work, b.hold*float64(bytes)/float64(b.spec.MaxResultBytes))
 }
 
-// WaitTime is the time until a job with such a turn would begin, from the work ahead of it and the targets in service. One
-// that is left out for a while counts from then on: a pool that refused one call each is not out of service.
+// WaitTime estimates the time until a job at the given position in the queue would start, from the work ahead of it and
+// the targets in service. A target in backoff counts from the end of that: a pool whose targets each refused one call
+// is not out of service.
 func (b *Batcher) WaitTime(now, turn time.Time) time.Duration {
 	free := b.capacity(now)
 	if len(free) == 0 {
@@ -34,10 +35,10 @@
 	return free.taken(work)
 }
 
-// freeTarget is when a target can begin a call, in nanoseconds from now, and its pace.
+// freeTarget holds when a target can start a call, in nanoseconds from now, and how slow the target is.
 type freeTarget struct{ in, pace float64 }
 
-// capacity is when the targets in service can begin a call, the first one at the front.
+// capacity holds when the targets in service can start a call, earliest first.
 type capacity []freeTarget
 
 func (b *Batcher) capacity(now time.Time) capacity {
@@ -59,7 +60,7 @@
 	return in
 }
 
-// taken is after what time the targets have taken up an amount of work, each from when it is free.
+// taken returns the time after which the targets have done an amount of work, each starting when it is free.
 func (c capacity) taken(work float64) time.Duration {
 	at, speed := c[0].in, 0.0
 	for i, f := range c {
@@ -73,27 +74,27 @@
 	return time.Duration(at + work/speed)
 }
 
-// QueueTime is how long a job like this one would wait for its turn if it came now.
+// QueueTime estimates how long a job like this one would wait in the queue if it were added now.
 func (b *Batcher) QueueTime(now time.Time, j *Job) time.Duration {
 	return b.WaitTime(now, now.Add(j.order.Sub(j.since)))
 }
 
-// length is how long a call with a job's pieces and a usual share of others takes.
+// length returns the time of a call with the pieces of a job and a typical number of others.
 func (b *Batcher) length(j *Job) float64 {
 	n := float64(min(j.Params.Pieces, b.spec.MaxPieces))
 	own := b.model.callCost() + n*b.model.pieceCost(j.Params.ResultBytes)
 	return (own + b.fullCall(j.Params.ResultBytes)) / 2
 }
 
-// canBeLate tells whether a job that will not be in time is still made well before its result is of no use: with all
-// that waits ahead of it, and as much again that may come.
+// canBeLate reports whether a job that will miss its due time is still made well before its deadline, even if as much
+// work as is ahead of it now is added.
 func (b *Batcher) canBeLate(now time.Time, j *Job) bool {
 	ahead := b.WaitTime(now, now.Add(allTurns))
 	return time.Duration(lateMargin*float64(ahead)+j.length) < time.Duration(latePart*float64(j.Deadline.Sub(now)))
 }
 
-// sort puts the jobs in their turn. Those that can no longer be in time come last, so that they do not make others
-// late as well.
+// sort orders the jobs by urgency. Those that can no longer be in time come last, so that they do not make others late
+// as well.
 func (b *Batcher) sort(now time.Time) {
 	for _, j := range b.jobs {
 		late := !j.Params.AnswerStarted && now.Add(time.Duration(j.length)).After(j.Due)
@@ -115,8 +116,8 @@
 	})
 }
 
-// giveUp ends the late jobs that will not be made in the time for which their results are of use, so that their callers
-// hear of it now. The jobs are in the order of their turns, so the late ones come last.
+// giveUp refuses the late jobs that cannot be made before their deadlines, so that their callers learn of it now. It
+// relies on the jobs being sorted, with the late ones last.
 func (b *Batcher) giveUp(now time.Time) []FinishedJob {
 	if now.Sub(b.lastLook) < giveUpEvery {
 		return nil
--- a/relay/batchqueue_test.go
+++ b/relay/batchqueue_test.go
@@ -62,6 +62,8 @@
 	}
 }
 
+// TestAJobThatWillBeLateButSurelyMadeIsTaken accepts a job that will be late but be made before its deadline: if it
+// were refused, a retry would not be served any earlier.
 func TestAJobThatWillBeLateButSurelyMadeIsTaken(t *testing.T) {
 	b := batcher(testTarget("t1", "p", "z"))
 	b.spec.MaxResultBytes = 0
@@ -83,6 +85,7 @@
 	}
 }
 
+// TestALateJobThatWillNotBeMadeIsGivenUpAtOnce fills the queue with urgent work after a late job was accepted.
 func TestALateJobThatWillNotBeMadeIsGivenUpAtOnce(t *testing.T) {
 	b := batcher(testTarget("t1", "p", "z"))
 	b.spec.MaxResultBytes = 0
--- a/relay/batchrestart.go
+++ b/relay/batchrestart.go
@@ -1,6 +1,6 @@
 package relay
 
-// endRun gives up what a target that has started again had made or was making: its results went with the run.
+// endRun discards the results and the call of a target that has restarted: they were lost with the process.
 func (b *Batcher) endRun(t *batchTarget) []FinishedJob {
 	lost := map[string]bool{}
 	for _, k := range t.leaves {
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// loseCall queues the pieces of a call again whose target's run is over.
+// loseCall queues the pieces of a call to a target that has restarted again.
 func (b *Batcher) loseCall(c *Call) []FinishedJob {
 	var ends []FinishedJob
 	for _, item := range c.Items {
--- a/relay/batchresult.go
+++ b/relay/batchresult.go
@@ -8,8 +8,8 @@
 	"emberlead/proto"
 )
 
-// CallDone takes in the results of a call in the order of its items and returns the jobs that ended, with the handles
-// that nobody needs any more.
+// CallDone records the results of a call, in the order of its items. It returns the jobs that ended and the handles of
+// results that are no longer needed.
 func (b *Batcher) CallDone(now time.Time, c *Call, results []ItemResult) (ends []FinishedJob, unused []string) {
 	if c.void {
 		return nil, nil
@@ -41,7 +41,8 @@
 	return ends, unused
 }
 
-// lacking queues a piece again that the target had no room for or failed at; without its inputs it cannot be made.
+// lacking queues a piece again that the target failed to make or had no room for, or ends its job if that is not
+// possible.
 func (b *Batcher) lacking(now time.Time, t *batchTarget, c *Call, item CallItem, fate proto.PieceOutcome) []FinishedJob {
 	j := item.Job
 	if j.inputsFreed {
@@ -81,8 +82,8 @@
 	return t
 }
 
-// CallFailed takes in a call that gave no results. With busy set the target refused it for want of a slot. The pieces
-// are sent again unless they were too often.
+// CallFailed records a call that returned no results. busy is set if the target refused it because it has no free slot.
+// The pieces are queued again unless too many calls failed.
 func (b *Batcher) CallFailed(now time.Time, c *Call, busy bool) []FinishedJob {
 	if c.void {
 		return nil
@@ -106,7 +107,7 @@
 	return ends
 }
 
-// requeue queues the pieces of calls that take much longer than expected again; whichever result comes first counts.
+// requeue queues the pieces of overdue calls again. The first result of a piece counts.
 func (b *Batcher) requeue(now time.Time) {
 	for _, t := range b.targets {
 		c := t.call
@@ -132,7 +133,7 @@
 	t.outTo = now.Add(min(outMost, outBase<<min(t.inRow, 6)))
 }
 
-// again queues the pieces of a call that failed.
+// again queues the pieces of a failed call.
 func (b *Batcher) again(j *Job, pieces []int, target string, busy bool) []FinishedJob {
 	if j.done {
 		return nil
@@ -155,7 +156,7 @@
 	return nil
 }
 
-// refuseJobs ends the queued jobs of requests that are not worked on any more.
+// refuseJobs fails the queued jobs of requests that must not be worked on any more.
 func (b *Batcher) refuseJobs() []FinishedJob {
 	var ends []FinishedJob
 	for _, j := range b.jobs {
--- a/relay/batchroom.go
+++ b/relay/batchroom.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// learnRoom takes in that a target had less room than was counted: it keeps results of which this daemon does not
-// know, such as those made for an earlier owner of the pool. They go when they are freed, or by themselves.
+// learnRoom records that a target had less room than expected: it holds results unknown to this daemon, such as those
+// made for an earlier owner of the pool. They are freed by that owner or expire.
 func (b *Batcher) learnRoom(now time.Time, t *batchTarget) {
 	if t == nil {
 		return
@@ -16,7 +16,7 @@
 	t.outTo = now.Add(roomWait)
 }
 
-// hiddenNow is how many bytes of unknown results a target still keeps.
+// hiddenNow estimates how many bytes of unknown results a target still holds.
 func (b *Batcher) hiddenNow(now time.Time, t *batchTarget) int64 {
 	if t.hidden == 0 || b.spec.ResultLifetime == 0 {
 		return 0
@@ -39,7 +39,7 @@
 	b.kept[handle] = t
 }
 
-// Freed notes that a result was freed at its maker.
+// Freed records that a result was freed at the target that made it.
 func (b *Batcher) Freed(now time.Time, handle string) {
 	t := b.kept[handle]
 	if t == nil {
--- a/relay/batchstanding.go
+++ b/relay/batchstanding.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// callStanding says what becomes of a call that takes much longer than expected.
+// overdueAction says what to do with an overdue call.
 type overdueAction uint8
 
 const (
-	// callWaited is a call some of whose pieces nobody else has made yet.
+	// overdueWait is for a call with pieces that no other call has made yet.
 	overdueWait overdueAction = iota
-	// callAlone is one some of whose pieces no other target can make now.
+	// overdueRepeat is for a call with pieces that no other target can make now.
 	overdueRepeat
-	// callOver is one whose pieces are all made elsewhere, not needed any more, or to be asked for again.
+	// overdueAbandon is for a call whose pieces were all made elsewhere, are not needed any more, or will be requested
+	// again.
 	overdueAbandon
 )
 
-// standing tells whether a call that takes much longer than expected is still waited for. A call is not given up for one that is not
-// made: what its target has done by then would be lost, and its pieces would wait as before.
+// checkOverdue decides what to do with an overdue call. A call is not abandoned before other calls have made its
+// pieces: the work that its target has done by then would be lost, and its pieces would have to wait again.
 func (b *Batcher) checkOverdue(now time.Time, c *Call) overdueAction {
 	if c.void {
 		return overdueAbandon
@@ -30,7 +31,7 @@
 			continue
 		}
 		if j.inputsFreed {
-			// Who asked for the piece has its inputs made anew, and asks again.
+			// The requester has the inputs made again and then requests the piece again.
 			continue
 		}
 		needed = true
@@ -45,7 +46,7 @@
 	return overdueAbandon
 }
 
-// hasOther tells whether a target other than that of a call can make pieces of a job; one that hangs in a call of its own cannot.
+// hasOther reports whether another target can make the pieces of a job. One with an overdue call of its own cannot.
 func (b *Batcher) hasOther(now time.Time, c *Call, j *Job) bool {
 	for id, t := range b.targets {
 		hangs := t.call != nil && t.call.overdue
@@ -56,7 +57,7 @@
 	return false
 }
 
-// atWork tells whether each piece is in a call that is at work, so that its job is not over by what failed elsewhere.
+// atWork reports whether each piece is in a call in progress, so that a failure elsewhere does not end its job.
 func (b *Batcher) atWork(j *Job, pieces ...int) bool {
 	for _, piece := range pieces {
 		if !b.inCall(CallItem{j, piece}) {
@@ -75,7 +76,7 @@
 	return false
 }
 
-// unattended tells whether a piece without a result neither waits nor is in a call.
+// unattended reports whether a piece without a result is neither queued nor in a call in progress.
 func (b *Batcher) unattended(j *Job, pieces []int) bool {
 	return slices.ContainsFunc(pieces, func(piece int) bool {
 		return j.handles[piece] == "" && !slices.Contains(j.todo, piece) && !b.inCall(CallItem{j, piece})
--- a/relay/cache.go
+++ b/relay/cache.go
@@ -7,14 +7,15 @@
 )
 
 const (
-	// cacheShare is the part of an engine's memory that is taken to keep prompt parts; running requests have the rest.
+	// cacheShare is the fraction of the memory of an engine that holds cached prompt parts; running requests use the
+	// rest.
 	cacheShare = 0.6
-	// cacheDefault is the memory of an engine in tokens before the configuration states it.
+	// defaultCacheTokens is the assumed memory of an engine, in tokens, until the configuration states it.
 	defaultCacheTokens = 200_000
 )
 
-// promptCache is what an engine is thought to keep of the prompts that were sent to it, the longest unused going
-// first.
+// promptCache estimates which parts of the prompts sent to an engine it still caches, with least-recently-used
+// eviction.
 type promptCache struct {
 	parts  map[string]*cachedPart
 	tokens int
@@ -25,8 +26,8 @@
 	used   time.Time
 }
 
-// missing is how many tokens of a prompt's shared parts an engine has to read: a part is only of use if all before
-// it are kept as well.
+// missingTokens returns how many tokens of the shared parts of a prompt an engine has to process: a cached part is only
+// of use if all parts before it are cached as well.
 func (c *promptCache) missingTokens(shared []proto.PromptPart) int {
 	for i, part := range shared {
 		if c.parts[part.ID] == nil {
@@ -40,7 +41,7 @@
 	return 0
 }
 
-// read notes that an engine reads a prompt's shared parts.
+// record records that an engine processes the shared parts of a prompt.
 func (c *promptCache) record(now time.Time, shared []proto.PromptPart, most int) {
 	if c.parts == nil {
 		c.parts = map[string]*cachedPart{}
--- a/relay/callmodel.go
+++ b/relay/callmodel.go
@@ -7,31 +7,33 @@
 	"emberlead/proto"
 )
 
-// Figures of what is learnt of a pool's calls.
+// Parameters of the model of call times.
 const (
-	// callLearn is the part of a call's error that its estimates take over at once. A call tells of two or three figures
-	// together; with a fifth, a figure that the configuration states at half its value is off by under a tenth after
-	// twenty calls, which a busy pool makes within two seconds, and a call that took twice its time shifts the next
-	// one's by a fifth.
+	// callLearn is the fraction of the prediction error of a call that its estimates adopt at once. Each call
+	// contributes to two or three estimates. With a fifth, an estimate that the configuration states at half its value
+	// is off by less than a tenth after twenty calls, which a busy pool makes within two seconds, and a call that took
+	// twice its expected time moves the next prediction by a fifth.
 	callLearn = 0.2
-	// callSpread is by how much an estimate may leave the configuration's figure, either way, as a factor: a pool that
-	// is off by more has targets that fail, which leaving them out sees to.
+	// callSpread is the factor by which an estimate may differ from the configured value, either way. Targets of a pool
+	// that is off by more fail their calls, and are then skipped for a while.
 	callSpread = 8
-	// callOdd is the factor from which a call is an outlier: one that meets another daemon's call at its target takes
-	// about twice its time, and says nothing of the pool.
+	// callOdd is the factor from which a call is an outlier: one that meets the call of another daemon at its target
+	// takes about twice its time, which says nothing about the pool.
 	callOdd = 2
-	// paceWeight is the weight of the newest call in a target's pace: a target that works five times as slowly as the
-	// others shows as three times as slow after two calls.
+	// paceWeight is the weight of the latest call in the slowdown of a target: a target that is five times as slow as
+	// the others shows as three times as slow after two calls.
 	paceWeight = 0.3
-	// paceFloor and paceCeiling bound a target's pace against its pool's, so that no single call takes it out for long.
+	// paceFloor and paceCeiling bound the slowdown of a target relative to its pool, so that no single call excludes it
+	// for long.
 	paceFloor, paceCeiling = 0.3, 8
 )
 
-// theCall is the call itself among the things that take time in it; the others are sizes of results.
+// theCall is the key of the fixed time of a call. The other keys are the sizes of results.
 const theCall = -1
 
-// callModel is what is learnt of how long the calls of one pool take, in nanoseconds: a time for each call and one for
-// each piece, by the size of its result, since that tells stages apart. It starts from the configuration's figures.
+// callModel estimates how long the calls of a pool take, in nanoseconds: a fixed time for each call, and a time for
+// each piece by the size of its result, which distinguishes the stages. The configured values are the initial
+// estimates.
 type callModel struct {
 	spec  proto.BatchSpec
 	times linear[int]
@@ -43,7 +45,7 @@
 	return m
 }
 
-// stated is the configuration's figure; one that it leaves out is taken as a millisecond.
+// stated returns the configured value, or a millisecond if there is none.
 func (m *callModel) stated(key int) float64 {
 	if key == theCall {
 		return max(float64(time.Millisecond), float64(m.spec.CallCost))
@@ -51,7 +53,7 @@
 	return max(float64(time.Millisecond), float64(m.spec.PieceCost))
 }
 
-// respec takes over a changed description; what was learnt stays if its figures are the same.
+// respec replaces the pool specification. Estimates are kept if the configured times are the same.
 func (m *callModel) respec(spec proto.BatchSpec) {
 	if spec.CallCost != m.spec.CallCost || spec.PieceCost != m.spec.PieceCost {
 		m.times.value = nil
@@ -59,12 +61,12 @@
 	m.spec = spec
 }
 
-// callCost is the time that a call takes beside its pieces, and pieceCost what a piece with such a result adds.
+// callCost returns the fixed time of a call, and pieceCost the time that a piece with a result of the given size adds.
 func (m *callModel) callCost() float64           { return m.times.of(theCall) }
 func (m *callModel) pieceCost(bytes int) float64 { return m.times.of(bytes) }
 
-// contents counts the pieces of a call that are made, by the size of their results, and the call itself. Those that
-// were refused for want of room or inputs took no time; without results all are taken to be made.
+// contents counts the pieces of a call that were made, by the size of their results, and the call itself. Pieces that
+// were refused for lack of room or inputs took no time. Without results all pieces count.
 func contents(c *Call, results []ItemResult) map[int]float64 {
 	amounts := map[int]float64{}
 	for i, item := range c.Items {
@@ -78,7 +80,7 @@
 	return amounts
 }
 
-// learn takes in how long a call took, for its target and for the pool.
+// learn updates the estimates of the target and of the pool with the time of a call.
 func (b *Batcher) learn(t *batchTarget, c *Call, results []ItemResult, took time.Duration) {
 	amounts := contents(c, results)
 	if t == nil || len(amounts) == 0 {
@@ -87,11 +89,12 @@
 	t.inRow = 0
 	ratio := float64(took) / b.model.times.sum(amounts)
 	t.pace = min(paceCeiling, max(paceFloor, t.pace+paceWeight*(ratio-t.pace)))
-	// What all targets have in common is the pool's own time, so a target counts against the middle one.
+	// A delay that all targets share is a property of the pool, so the slowdown of a target is relative to the median.
 	b.model.times.observe(amounts, float64(took)/(t.pace/b.usualPace()))
 }
 
-// usualPace is the pace of the middle one of the targets; without any, as when the last one left during a call, it is 1.
+// usualPace returns the median slowdown of the targets. It is 1 without targets, as when the last one left during a
+// call.
 func (b *Batcher) usualPace() float64 {
 	if len(b.targets) == 0 {
 		return 1
--- a/relay/counts.go
+++ b/relay/counts.go
@@ -16,7 +16,7 @@
 	latencyDigits = 2
 )
 
-// Counts are totals of requests since the start.
+// Counts holds totals of requests since the start.
 type Counts struct {
 	received, completed, late, unavailable, failed, rejected, callerLeft, streamsBroken, streamsResumed, retried, crashing, notAdmitted atomic.Int64
 
@@ -24,27 +24,27 @@
 	latency *hdrhistogram.Histogram
 }
 
-// CountReport is what the metrics address shows of Counts.
+// CountReport is the form of Counts that the metrics endpoint shows.
 type CountReport struct {
 	Received int64 `json:"asked"`
-	// Delivered answers were whole, Late ones of them beyond the goal.
+	// Delivered counts complete answers, and Late those of them that exceeded the latency goal.
 	Delivered int64 `json:"delivered"`
 	Late      int64 `json:"late"`
-	// NotRun requests were refused with a time to come back.
+	// NotRun counts requests that were refused with a retry time.
 	NotRun int64 `json:"notRun"`
-	// Failed requests may have run.
+	// Failed counts failed requests that may have run.
 	Failed int64 `json:"failed"`
-	// Rejected requests were at fault themselves.
+	// Rejected counts invalid requests.
 	Rejected       int64 `json:"rejected"`
 	CallerLeft     int64 `json:"callerLeft"`
 	StreamsBroken  int64 `json:"streamsBroken"`
 	StreamsResumed int64 `json:"streamsResumed"`
 	Retried        int64 `json:"retried"`
-	// Crashing requests were not run, since targets ended that ran them.
+	// Crashing counts requests that were not run because targets that ran them had ended.
 	Crashing int64 `json:"crashing"`
-	// NotAdmitted requests were refused before they were begun, since engines had too much to do.
+	// NotAdmitted counts requests that were refused before they started because the engines were overloaded.
 	NotAdmitted int64 `json:"notAdmitted"`
-	// LatencyMillis holds quantiles of the time to the whole answer.
+	// LatencyMillis holds quantiles of the time to the complete answer.
 	LatencyMillis map[string]float64 `json:"latencyMillis"`
 }
 
@@ -58,7 +58,7 @@
 	if c.latency == nil {
 		c.latency = hdrhistogram.New(latencyLeast, latencyMost, latencyDigits)
 	}
-	// A value beyond the bounds cannot occur: it is cut to them.
+	// Recording cannot fail, as the value is clamped to the bounds of the histogram.
 	_ = c.latency.RecordValue(min(latencyMost, max(latencyLeast, took.Microseconds())))
 }
 
--- a/relay/endwatch.go
+++ b/relay/endwatch.go
@@ -15,29 +15,29 @@
 )
 
 const (
-	// endOpen is for how long an attempt that failed is remembered, in case its target turns out to have ended: the entry
-	// of one that fell silent goes after some four seconds, and a second or two pass until that is known here.
+	// endOpen is how long a failed attempt is remembered in case its target turns out to have ended: the entry of a
+	// target that falls silent is removed after about four seconds, and that is known here a second or two later.
 	endOpen = 6 * time.Second
-	// endTold is for how long it is remembered that a run has ended; its last attempts fail within the time of a busy
-	// daemon's delay.
+	// endTold is how long the end of a run is remembered. Its last attempts fail within the scheduling delay of a busy
+	// daemon.
 	endTold = 30 * time.Second
-	// endChecks is how often a target that broke an attempt off is tried to be reached, with a pause of endPause between:
-	// a process that ends may close its connections somewhat before its listener.
+	// endChecks is how often a target that closed the connection of an attempt is probed, with a pause of endPause
+	// between: a process that ends may close its connections somewhat before its listener.
 	endChecks = 2
 	endPause  = 100 * time.Millisecond
-	// endCheckWait bounds one try; a target that lives accepts within milliseconds.
+	// endCheckWait is the timeout of one probe. A running target accepts connections within milliseconds.
 	endCheckWait = 300 * time.Millisecond
 )
 
-// Prober tells whether nothing listens at an address any more.
+// Prober checks whether a process still listens at an address.
 type Prober interface {
-	// Refuses tells whether the address turns connections away, as it does where a process has ended.
+	// Refuses reports whether the address refuses connections, as it does once the process has ended.
 	Refuses(ctx context.Context, to netip.AddrPort) bool
 }
 
-// CrashDetector finds out which requests were at work at a target when it ended. An attempt may fail for many reasons, so it
-// stays open whether its target has ended until the target's address turns connections away or its entry goes. A nil
-// *EndWatch watches nothing.
+// CrashDetector finds out which requests a target was working on when it ended. An attempt may fail for many reasons,
+// so it counts against its request only once the address of the target refuses connections or its entry is removed. A
+// nil *CrashDetector does nothing.
 type CrashDetector struct {
 	clock   clockwork.Clock
 	log     hclog.Logger
@@ -46,7 +46,7 @@
 
 	mu   sync.Mutex
 	runs map[proto.RunName]*watchedRun
-	// watched is the number of runs, which spares answers the lock while there is none.
+	// watched is the number of runs. It saves successful attempts from taking the lock while there is none.
 	watched atomic.Int64
 }
 
@@ -58,19 +58,19 @@
 	checking bool
 }
 
-// openAttempt is a request that may have been at work when the run ended.
+// openAttempt is a request that the target may have been working on when the run ended.
 type openAttempt struct {
 	request proto.RequestDigest
 	at      time.Time
 }
 
-// NewCrashDetector returns a watch that tells crashes what it finds out.
+// NewCrashDetector returns a detector that reports to crashes.
 func NewCrashDetector(clock clockwork.Clock, log hclog.Logger, prober Prober, crashes *CrashTracker) *CrashDetector {
 	return &CrashDetector{clock: clock, log: log, prober: prober, crashes: crashes, runs: map[proto.RunName]*watchedRun{}}
 }
 
-// RecordFailure notes that an attempt or call failed while a target may have been at work on requests; broken says that the target
-// closed the connection, so that it may have ended just now.
+// RecordFailure records that an attempt or call failed while a target may have been working on requests. broken is set
+// if the target closed the connection, so that it may have ended just now.
 func (w *CrashDetector) RecordFailure(target proto.RelayTarget, broken bool, requests ...proto.RequestDigest) {
 	if w == nil {
 		return
@@ -94,7 +94,7 @@
 	}
 }
 
-// RecordEnd notes that a run of a target ended without having said that it would leave.
+// RecordEnd records that a run of a target ended without announcing that it would leave.
 func (w *CrashDetector) RecordEnd(target proto.RelayTarget, cause string) {
 	if w == nil {
 		return
@@ -112,7 +112,7 @@
 	w.crashes.Ended(target.RunName(), now, accused)
 }
 
-// run returns what is known of a run; the lock is held.
+// run returns the state of a run, and adds it if necessary. The caller holds the lock.
 func (w *CrashDetector) run(name proto.RunName) *watchedRun {
 	r := w.runs[name]
 	if r == nil {
@@ -123,8 +123,8 @@
 	return r
 }
 
-// RecordAlive notes that a run of a target answered, after what looked like its end: its address may have refused connections
-// before it listened there.
+// RecordAlive records that a run of a target answered. If it was recorded as ended, its address may have refused
+// connections before the process listened there.
 func (w *CrashDetector) RecordAlive(target proto.RelayTarget) {
 	if w == nil || w.watched.Load() == 0 {
 		return
@@ -137,7 +137,7 @@
 	}
 }
 
-// accuse takes the requests that were at work, each once.
+// accuse removes and returns the requests that the run was working on, without duplicates.
 func (r *watchedRun) accuse(now time.Time) []proto.RequestDigest {
 	var requests []proto.RequestDigest
 	for _, a := range r.open {
@@ -150,7 +150,7 @@
 	return slices.Compact(requests)
 }
 
-// check looks whether a target that broke attempts off has ended.
+// check probes a target that closed the connection of an attempt.
 func (w *CrashDetector) check(target proto.RelayTarget) {
 	for n := range endChecks {
 		if n > 0 {
@@ -171,7 +171,7 @@
 	}
 }
 
-// Sweep forgets attempts and runs that are too old to matter; it comes several times a second.
+// Sweep removes expired attempts and runs. It is called several times per second.
 func (w *CrashDetector) Sweep() {
 	if w == nil {
 		return
--- a/relay/endwatch_test.go
+++ b/relay/endwatch_test.go
@@ -14,7 +14,7 @@
 	"emberlead/proto"
 )
 
-// standProber answers tries to reach a target, the last answer again and again.
+// standProber answers probes of a target in order, and then repeats the last answer.
 type standProber struct {
 	answers []bool
 	tries   atomic.Int64
@@ -27,15 +27,16 @@
 	return p.answers[min(n, len(p.answers))-1]
 }
 
-// TestAnEndIsFoundOutByWhatFollowsAFailedAttempt has one attempt fail, and says what is seen of its target then.
+// TestAnEndIsFoundOutByWhatFollowsAFailedAttempt has one attempt fail and then shows different signs of whether its
+// target has ended.
 func TestAnEndIsFoundOutByWhatFollowsAFailedAttempt(t *testing.T) {
 	scenarios := []struct {
 		name   string
 		broken bool
-		// refuses are the answers to the tries to reach the target, and tries how many there are to be.
+		// refuses holds the results of the probes of the target, and tries is how many are expected.
 		refuses []bool
 		tries   int
-		// goneAfter is when its entry goes; 0 if it stays.
+		// goneAfter is when the entry of the target is removed, or 0 if it stays.
 		goneAfter time.Duration
 		accused   bool
 	}{
@@ -85,7 +86,7 @@
 	}
 }
 
-// checks tells whether it is being found out whether a run has ended.
+// checks reports whether a run is being probed.
 func (w *CrashDetector) checks(name proto.RunName) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -102,7 +103,7 @@
 	t.Fatal("not within 20 s")
 }
 
-// TestAttemptsThatFailAfterTheEndIsKnownCountAtOnce has two requests fail at a run whose end another one's failure showed.
+// TestAttemptsThatFailAfterTheEndIsKnownCountAtOnce has two requests fail at a run that is already known to have ended.
 func TestAttemptsThatFailAfterTheEndIsKnownCountAtOnce(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(start)
 	c := newTestCrashTracker(clock)
@@ -142,7 +143,7 @@
 	}
 }
 
-// TestWhichTargetsAreOverWithoutHavingLeft lists what the fleet says of targets that go.
+// TestWhichTargetsAreOverWithoutHavingLeft checks which changes of the fleet count as the crash of a target.
 func TestWhichTargetsAreOverWithoutHavingLeft(t *testing.T) {
 	leaving := targetRun("a", firstRunStart)
 	leaving.Leaving = true
@@ -171,7 +172,7 @@
 	}
 }
 
-// TestWhatAnAttemptsEndSaysOfTheRequest ends an attempt in each way, and has the target's entry go after it.
+// TestWhatAnAttemptsEndSaysOfTheRequest ends an attempt in each way, and then removes the entry of its target.
 func TestWhatAnAttemptsEndSaysOfTheRequest(t *testing.T) {
 	const request = proto.RequestDigest(7)
 	gone := []FleetChange{{ID: "t", Version: rev(2), Removed: true}}
@@ -180,13 +181,13 @@
 	refusedConn := &SendError{Err: syscall.ECONNREFUSED}
 	scenarios := []struct {
 		name string
-		// before happens to the target while the attempt is in progress.
+		// before holds changes of the target while the attempt is in progress.
 		before   []FleetChange
 		cause    error
 		answered bool
 		end      attemptResult
 		suspect  bool
-		// known says that the target is known to have ended before its entry goes.
+		// known is set if the target is known to have ended before its entry is removed.
 		known bool
 	}{
 		{name: "the connection breaks", end: attemptResult{sent: true}, suspect: true},
@@ -236,7 +237,7 @@
 	}
 }
 
-// ended tells whether a run is known to have ended.
+// ended reports whether a run is known to have ended.
 func (w *CrashDetector) ended(name proto.RunName) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/relay/enginemodel.go
+++ b/relay/enginemodel.go
@@ -7,41 +7,40 @@
 	"emberlead/proto"
 )
 
-// Figures of what is learnt of a pool's engines.
+// Parameters of the model of engines.
 const (
-	// engineLearn is the part of an error that the estimates take over at once. The time to a first event varies by half
-	// from one request to the next with what else runs, so some forty requests are averaged, which a pool of a dozen
+	// engineLearn is the fraction of a prediction error that the estimates adopt at once. The time to the first event
+	// of a request varies by half with the other load, so about forty requests are averaged, which a pool of a dozen
 	// engines gets within two seconds.
 	engineLearn = 0.05
-	// engineOdd is the factor from which an observation is an outlier, such as an engine that stood still.
+	// engineOdd is the factor from which an observation is an outlier, such as an engine that stalled.
 	engineOdd = 3
-	// engineSpread is by how much an estimate may leave its prior, either way, as a factor: engines of one generation
-	// differ by about three from each other.
+	// engineSpread is the factor by which an estimate may differ from its prior, either way: engines of one generation
+	// differ by a factor of about three.
 	engineSpread = 10
-	// enginePace is the weight of one request in an engine's pace against its pool; requests are noisy, so an engine
-	// that is three times as slow as the others shows as twice as slow after some ten requests.
+	// enginePace is the weight of one request in the slowdown of an engine relative to its pool. Requests are noisy, so
+	// an engine that is three times as slow as the others shows as twice as slow after about ten requests.
 	enginePace = 0.08
-	// paceLeast and paceMost bound an engine's pace, so that a few odd requests do not take it out.
+	// paceLeast and paceMost bound the slowdown of an engine, so that a few outliers do not exclude it.
 	paceLeast, paceMost = 0.7, 6.0
 )
 
-// Priors of an engine before it was observed, which the configuration does not state: the middle of what engines do
-// with models of 7 to 70 billion weights.
+// Priors for engines, which the configuration does not state: typical values for models with 7 to 70 billion weights.
 const (
 	priorStart  = 70 * time.Millisecond
 	priorToken  = 30 * time.Microsecond
 	priorStream = 500 * time.Microsecond
 )
 
-// engineWork is what takes up the time to a request's first event.
+// engineWork is a component of the time to the first event of a request.
 type engineWork uint8
 
 const (
-	// workStart is what each request takes: the way there, the fetching of its inputs, and the first steps.
+	// workStart is the fixed time of a request: the transfer to the engine, fetching its inputs, and the first steps.
 	workStart engineWork = iota
-	// workToken is one prompt token to be read, those queued before it included.
+	// workToken is a prompt token to process, including those of prompts ahead of it.
 	workToken
-	// workStream is each request that runs beside.
+	// workStream is another request running on the engine.
 	workStream
 )
 
@@ -55,15 +54,16 @@
 	return float64(priorStart)
 }
 
-// engineModel is what is learnt of the engines of one pool from the times to the first events of requests, in
-// nanoseconds. The daemon that places for all hears of all requests; the others take its estimates over.
+// engineModel estimates the speed of the engines of one pool from the times to the first events of requests, in
+// nanoseconds. The daemon that places requests for all others observes every request; the others adopt its estimates.
 type engineModel struct{ times linear[engineWork] }
 
 func newEngineModel() engineModel {
 	return engineModel{linear[engineWork]{prior: priorOf, learn: engineLearn, odd: engineOdd, spread: engineSpread}}
 }
 
-// rates are what a prompt token and a stream beside it add to a first event at the pool's usual pace, in milliseconds.
+// rates returns the time that each prompt token and each concurrent stream adds to the first event at the typical speed
+// of the pool, in milliseconds.
 func (m *engineModel) rates() (token, stream float64) {
 	const millisecond = float64(time.Millisecond)
 	return m.times.of(workToken) / millisecond, m.times.of(workStream) / millisecond
@@ -75,7 +75,7 @@
 	}
 }
 
-// adopt takes over the estimates of a daemon that has seen more.
+// replace replaces the estimates with those of a daemon that has observed more requests.
 func (m *engineModel) replace(t proto.EngineTimes) {
 	if t.PerPromptToken == 0 {
 		return
@@ -85,17 +85,17 @@
 	m.times.set(workStream, float64(t.PerConcurrentRequest))
 }
 
-// promptRead is a prompt that an engine was given and has not read yet, as far as is known.
+// unreadPrompt is a prompt that was sent to an engine and, as far as is known, not yet processed.
 type unreadPrompt struct {
 	own, tokens int
 	began       time.Time
-	// cold says that the engine was cold, so that its time says nothing of what it does later.
+	// cold is set if the engine was cold, so that the time does not predict its later speed.
 	cold bool
-	// work is what was ahead of its first event.
+	// work is the work ahead of the first event.
 	work map[engineWork]float64
 }
 
-// give notes that an engine was given a prompt.
+// startPrompt records that a prompt was sent to an engine.
 func (t *Target) startPrompt(now time.Time, w TargetCriteria) {
 	missing := t.cache.missingTokens(w.SharedParts)
 	if r := t.pool.prompts[w.Route]; r != nil {
@@ -107,7 +107,7 @@
 	t.unreadPrompts = append(t.unreadPrompts, unreadPrompt{own: w.OwnTokens, tokens: read, began: now, cold: now.Before(t.coldUntil), work: work})
 }
 
-// finishRead ends the oldest reading of a prompt of such a size, and learns from it if it ended well.
+// finishPrompt removes the oldest unprocessed prompt of the same size, and learns from its time if it succeeded.
 func (t *Target) finishPrompt(now time.Time, w TargetCriteria, learn bool) {
 	i := slices.IndexFunc(t.unreadPrompts, func(r unreadPrompt) bool { return r.own == w.OwnTokens })
 	if i < 0 {
@@ -129,7 +129,7 @@
 	model.times.observe(r.work, took/(t.slowdown/t.pool.usualPace()))
 }
 
-// usualPace is the pace of the middle one of the pool's targets.
+// usualPace returns the median slowdown of the targets of the pool.
 func (p *targetPool) usualPace() float64 {
 	if len(p.list) == 0 {
 		return 1
--- a/relay/fetches.go
+++ b/relay/fetches.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// Figures of how long a target takes to fetch its inputs, which no answer tells. A target does that before it works, so
-// its inputs can be given up well before its answer shows that it has them; until then they take up room that the
+// Parameters for how long a target takes to fetch its inputs, which no response tells. A target fetches them before it
+// works, so they can be released well before its response shows that it has them. Until then they occupy storage that
 // stages of other requests wait for.
 const (
-	// fetchPrior is the time that is allowed at first: some megabytes take milliseconds over any link of a platform.
+	// initialKeepTime is the initial time allowed: a few megabytes take milliseconds over any link of a platform.
 	initialKeepTime = 150 * time.Millisecond
-	// fetchLeast and fetchMost bound what is allowed: a request's way there, and longer than any target works.
+	// fetchLeast and fetchMost bound the time: the transfer of a request takes at least the one, and no target works
+	// for longer than the other.
 	fetchLeast = 40 * time.Millisecond
 	fetchMost  = 4 * time.Second
-	// fetchShrink is what is left of the time after a target had its inputs, and fetchGrow what becomes of it when they
-	// were gone too early, which costs the request its stages: once in some 70 requests at most.
+	// fetchShrink is the factor applied to the time after a target had its inputs, and fetchGrow the one applied when
+	// they were released too early, which makes the request repeat its stages. At most one request in about 70 does.
 	fetchShrink = 0.99
 	fetchGrow   = 2
 )
 
-// fetches learns for each pool how long after a request was sent its target has fetched the inputs.
+// fetchTimes estimates for each pool how long after a request was sent its target has fetched the inputs.
 type fetchTimes struct {
 	mu    sync.Mutex
 	waits map[string]time.Duration
-	// grown is when the time of a pool was last made longer.
+	// grown is when the time of a pool was last increased.
 	grown map[string]time.Time
 }
 
-// wait is how long to keep the inputs of a request that was just sent.
+// keepTime returns how long to keep the inputs of a request that was just sent.
 func (f *fetchTimes) keepTime(pool string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -42,10 +43,10 @@
 	return initialKeepTime
 }
 
-// done takes in what came of a request that was sent at a time, and whose inputs were freed before its target showed that it has
-// them; it returns how long those of the next one are kept. Requests that were sent before the time was last made longer say nothing of
-// the longer one: when a target ends, all that read its results find them gone at once, and the time would go to its bound, with
-// results kept until the ends of calls, and too little room for new ones.
+// observe records whether the target of a request had fetched its inputs when they were freed, and returns how long to
+// keep the inputs of the next one. Failures of requests that were sent before the last increase are ignored: when a
+// target ends, all requests that read its results fail at once. Counting each would raise the time to its maximum, so
+// that results would be kept until their calls end and leave too little room for new ones.
 func (f *fetchTimes) observe(now, sent time.Time, pool string, fetched bool) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/relay/fetches_test.go
+++ b/relay/fetches_test.go
@@ -47,9 +47,10 @@
 	}
 }
 
-// TestResultsThatGoWithTheirTargetCountOnce has a third of a pool's targets end while the next pool reads their results by thirty calls:
-// each of them finds inputs gone, and none of it says that inputs are given up too early. Kept for seconds, they would leave a target of
-// the pool, which has room for the results of two calls, no room for full ones.
+// TestResultsThatGoWithTheirTargetCountOnce has a third of the targets of a pool end while thirty calls of the next
+// pool read their results. Each call finds its inputs gone, but none of them was released too early. If each counted,
+// inputs would be kept for seconds, and a target of the pool, which has room for the results of two calls, would have
+// no room for full ones.
 func TestResultsThatGoWithTheirTargetCountOnce(t *testing.T) {
 	var f fetchTimes
 	ended := start.Add(time.Second)
@@ -66,7 +67,7 @@
 	}
 }
 
-// sentFlow is a request whose stage is done and that was just sent to a target.
+// sentFlow returns a request whose stage is done and that was just sent to a target.
 func sentFlow(t *testing.T, clock clockwork.Clock) *flow {
 	t.Helper()
 	f := newStagedFlow(&recordingPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}}, 1)
@@ -78,7 +79,7 @@
 	return f
 }
 
-// TestInputsAreFreedOnceTheyAreFetched has a target that is silent while it works.
+// TestInputsAreFreedOnceTheyAreFetched has a target that does not respond while it works.
 func TestInputsAreFreedOnceTheyAreFetched(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(start)
 	f := sentFlow(t, clock)
@@ -105,8 +106,8 @@
 	}
 }
 
-// TestResultsThatAreMadeAnewAreNotFreedByAnEarlierAttempt has the time of an attempt run out after its inputs were made
-// anew for the next one.
+// TestResultsThatAreMadeAnewAreNotFreedByAnEarlierAttempt has the keep time of an attempt expire after its inputs were
+// made again for the next one.
 func TestResultsThatAreMadeAnewAreNotFreedByAnEarlierAttempt(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(start)
 	f := sentFlow(t, clock)
@@ -129,7 +130,7 @@
 	}
 }
 
-// failingSender has every target fail.
+// failingSender fails every request.
 type failingSender struct{ calls int }
 
 func (s *failingSender) Send(context.Context, netip.AddrPort, *TargetRequest) (*TargetResponse, error) {
@@ -137,8 +138,8 @@
 	return nil, &SendError{Written: true, Err: errors.New("connection reset")}
 }
 
-// TestARetryWithoutInputsHasItsStagesDoneAnew has a target fail after the inputs were given up: another one could only
-// say that they are gone.
+// TestARetryWithoutInputsHasItsStagesDoneAnew has a target fail after the inputs were released: another target could
+// only report that they are gone.
 func TestARetryWithoutInputsHasItsStagesDoneAnew(t *testing.T) {
 	for _, freed := range []bool{false, true} {
 		f := newStagedFlow(&recordingPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}}, 1)
--- a/relay/frees.go
+++ b/relay/frees.go
@@ -11,14 +11,15 @@
 	"emberlead/proto"
 )
 
-// frees gathers results to be freed by the target that holds them.
+// freeQueue collects results to free, by the target that holds them.
 type freeQueue struct {
 	pieces *PieceScheduler
 	mu     sync.Mutex
 	due    map[netip.AddrPort]*freeing
 }
 
-// freeing is what one target is to free next; a worker counts the room of its results until that is done.
+// freeing is the next batch of results to free at one target. The worker counts their storage until the target has
+// freed them.
 type freeing struct {
 	worker  *worker
 	handles []string
@@ -43,7 +44,7 @@
 	}
 }
 
-// gather is how long results are gathered that a target is to free.
+// gather returns how long results to free at a target are collected.
 func (f *freeQueue) gather(maker netip.AddrPort) time.Duration {
 	limited, _ := f.pieces.fleet.signalsAt(maker)
 	if limited {
@@ -61,14 +62,14 @@
 	next := f.due[maker]
 	delete(f.due, maker)
 	f.mu.Unlock()
-	// AfterFunc may run in the goroutine of the clock, which must not wait for a target.
+	// AfterFunc may run in the clock's goroutine, which must not wait for a target.
 	go f.send(maker, next)
 }
 
 func (f *freeQueue) send(maker netip.AddrPort, next *freeing) {
 	err := f.call(maker, next.handles)
 	if err != nil {
-		// The target drops results by itself after a time, and their room is counted until then.
+		// The results expire at the target, and their storage is counted until then.
 		f.pieces.log.Info("results were not freed", "maker", maker, "results", len(next.handles), "error", err)
 		return
 	}
--- a/relay/groups.go
+++ b/relay/groups.go
@@ -9,15 +9,15 @@
 	"emberlead/state"
 )
 
-// divideEvery is how often the engines are divided anew: the averages change over seconds.
+// divideEvery is how often the engines are divided into groups: the averages change over seconds.
 const divideEvery = 250 * time.Millisecond
 
-// routePrompts is how long the prompts of one route are, on average over the last seconds.
+// promptStats holds the average prompt length of one route over the last seconds.
 type promptStats struct {
 	tokens, requests state.DecayingSum
-	// missing are the tokens of shared parts that engines had to read.
+	// missing counts the tokens of shared parts that engines had to process.
 	missing state.DecayingSum
-	// gap is the longest pause between events of the route's streams that is still in time; 0 if there is no bound.
+	// gap is the longest acceptable pause between the events of a stream of the route, or 0 if there is no limit.
 	gap time.Duration
 }
 
@@ -29,8 +29,8 @@
 	return r.tokens.Value(now, promptHalfLife) / n
 }
 
-// notePrompt counts a request's prompt and divides the engines anew between routes with long prompts and the rest:
-// while an engine reads a long prompt, all streams beside it stand still.
+// recordPrompt records the prompt of a request, and periodically divides the engines between routes with long prompts
+// and the others: while an engine processes a long prompt, all its other streams stall.
 func (p *targetPool) recordPrompt(now time.Time, w TargetCriteria) {
 	if p.prompts == nil {
 		p.prompts = map[string]*promptStats{}
@@ -56,7 +56,7 @@
 	return r == nil || r.mean(now) >= longPromptRatio*p.allPrompts.mean(now)
 }
 
-// divide marks the engines that take long prompts, in proportion to the tokens that these have.
+// divide assigns engines to long prompts, in proportion to their share of the tokens.
 func (p *targetPool) divide(now time.Time) {
 	long, sum := 0.0, 0.0
 	for name, r := range p.prompts {
@@ -71,7 +71,7 @@
 		share = min(maxLongShare, max(minLongShare, long/sum))
 	}
 	if long == sum || long == 0 {
-		// With one kind of prompts there is nothing to keep apart.
+		// With only one kind of prompts there is nothing to separate.
 		share = 1
 		if long == 0 {
 			share = 0
@@ -83,7 +83,7 @@
 	}
 }
 
-// byHash orders the targets so that each daemon divides them alike, and a new one moves few others.
+// byHash returns the targets in an order that is the same on all daemons and in which a new target moves few others.
 func (p *targetPool) byHash() []*Target {
 	if len(p.sortedByHash) != len(p.list) || p.sortedVersion != p.listVersion {
 		p.sortedVersion = p.listVersion
--- a/relay/job.go
+++ b/relay/job.go
@@ -7,15 +7,15 @@
 	"emberlead/proto"
 )
 
-// Job is all pieces of one stage of one request.
+// Job holds the pieces of one stage of a request.
 type Job struct {
 	Params proto.PiecesAsk
-	// Due is when the stage should end for the answer to be in time, and End when its result is of no use any more.
+	// Due is when the stage should end for the answer to be in time, and Deadline is when its result becomes useless.
 	Due, Deadline time.Time
 
 	since time.Time
 	order time.Time
-	// todo are the pieces that wait, and missing is how many have no result yet.
+	// todo holds the queued pieces, and missing is the number of pieces without a result.
 	todo    []int
 	missing int
 	tries   int
@@ -23,19 +23,19 @@
 	zone    string
 	done    bool
 	exclude string
-	// length is how long a call with its pieces and a usual share of others takes, in nanoseconds.
+	// length is the time of a call with the pieces of the job and a typical number of others, in nanoseconds.
 	length float64
-	// inputsFreed says that the inputs were given up, so that no piece can be made again.
+	// inputsFreed is set once the inputs were released, after which no piece can be made again.
 	inputsFreed bool
-	// late says that the results can no longer be in time.
+	// late is set if the results can no longer be in time.
 	late bool
-	// alone says that calls with its pieces failed so often that the next one holds no other job's.
+	// alone is set if so many calls with its pieces failed that the next one holds no other job.
 	alone bool
 }
 
 func (j *Job) left() int { return len(j.todo) }
 
-// set takes a result and tells whether it was still missing.
+// set stores the result of a piece and reports whether it was missing.
 func (j *Job) set(piece int, handle string) bool {
 	if j.handles[piece] != "" {
 		return false
@@ -46,14 +46,14 @@
 	return true
 }
 
-// unset takes back a result that is lost, and queues its piece again.
+// unset removes a lost result and queues its piece again.
 func (j *Job) unset(piece int) {
 	j.handles[piece] = ""
 	j.missing++
 	j.again(piece)
 }
 
-// again queues pieces that have no result.
+// again queues the given pieces unless they have a result or are queued already.
 func (j *Job) again(pieces ...int) {
 	for _, piece := range pieces {
 		if j.handles[piece] == "" && !slices.Contains(j.todo, piece) {
@@ -62,19 +62,19 @@
 	}
 }
 
-// Call is one batch to be sent to a target.
+// Call is a batch of pieces to send to a target.
 type Call struct {
 	Target    proto.RelayTarget
 	Items     []CallItem
 	StartedAt time.Time
-	// Expected is how long the call should take.
+	// Expected is the expected time of the call.
 	Expected time.Duration
-	// Least is the time of an empty call as the configuration states it.
+	// BaseTime is the configured time of an empty call.
 	BaseTime time.Duration
 
-	// overdue says that its pieces were queued again, since it takes much longer than expected.
+	// overdue is set once the pieces were queued again because the call takes much longer than expected.
 	overdue bool
-	// void says that the target has started again since: whatever the call brings is of a run that is over.
+	// void is set if the target has restarted since the call started, so that its results are lost.
 	void bool
 }
 
@@ -84,13 +84,13 @@
 	Piece int
 }
 
-// ItemResult is what a target said of one piece: a handle, or why there is none.
+// ItemResult is the result of one piece: its handle, or the reason why there is none.
 type ItemResult struct {
 	Handle  string
 	Outcome proto.PieceOutcome
 }
 
-// FinishedJob is a job that ended with its answer.
+// FinishedJob is a job that ended, with its answer.
 type FinishedJob struct {
 	Job    *Job
 	Answer proto.PiecesAnswer
--- a/relay/linear.go
+++ b/relay/linear.go
@@ -1,19 +1,19 @@
 package relay
 
-// linear learns what each of several things adds to a sum from sums that are observed, such as what a call and each of
-// its pieces take. It starts from a prior for each, and is robust: an observation that is far off counts as one at the
-// bound, and no estimate leaves its prior by more than a factor.
+// linear estimates how much each of several components contributes to a sum, such as the fixed time of a call and the
+// times of its pieces, by observing sums. It is robust: outliers are clamped, and estimates stay within a factor of
+// their priors.
 type linear[K comparable] struct {
-	// prior is the figure that an estimate starts from; it must be above 0.
+	// prior returns the initial estimate, which must be positive.
 	prior func(K) float64
-	// learn is the part of an observation's error that is taken over at once, odd the factor from which one is an
-	// outlier, and spread the factor by which an estimate may leave its prior.
+	// learn is the fraction of the error of an observation that is adopted at once, odd is the factor from which an
+	// observation is an outlier, and spread is the factor by which an estimate may differ from its prior.
 	learn, odd, spread float64
 
 	value map[K]float64
 }
 
-// of returns the estimate for one thing.
+// of returns the estimate for one component.
 func (l *linear[K]) of(key K) float64 {
 	if v, ok := l.value[key]; ok {
 		return v
@@ -21,7 +21,7 @@
 	return l.prior(key)
 }
 
-// sum returns the expected sum for such amounts of each thing.
+// sum returns the expected sum for the given amounts of each component.
 func (l *linear[K]) sum(amounts map[K]float64) float64 {
 	sum := 0.0
 	for key, amount := range amounts {
@@ -30,8 +30,9 @@
 	return sum
 }
 
-// observe takes in a sum. Its error is divided among the estimates by what each contributed, so that one seen in many
-// mixes settles whatever the others are (normalised least squares).
+// observe updates the estimates with an observed sum. The error is distributed over the components by their
+// contributions, so that a component that is observed in many combinations converges whatever the others are
+// (normalized least mean squares).
 func (l *linear[K]) observe(amounts map[K]float64, sum float64) {
 	expected, square := 0.0, 0.0
 	for key, amount := range amounts {
@@ -54,7 +55,7 @@
 	}
 }
 
-// set takes over an estimate from elsewhere.
+// set overwrites an estimate with one from another source.
 func (l *linear[K]) set(key K, value float64) {
 	if l.value == nil {
 		l.value = map[K]float64{}
--- a/relay/linear_test.go
+++ b/relay/linear_test.go
@@ -9,10 +9,10 @@
 	"emberlead/proto"
 )
 
-// near tells whether two values differ by less than a part of the second.
+// near reports whether got differs from want by less than a fraction of want.
 func near(got, want, part float64) bool { return math.Abs(got-want) < part*want }
 
-// simulated is a pool whose calls take a known time, with noise.
+// simulated is a pool whose calls take known times with noise.
 type simulated struct {
 	call  float64
 	piece map[int]float64
@@ -29,7 +29,7 @@
 	return sum * (0.9 + 0.2*s.noise.Float64())
 }
 
-// mix is what some call of a busy pool holds.
+// mix returns the contents of a random call of a busy pool.
 func mix(noise *rand.Rand) map[int]float64 {
 	return map[int]float64{theCall: 1, 8_000: float64(noise.IntN(5)), 60_000: 1 + float64(noise.IntN(6))}
 }
@@ -51,7 +51,7 @@
 			noise := rand.New(rand.NewPCG(1, 2))
 			truth := simulated{call: s.call, piece: map[int]float64{8_000: s.small, 60_000: s.big}, noise: noise}
 			m := newCallModel(proto.BatchSpec{CallCost: 200 * time.Millisecond, PieceCost: 20 * time.Millisecond})
-			// Five targets make some four calls each in two seconds.
+			// Five targets make about four calls each in two seconds.
 			for range 20 {
 				amounts := mix(noise)
 				m.times.observe(amounts, truth.took(amounts))
@@ -108,7 +108,7 @@
 	}
 }
 
-// engineTruth is how long the first event of a request takes at an engine.
+// engineTruth returns the simulated time to the first event of a request at an engine.
 func engineTruth(start, token time.Duration, noise *rand.Rand) func(map[engineWork]float64) float64 {
 	return func(work map[engineWork]float64) float64 {
 		plain := float64(start) + work[workToken]*float64(token)
@@ -191,7 +191,8 @@
 	}
 }
 
-// TestStreamsOfTightRoutesAreSpared offers an engine whose streams allow short pauses and one whose allow long ones.
+// TestStreamsOfTightRoutesAreSpared offers an engine whose streams allow short pauses and one whose streams allow long
+// ones.
 func TestStreamsOfTightRoutesAreSpared(t *testing.T) {
 	f := engineFleet(2)
 	tight, loose := promptCriteria("", 0, 10), promptCriteria("", 0, 10)
--- a/relay/piececall.go
+++ b/relay/piececall.go
@@ -9,13 +9,14 @@
 	"emberlead/proto"
 )
 
-// errBusy says that a target had no slot for a call, and errCallGivenUp that it took too long and its pieces are made elsewhere.
+// errBusy means that the target had no free slot for a call. errCallGivenUp means that the call was abandoned because
+// it took too long and other calls made its pieces.
 var (
 	errBusy        = errors.New("the target has no free slot")
 	errCallGivenUp = errors.New("the call took too long, and its pieces are made elsewhere")
 )
 
-// callsBeside is how many calls for the same pieces are at work at one target at a time.
+// callsBeside is the maximum number of concurrent calls to one target for the same pieces.
 const callsBeside = 2
 
 type callEnd struct {
@@ -23,9 +24,10 @@
 	err     error
 }
 
-// call makes a call. One that takes much longer than expected is given up once its pieces are made elsewhere; until then the
-// target may still be at work on it. If no other target can make them, the call is made again beside the first, over
-// another connection, since the first one may have fallen silent; a target that is at work refuses it.
+// call sends a call and waits for its results. An overdue call is abandoned once other calls have made its pieces;
+// until then its target may still be working on it. If no other target can make them, the call is repeated over another
+// connection, since the first one may have failed silently. A target that is working on the first call refuses the
+// second.
 func (w *worker) call(c *Call) ([]ItemResult, error) {
 	p := w.pieces
 	ctx, cancel := context.WithCancel(context.Background())
@@ -67,7 +69,7 @@
 	return w.batcher.checkOverdue(w.pieces.clock.Now(), c)
 }
 
-// call sends one call and reads its answer.
+// call sends a call once and reads its response.
 func (p *PieceScheduler) call(ctx context.Context, c *Call) ([]ItemResult, error) {
 	out, err := p.dialect.BuildPiecesRequest(c, p.clock.Now())
 	if err != nil {
--- a/relay/piececall_test.go
+++ b/relay/piececall_test.go
@@ -15,7 +15,7 @@
 	"emberlead/proto"
 )
 
-// busyBeside answers only its first call, after a time, and refuses others meanwhile, as a target with one slot does.
+// busyBeside answers its first call after a time and refuses others meanwhile, as a target with one slot does.
 func busyBeside(first racer) racer {
 	var calls atomic.Int64
 	return func(ctx context.Context) (*TargetResponse, error) {
@@ -26,14 +26,14 @@
 	}
 }
 
-// inTurn answers each call by the next racer.
+// respondsInTurn answers each call with the next script.
 func respondsInTurn(racers ...racer) racer {
 	var calls atomic.Int64
 	return func(ctx context.Context) (*TargetResponse, error) { return racers[calls.Add(1)-1](ctx) }
 }
 
-// TestACallForPiecesIsNotGivenUpForOneThatCannotBeMade has a call for a stage take twenty times as long as expected. It is given up only for
-// another one that makes its pieces.
+// TestACallForPiecesIsNotGivenUpForOneThatCannotBeMade has a call take twenty times its expected time. It must be
+// abandoned only once another call has made its pieces.
 func TestACallForPiecesIsNotGivenUpForOneThatCannotBeMade(t *testing.T) {
 	const long = 5 * time.Second
 	made := func(wait time.Duration) racer { return whole(wait, "{}") }
@@ -42,9 +42,9 @@
 		testName string
 		racers   []racer
 		homes    proto.AllowedRegions
-		// leaves says that the second target leaves.
+		// leaves is set if the second target leaves.
 		leaves bool
-		// most is within what time the pieces are made, and asked how often the first target is called.
+		// most is the maximum time until the pieces are made, and asked is the number of calls to the first target.
 		most  time.Duration
 		asked int
 	}{
@@ -85,7 +85,7 @@
 				if n := sender.askedOf(0); s.asked > 0 && n != s.asked {
 					t.Errorf("the first target was called %d times, want %d", n, s.asked)
 				}
-				// The calls that hang end with their jobs.
+				// Calls that hang end with their jobs.
 				time.Sleep(time.Minute)
 			})
 		})
--- a/relay/pieces.go
+++ b/relay/pieces.go
@@ -16,26 +16,27 @@
 )
 
 const (
-	// silenceCheck is how often a daemon that waits for another's answer looks whether that one still lives.
+	// silenceCheck is how often a daemon that waits for the answer of another one checks that the other is alive.
 	silenceCheck = 150 * time.Millisecond
-	// freeEvery is how long results to be freed are gathered, since a call for each would cost more than their room.
+	// freeInterval is how long results to be freed are collected, since one call for each would cost more than the
+	// storage that it releases.
 	freeInterval = 20 * time.Millisecond
-	// limitedFreeEvery is the same for targets that name a limit, which calls that free results must not use up.
+	// limitedFreeInterval is the same for targets with a rate limit, which calls that free results must not use up.
 	limitedFreeInterval = time.Second
-	// expireEvery is how often a worker with jobs looks for those whose time is over.
+	// expireEvery is how often a worker checks its jobs for expired ones.
 	expireEvery = 50 * time.Millisecond
-	// callSlack is how many times its expected time, or that of an empty call as configured if that is more, a call may
-	// take before it is looked whether it is still waited for; slow targets stay below that.
+	// callSlack is how long a call may take before it is checked whether its results are still needed, as a multiple of
+	// its expected time or of the configured time of an empty call, whichever is longer. Slow targets stay below it.
 	callSlack = 6
-	// freeWait bounds a call that frees results.
+	// freeWait is the timeout of a call that frees results.
 	freeWait = time.Second
-	// piecesMost bounds the answer to a call, in bytes.
+	// piecesMost is the maximum size of the response to a call, in bytes.
 	piecesMost = 1 << 20
-	// batchTask begins the name of the task of batching for a pool.
+	// batchTaskPrefix is the prefix of the names of batching tasks.
 	batchTaskPrefix = "batch/"
 )
 
-// PieceScheduler has the pieces of stages worked on: each shard of a pool has one daemon that fills the calls to its targets.
+// PieceScheduler runs the pieces of stages. Each shard of a pool has one daemon that batches the calls to its targets.
 type PieceScheduler struct {
 	self    proto.VM
 	clock   clockwork.Clock
@@ -59,15 +60,15 @@
 	calls, items, failed atomic.Int64
 }
 
-// PieceSchedulerOption changes a Pieces at construction.
+// PieceSchedulerOption configures a PieceScheduler.
 type PieceSchedulerOption func(*PieceScheduler)
 
-// WithCrashDetection has no piece made of requests that crashes refuses, and ends told of calls that failed.
+// WithCrashDetection refuses the requests that crashes blocks, and reports failed calls to the crash detector.
 func WithCrashDetection(crashes *CrashTracker, ends *CrashDetector) PieceSchedulerOption {
 	return func(p *PieceScheduler) { p.crashes, p.ends = crashes, ends }
 }
 
-// NewPieceScheduler returns a driver without work.
+// NewPieceScheduler returns a scheduler without jobs.
 func NewPieceScheduler(self proto.VM, clock clockwork.Clock, log hclog.Logger, dialect Dialect, sender Sender, peers Peers, fleet *Fleet, tables *Tables, options ...PieceSchedulerOption) *PieceScheduler {
 	p := &PieceScheduler{self: self, clock: clock, log: log, dialect: dialect, sender: newNoticeSender(sender, dialect, fleet, clock, log), peers: peers, fleet: fleet, tables: tables, workers: map[shard]*worker{}}
 	p.freeQueue = &freeQueue{pieces: p, due: map[netip.AddrPort]*freeing{}}
@@ -77,7 +78,7 @@
 	return p
 }
 
-// Run has all pieces of a stage made, by the daemon that batches for the pool or, when that is silent, by another.
+// Run makes all pieces of a stage, on the daemon that batches for the pool or, if that one is silent, on another.
 func (p *PieceScheduler) Run(ctx context.Context, ask proto.PiecesAsk, due, end time.Time) proto.PiecesAnswer {
 	ask.Shard = p.chooseShard(ask.Pool, ask.RequestID, ask.Rank)
 	answer := p.run(ctx, ask, due, end)
@@ -88,8 +89,8 @@
 	return answer
 }
 
-// QueueTime is how long a job of such a rank waits for its turn in a pool, as far as this daemon has lately heard: in the
-// shard with the shortest queue, since it is one of two that gets the job.
+// QueueTime returns the last known queueing time of a job of the given rank in a pool: that of its shortest shard,
+// since each job goes to the shorter of two shards.
 func (p *PieceScheduler) QueueTime(pool string, rank int) time.Duration {
 	now := p.clock.Now()
 	least := p.queueTimes.estimate(now, queueKey{shard{pool, 0}, rank})
@@ -155,7 +156,7 @@
 	}
 }
 
-// RunLocally batches the pieces here and waits for their results.
+// RunLocally batches the pieces on this daemon and waits for their results.
 func (p *PieceScheduler) RunLocally(ctx context.Context, ask proto.PiecesAsk, due, end time.Time) proto.PiecesAnswer {
 	w := p.workerFor(shard{ask.Pool, ask.Shard})
 	if w == nil {
@@ -179,13 +180,14 @@
 	}
 }
 
-// refuses tells whether a request is not worked on, since targets ended that did.
+// refuses reports whether a request must not be worked on because targets that did have ended.
 func (p *PieceScheduler) refuses(request proto.RequestDigest) bool {
 	_, refused := p.crashes.Blocks(request)
 	return refused
 }
 
-// Free gives results of a shard of a pool up; the daemon that batches for it is told, since it counts their room.
+// Free releases results of a shard of a pool. The daemon that batches for the shard is told, since it counts their
+// storage.
 func (p *PieceScheduler) Free(pool string, index int, handles []string) {
 	if len(handles) == 0 {
 		return
@@ -199,7 +201,7 @@
 	p.peers.Send(owner, drop)
 }
 
-// Drop frees results, or withdraws a stage that nobody waits for any more.
+// Drop frees results, or cancels a stage that is no longer needed.
 func (p *PieceScheduler) Drop(d proto.PiecesDrop) {
 	w := p.workerFor(shard{d.Pool, d.Shard})
 	if w == nil {
@@ -209,7 +211,7 @@
 	w.drop(d)
 }
 
-// TargetsChanged lets the pool's batchers take over the targets that may get work.
+// TargetsChanged updates the targets of the batchers of a pool.
 func (p *PieceScheduler) TargetsChanged(pool string) {
 	p.mu.Lock()
 	workers := slices.Collect(maps.Values(p.workers))
@@ -221,7 +223,7 @@
 	}
 }
 
-// RoutingChanged lets the batchers take over changed descriptions of their pools.
+// RoutingChanged updates the pool specifications of the batchers.
 func (p *PieceScheduler) RoutingChanged() {
 	p.mu.Lock()
 	workers := slices.Collect(maps.Values(p.workers))
@@ -234,7 +236,7 @@
 	}
 }
 
-// PieceCounts are totals since the start.
+// PieceCounts holds totals since the start.
 type PieceCounts struct {
 	Calls  int64 `json:"calls"`
 	Pieces int64 `json:"pieces"`
--- a/relay/pieces_test.go
+++ b/relay/pieces_test.go
@@ -16,7 +16,7 @@
 	"emberlead/proto"
 )
 
-// standDialect makes one handle a piece and knows no other message.
+// stubDialect returns one handle for each piece and supports no other messages.
 type stubDialect struct{ Dialect }
 
 func (stubDialect) BuildPiecesRequest(*Call, time.Time) (TargetRequest, error) {
@@ -47,7 +47,7 @@
 
 func (emptyBody) Close() error { return nil }
 
-// standSender answers every call at once.
+// stubSender answers every call at once.
 type stubSender struct {
 	mu    sync.Mutex
 	calls int
@@ -60,7 +60,7 @@
 	return &TargetResponse{Status: http.StatusOK, Header: http.Header{}, Body: emptyBody{strings.NewReader("{}")}}, nil
 }
 
-// scriptedPeers has one other daemon, which answers as a test says.
+// scriptedPeers has one other daemon, whose answers a test sets.
 type scriptedPeers struct {
 	answer func(context.Context) (proto.Message, error)
 	silent chan struct{}
@@ -145,7 +145,7 @@
 	}
 }
 
-// TestASilentOwnerIsLeft has an owner that takes the request and is never heard of again.
+// TestASilentOwnerIsLeft has an owner that accepts the request and then falls silent.
 func TestASilentOwnerIsLeft(t *testing.T) {
 	peers := &scriptedPeers{silent: make(chan struct{}), answer: func(ctx context.Context) (proto.Message, error) {
 		<-ctx.Done()
--- a/relay/queues.go
+++ b/relay/queues.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// queueFade is how long a pool's queue counts after it was heard of: a full one drains within a second or two, and a
-// busy pool is heard of several times a second.
+// queueReportLifetime is how long a report on the queue of a pool is used: a full queue drains within a second or two,
+// and a busy pool sends several reports per second.
 const queueReportLifetime = 1500 * time.Millisecond
 
-// queueKey is a shard of a pool as jobs of one rank see it.
+// queueKey identifies the queue of a shard for jobs of one rank.
 type queueKey struct {
 	shard shard
 	rank  int
@@ -20,7 +20,7 @@
 	at   time.Time
 }
 
-// queues holds the last report on the queue of each pool, whichever daemon batches for it.
+// queueTimes holds the last report on the queue of each pool, from whichever daemon batches for it.
 type queueTimes struct {
 	mu      sync.Mutex
 	reports map[queueKey]queueReport
@@ -35,7 +35,7 @@
 	q.reports[key] = queueReport{wait, now}
 }
 
-// read returns the queue that was heard of last, less the older that is.
+// estimate returns the last reported queueing time, decreasing linearly with the age of the report.
 func (q *queueTimes) estimate(now time.Time, key queueKey) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/relay/restart_test.go
+++ b/relay/restart_test.go
@@ -12,7 +12,7 @@
 	secondRunStart = start.Add(time.Minute)
 )
 
-// run is a target of pool "p" whose run started at a moment.
+// targetRun returns a target of pool "p" whose process started at the given time.
 func targetRun(id string, born time.Time) proto.RelayTarget {
 	t := testTarget(id, "p", "z")
 	t.StartedAt = born
@@ -27,7 +27,7 @@
 	return all
 }
 
-// TestANewRunKnowsNothingOfTheLast gives a target a past in every respect, and starts it again under its id.
+// TestANewRunKnowsNothingOfTheLast gives a target a history in every respect and restarts it under the same id.
 func TestANewRunKnowsNothingOfTheLast(t *testing.T) {
 	f := fleetWith(putChange(1, targetRun("a", firstRunStart)))
 	old := f.Pick(start, "p", engineWant)
@@ -59,7 +59,7 @@
 	if next.health.ejected(start) {
 		t.Error("the new run is left out for what the last one did")
 	}
-	// The attempt at the last run ends after that, which must not be counted for the new one.
+	// The attempt at the previous run ends now, which must not count for the new one.
 	f.FinishAttempt(start, old, engineWant, false, VerdictFailure, Load{Known: true, Running: 9, Slots: 4})
 	if next.active != 0 || next.otherLoad != 0 || next.health.ejected(start) {
 		t.Error("the end of an attempt at the last run counts for the new one")
@@ -195,7 +195,7 @@
 	}
 }
 
-// TestACallToARunThatEndedIsMadeElsewhere has a target start again during a call, and the call answer after that.
+// TestACallToARunThatEndedIsMadeElsewhere has a target restart during a call, whose answer arrives after that.
 func TestACallToARunThatEndedIsMadeElsewhere(t *testing.T) {
 	b := batcher(targetRun("t1", firstRunStart))
 	add(t, b, job("a", 2))
@@ -219,7 +219,7 @@
 	}
 }
 
-// TestACallMayOutliveTheLastTargetOfItsPool has the only target go, or its entry become unusable, during a call.
+// TestACallMayOutliveTheLastTargetOfItsPool removes the only target, as when its entry becomes unusable, during a call.
 func TestACallMayOutliveTheLastTargetOfItsPool(t *testing.T) {
 	b := batcher(targetRun("t1", firstRunStart))
 	add(t, b, job("a", 2))
@@ -231,8 +231,8 @@
 	}
 }
 
-// TestResultsOfARunThatEndedAreMadeAgain has a job wait for its last piece when the target that made the others starts
-// again.
+// TestResultsOfARunThatEndedAreMadeAgain has a job wait for its last piece when the target that made the others
+// restarts.
 func TestResultsOfARunThatEndedAreMadeAgain(t *testing.T) {
 	b := batcher(targetRun("t1", firstRunStart), targetRun("t2", firstRunStart))
 	j := job("a", 12)
--- a/relay/worker.go
+++ b/relay/worker.go
@@ -9,7 +9,7 @@
 	"emberlead/proto"
 )
 
-// worker drives the batcher of one shard of a pool, under a lock of its own.
+// worker drives the batcher of one shard of a pool.
 type worker struct {
 	shard
 	pieces *PieceScheduler
@@ -18,7 +18,7 @@
 	batcher *Batcher
 	waiting map[*Job]chan proto.PiecesAnswer
 	armed   bool
-	// terms are what targets of the pool have said of the work that they take.
+	// terms holds the rate limits and backoffs that targets of the pool asked for.
 	terms []targetLimits
 }
 
@@ -45,7 +45,7 @@
 	w.turn()
 }
 
-// targets are those of the shard that may get work.
+// targets returns the targets of the shard that may get work.
 func (w *worker) targets() []proto.RelayTarget {
 	shards := shardCount(w.pieces.fleet.Size(w.pool))
 	return targetsInShard(w.pieces.fleet.Usable(w.pieces.clock.Now(), w.pool), w.index, shards)
@@ -67,7 +67,7 @@
 	w.turn()
 }
 
-// turn sends the calls that are due; the lock is held.
+// turn sends the calls that are due. The caller holds the lock.
 func (w *worker) turn() {
 	w.batcher.setTargetLimits(w.terms, w.liveShare())
 	calls, ends := w.batcher.NextCalls(w.pieces.clock.Now())
@@ -81,11 +81,11 @@
 	}
 }
 
-// besideOwner is the part of the targets' limits for a daemon that makes calls although another one does so for the shard: one that took
-// over from an owner that it held to be silent, or has jobs left of before.
+// nonOwnerShare is the fraction of the rate limits for a daemon that sends calls although another daemon owns the
+// shard: it took over from an owner that it considers silent, or still has jobs from when it was the owner.
 const nonOwnerShare = 0.25
 
-// liveShare is the part of the targets' limits that may be used from here.
+// liveShare returns the fraction of the rate limits that this daemon may use.
 func (w *worker) liveShare() float64 {
 	if len(w.terms) == 0 {
 		return 1
@@ -131,7 +131,7 @@
 	p := w.pieces
 	p.calls.Add(1)
 	p.items.Add(int64(len(c.Items)))
-	// AfterFunc may run in the goroutine of the clock, which must not wait for a lock.
+	// AfterFunc may run in the clock's goroutine, which must not wait for a lock.
 	fetched := p.clock.AfterFunc(p.fetchTimes.keepTime(w.pool), func() { go w.freeFetched(c) })
 	results, err := w.call(c)
 	fetched.Stop()
@@ -156,7 +156,7 @@
 	w.turn()
 }
 
-// noteFailed notes that a target may have ended while it worked on a call.
+// noteFailed reports that a target may have ended while it worked on a call.
 func (w *worker) noteFailed(c *Call, err error) {
 	p := w.pieces
 	silent := errors.Is(err, errCallGivenUp)
@@ -178,7 +178,7 @@
 	p.ends.RecordFailure(c.Target, !silent, slices.Compact(requests)...)
 }
 
-// freeFetched gives up the inputs of a call that its target has fetched by now.
+// freeFetched releases the inputs of a call that its target has fetched by now.
 func (w *worker) freeFetched(c *Call) {
 	w.mu.Lock()
 	given := w.batcher.fetched(w.pieces.clock.Now(), c)
@@ -188,7 +188,7 @@
 	}
 }
 
-// learnFetch takes in whether the target of a call had fetched the inputs that were given up during it.
+// learnFetch records whether the target of a call had fetched the inputs that were released during the call.
 func (w *worker) learnFetch(c *Call, results []ItemResult) {
 	gave, fetched := false, true
 	for n, item := range c.Items {
