--- a/relay/budget.go
+++ b/relay/budget.go
@@ -6,40 +6,41 @@
 )
 
 const (
-	// budgetSteps is how many steps the window of a budget is counted in. A step held in part counts against the budget:
-	// with 40 of them, this leaves one attempt in 40 unused.
+	// budgetSteps is the number of steps that the window of a budget is divided into. A step that is partly in the
+	// window counts against the budget: with 40 steps, one attempt in 40 stays unused.
 	budgetSteps = 40
-	// budgetSpread is by how much the times between the decision to try again and the arrival at the target may differ:
-	// attempts that were decided that much more than a window apart may arrive within one. They arrive within
+	// budgetArrivalSpread is by how much the delay between the decision to retry and the arrival at the target may
+	// vary: attempts decided this much more than a window apart may arrive within one window. They arrive within
 	// milliseconds over an open connection, and within a fraction of a second over a new one to a busy target.
 	budgetArrivalSpread = 500 * time.Millisecond
-	// budgetLead is the part of a window by which requests may come before the attempts that they earn: an attempt follows
-	// its request, and a daemon without a share of the slack could make none otherwise.
+	// budgetLeadSteps is by how many steps requests may precede the attempts that they earn: an attempt follows its
+	// request, and a daemon without a share of the slack could not make any otherwise.
 	budgetLeadSteps = budgetSteps / 20
-	// budgetRemembers is how many steps are remembered: a window, its lead, and the steps in which attempts may still
-	// arrive.
+	// budgetHistorySteps is the number of steps that are kept: a window, its lead, and the steps in which attempts may
+	// still arrive.
 	budgetHistorySteps = 2 * budgetSteps
 )
 
-// RetryBudgetConfig are the terms of the retry budget, for all daemons together: in any window no more further attempts than
-// the ratio of a window's requests plus the slack.
+// RetryBudgetConfig bounds the retries of all daemons together: within any window, at most Ratio times the requests of
+// the window plus Slack.
 type RetryBudgetConfig struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
 }
 
-// RetryBudget limits how often requests to one pool go to a further target. What the ratio allows, each daemon earns by its
-// own requests, so that no daemon has to know of another; the slack is divided between the daemons.
+// RetryBudget limits how often requests to one pool go to a further target. Each daemon earns the part from the ratio
+// by its own requests, so that daemons need not know of each other; the slack is divided between them.
 type RetryBudget struct {
 	mu    sync.Mutex
 	terms RetryBudgetConfig
-	// began is the start of the first step. Steps are counted on the steady clock, which no change of the time moves.
+	// startedAt is the start of the first step. Steps are measured on the monotonic clock, so changes of the wall clock
+	// do not affect them.
 	startedAt     time.Time
 	earned, spent stepCounter
 }
 
-// NewRetryBudget returns a budget of which nothing is spent.
+// NewRetryBudget returns a budget without any spent attempts.
 func NewRetryBudget(now time.Time, terms RetryBudgetConfig) *RetryBudget {
 	return &RetryBudget{terms: terms, startedAt: now}
 }
@@ -55,13 +56,14 @@
 	b.earned.add(b.step(now))
 }
 
-// RetryBudgetState is what a budget had when a further attempt was asked for, in the window that leaves it least.
+// RetryBudgetState is the state of a budget when a further attempt was requested, in the window that leaves the fewest
+// attempts.
 type RetryBudgetState struct {
 	Allowed float64
 	Spent   int
 }
 
-// Spend takes one further attempt out of the budget, or tells that none is left; share is this daemon's part of the
+// Spend takes one further attempt from the budget, or returns false if none is left. share is this daemon's part of the
 // slack, from 0 to 1.
 func (b *RetryBudget) Spend(now time.Time, share float64) (RetryBudgetState, bool) {
 	b.mu.Lock()
@@ -73,7 +75,7 @@
 	return state, left
 }
 
-// Available tells whether a further attempt is left in the budget.
+// Available reports whether the budget has a further attempt left.
 func (b *RetryBudget) Available(now time.Time, share float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -89,9 +91,10 @@
 	return state, float64(state.Spent+1) <= state.Allowed
 }
 
-// tightest looks at all windows that an attempt in the latest step may fall into and returns the one that leaves it least.
-// Only the requests of the window itself count: those before it may have been another daemon's, which spent what they
-// earned before it died, and so the allowances of all daemons add up whoever gets the requests.
+// tightest checks all windows that an attempt in the latest step may fall into, and returns the one that leaves the
+// fewest attempts. Only requests within the window count: earlier ones may have gone to another daemon that spent what
+// they earned before it died. The allowances of all daemons thus add up to the budget, whichever daemon gets the
+// requests.
 func (b *RetryBudget) tightest(latest int64, share float64) RetryBudgetState {
 	spread := int64((budgetArrivalSpread + b.stepLength() - 1) / b.stepLength())
 	var tightest RetryBudgetState
@@ -107,21 +110,21 @@
 	return tightest
 }
 
-// requests returns how many requests count for a window that begins within a step: those in it or in one that begins
-// somewhat earlier, whichever has more, without the steps that they hold in part.
+// countRequests returns how many requests count for a window that begins within a step: those in that window or in one
+// that begins somewhat earlier, whichever has more. Steps that are only partly in a window are not counted.
 func (b *RetryBudget) countRequests(first, latest int64) int {
 	from := first - budgetLeadSteps
 	return max(b.earned.between(first+1, latest), b.earned.between(from+1, min(latest, from+budgetSteps-1)))
 }
 
-// stepTotals counts events by steps, of which it remembers those of the last few windows.
+// stepCounter counts events per step and keeps the last few windows.
 type stepCounter struct {
-	// totals holds how many events there were up to the end of each step.
+	// cumulative holds the number of events up to the end of each step.
 	cumulative [budgetHistorySteps]int
 	latest     int64
 }
 
-// advance begins a step; one before the latest counts as that.
+// advance moves on to a step; an earlier step than the latest is treated as the latest.
 func (t *stepCounter) advance(step int64) {
 	total := t.cumulative[t.latest%budgetHistorySteps]
 	t.latest = max(t.latest, step-budgetHistorySteps)
@@ -136,7 +139,7 @@
 	t.cumulative[t.latest%budgetHistorySteps]++
 }
 
-// between returns how many events there were from the first step to the last.
+// between returns the number of events from the first step to the last, inclusive.
 func (t *stepCounter) between(first, last int64) int {
 	if last < first {
 		return 0
--- a/relay/budget_test.go
+++ b/relay/budget_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestRequestsOfTheWindowBeforeEarnNothing has a daemon get no more requests, as one does whose callers go elsewhere: the
-// others earn by them from then on.
+// Guards against a daemon that keeps its allowance when its callers move to other daemons, which earn by the same
+// requests from then on.
 func TestRetryBudgetIgnoresEarlierRequests(t *testing.T) {
 	b := NewRetryBudget(start, budgetTerms)
 	for range 100 {
@@ -62,7 +62,7 @@
 	}
 }
 
-// TestAnEarlierTimeGivesABudgetNothing has the clock go back, as it may between processors.
+// Guards against attempts that are allowed twice if the clock goes back, as it may between processors.
 func TestRetryBudgetClockGoesBack(t *testing.T) {
 	b := NewRetryBudget(start, budgetTerms)
 	later := start.Add(20 * time.Second)
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestDaemonsTogetherKeepTheBudget lets daemons spend whenever they may, attempts arrive up to budgetSpread later, and
-// every span of the window's length is counted.
+// Daemons spend whenever they may, and attempts arrive up to budgetArrivalSpread later. Every span of the window's
+// length is checked.
 func TestRetryBudgetHoldsAcrossDaemons(t *testing.T) {
 	for seed := range uint64(60) {
 		h := newBudgetSimulation(seed)
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestDaemonsThatDieAndStartKeepTheBudget has most daemons die again and again while many attempts fail: what they spent
-// still counts, and those who start, or get the requests of the dead, know nothing of it.
+// Most daemons die repeatedly while many attempts fail. What they spent still counts, although the daemons that start,
+// or that get the requests of the dead ones, know nothing of it.
 func TestRetryBudgetHoldsAcrossRestarts(t *testing.T) {
 	for seed := range uint64(60) {
 		h := newBudgetSimulation(seed)
@@ -104,13 +104,13 @@
 	budgetSimulationStep = 5 * time.Millisecond
 )
 
-// budgetPlay is a history of daemons that spend as much as they may.
+// budgetSimulation simulates daemons that spend as much as they may.
 type budgetSimulation struct {
 	terms   RetryBudgetConfig
 	random  *rand.Rand
 	at      time.Duration
 	budgets []*RetryBudget
-	// shares are the moments from which on the daemons have a share of the slack.
+	// shareFrom holds the times from which on the daemons have a share of the slack.
 	shareFrom          []time.Duration
 	requests, arrivals []time.Duration
 }
@@ -127,7 +127,7 @@
 	return h
 }
 
-// step has a request come to a daemon, more often in some spans than in others, and an attempt asked for there.
+// step sends a request to a daemon, more often in some spans than in others, and requests an attempt there.
 func (h *budgetSimulation) step(daemon int) {
 	now := start.Add(h.at)
 	b := h.budgets[daemon]
@@ -145,7 +145,7 @@
 	h.at += budgetSimulationStep
 }
 
-// kill has a part of the daemons start anew, without a share until what they spent is out of the window.
+// restart restarts a part of the daemons, without a share until what they spent is out of the window.
 func (h *budgetSimulation) restart(part float64) {
 	for i := range h.budgets {
 		if h.random.Float64() < part {
@@ -169,7 +169,7 @@
 	}
 }
 
-// TestASteadyDeploymentUsesItsBudget has many more attempts asked for than are allowed, at an even rate.
+// Far more attempts are requested than are allowed, at an even rate.
 func TestRetryBudgetIsUsedAtSteadyLoad(t *testing.T) {
 	const daemons, length = 6, 60 * time.Second
 	terms := RetryBudgetConfig{Ratio: 0.2, Slack: 52, Window: 10 * time.Second}
--- a/relay/choice.go
+++ b/relay/choice.go
@@ -8,75 +8,78 @@
 	"emberlead/state"
 )
 
-// Costs in the choice of a target, in nanoseconds of expected delay.
+// Costs used to pick a target, in nanoseconds of expected delay.
 const (
-	// slotCost is what a full target adds for a plain attempt, against what another zone counts for: at a target that is
-	// a quarter full it is as much as two ways of some milliseconds.
+	// fullTargetCost is the cost of a full target for plain requests, relative to the cost of another zone: a target
+	// that is a quarter full costs as much as a round trip of some milliseconds.
 	fullTargetCost = float64(20 * time.Millisecond)
-	// othersFade is how long a reported load counts; most attempts are over after that.
+	// otherLoadLifetime is how long a reported load counts; most attempts are over after that.
 	otherLoadLifetime = 2 * time.Second
-	// readAgain is how many times over the reading of a shared part that another engine keeps already counts: it takes
-	// the engine's time from all that wait there, and memory from parts that others will ask for.
+	// duplicateReadFactor is the weight of reading a shared part that another engine has cached already. It takes
+	// engine time from all waiting requests, and memory from parts that others will ask for.
 	duplicateReadFactor = 2.0
-	// homeBonus is the part of a shared prompt's reading that its home is credited, so that daemons which choose
-	// alone, or have just taken over, choose alike.
+	// preferredDiscount is the fraction of the time to read a shared prompt that is deducted for its preferred target,
+	// so that daemons that choose alone, or have just become the owner, make the same choice.
 	preferredDiscount = 0.6
-	// harmWeight is how much the pauses of the streams beside a prompt count against the prompt's own delay.
+	// stallWeight is the weight of the pauses in concurrent streams relative to the delay of the prompt itself.
 	stallWeight = 0.15
-	// strayCost is what an engine of the other group adds: a long prompt holds up the streams beside it.
+	// wrongGroupCost is the cost of an engine of the other group: a long prompt stalls the streams running beside it.
 	wrongGroupCost = float64(250 * time.Millisecond)
-	// groupLeast and groupMost bound the part of the engines that takes the routes with long prompts.
+	// minLongShare and maxLongShare bound the fraction of engines that serve the routes with long prompts.
 	minLongShare, maxLongShare = 0.4, 0.75
-	// longRatio is how long a route's prompts must be against the average of the pool to count as long.
+	// longPromptRatio is the ratio of a route's mean prompt length to the pool's from which on its prompts count as
+	// long.
 	longPromptRatio = 0.6
-	// promptHalf is the half-life of the averages of prompts; routes change within seconds in a burst.
+	// promptHalfLife is the half-life of prompt averages; routes change within seconds in a burst.
 	promptHalfLife = 10 * time.Second
 )
 
-// ZoneCosts are what another availability zone counts for in the choice of a target, as a delay. They are the
-// operator's: a platform where what crosses zones is dear wants them higher, at the expense of slower answers.
+// ZoneCosts are the costs of another availability zone in the choice of a target, as a delay. The operator sets them:
+// higher values suit a platform where traffic between zones is expensive, at the cost of latency.
 type ZoneCosts struct {
-	// Request is what any request to another zone counts for, two ways included.
+	// PerRequest is the cost of any request to another zone, including the round trip.
 	PerRequest time.Duration
-	// Megabyte is what a megabyte of inputs from another zone counts for.
+	// PerMegabyte is the cost of a megabyte of inputs from another zone.
 	PerMegabyte time.Duration
 }
 
-// DefaultZoneCosts suits zones a millisecond or two apart: a megabyte counts for as much as reading some 300 prompt
-// tokens, so that inputs cross zones where the engine there keeps a shared part that is longer.
+// DefaultZoneCosts returns costs for zones a millisecond or two apart. A megabyte costs as much as reading about 300
+// prompt tokens, so inputs cross zones if the engine there has cached a shared part longer than that.
 func DefaultZoneCosts() ZoneCosts {
 	return ZoneCosts{PerRequest: 3 * time.Millisecond, PerMegabyte: 9 * time.Millisecond}
 }
 
-// TargetCriteria describes what a target is chosen for.
+// TargetCriteria describes the request that a target is picked for.
 type TargetCriteria struct {
-	// Shared are the parts of the prompt that others may share, and OwnTokens the size of the rest.
+	// SharedParts are the parts of the prompt that other requests may share, and OwnTokens is the size of the rest.
 	SharedParts []proto.PromptPart
 	OwnTokens   int
 	// Zone is the daemon's own zone, or that of large inputs.
 	Zone string
-	// Inputs is about how many bytes of inputs lie in Zone.
+	// InputBytes is the approximate size of the inputs located in Zone.
 	InputBytes int
-	// Route tells apart the kinds of requests, whose prompts differ.
+	// Route identifies the kind of request; prompts differ between routes.
 	Route string
-	// Engine says that targets are model engines.
+	// Engine is set if the targets are model engines.
 	Engine bool
-	// Gap is the longest pause between events that is still in time; 0 if there is no bound.
+	// MaxPause is the longest pause between events that is still in time; 0 if unlimited.
 	MaxPause time.Duration
 	// Tried holds the targets that were tried before.
 	Tried map[string]bool
-	// Rank is the urgency of the request, 0 first.
+	// Rank is the urgency of the request; 0 is the most urgent.
 	Rank int
-	// Homes are the regions that the target must be in.
+	// AllowedRegions are the regions that the target must be in.
 	AllowedRegions proto.AllowedRegions
-	// Elsewhere says that another daemon sends the request, from which no target wants rest that is not in Tried.
+	// ForPeer is set if another daemon sends the request. Backoffs that targets asked of this daemon do not apply then;
+	// the targets that the peer must not use are in Tried.
 	ForPeer bool
-	// Cold holds the cold targets that may be chosen, and Limited those with a limit.
+	// AllowedCold holds the cold targets that may be picked, and AllowedLimited the targets with a limit that may be
+	// picked.
 	AllowedCold, AllowedLimited map[string]bool
 }
 
-// Pick returns the target with the least expected delay, with an attempt begun on it, or nil if there is none: also where each that
-// is in good health has as many requests as it may have at a time.
+// Pick returns the target with the least expected delay and starts an attempt on it. It returns nil if there is none,
+// or if every healthy target is at capacity.
 func (f *Fleet) Pick(now time.Time, pool string, w TargetCriteria) *Target {
 	p := f.pool(pool)
 	if p == nil {
@@ -99,7 +102,7 @@
 	return best
 }
 
-// Has tells whether a pool has a target that an attempt may go to.
+// HasTarget reports whether a pool has a target that an attempt may go to.
 func (f *Fleet) HasTarget(now time.Time, pool string, w TargetCriteria) bool {
 	p := f.pool(pool)
 	if p == nil {
@@ -114,14 +117,14 @@
 	return best != nil
 }
 
-// ReportSlow notes that an attempt takes longer than it should; a whole answer makes up for it.
+// ReportSlow records that an attempt takes longer than expected; a complete response makes up for it.
 func (f *Fleet) ReportSlow(now time.Time, t *Target) {
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
 	t.health.recordFailure(now)
 }
 
-// PickByID begins an attempt on a target that another daemon chose; nil if it may get no work.
+// PickByID starts an attempt on a target that another daemon picked; it returns nil if the target must not get work.
 func (f *Fleet) PickByID(now time.Time, pool, id string, w TargetCriteria) *Target {
 	p := f.pool(pool)
 	if p == nil {
@@ -151,8 +154,8 @@
 	t.cache.record(now, w.SharedParts, maxCacheTokens)
 }
 
-// strain is how much a pause of a millisecond counts for a stream: the shorter the pauses that its route allows, the
-// more.
+// pauseWeight is the cost of a pause of one millisecond for a stream; it is higher for routes that allow shorter
+// pauses.
 func (w *TargetCriteria) pauseWeight() float64 {
 	if w.MaxPause <= 0 {
 		return 0
@@ -160,7 +163,7 @@
 	return float64(time.Millisecond) / float64(w.MaxPause)
 }
 
-// cacheMost is how many tokens of prompt parts an engine of the pool is taken to keep.
+// maxCacheTokens is the number of prompt tokens that an engine of the pool is assumed to cache.
 func (p *targetPool) maxCacheTokens() int {
 	if p.cacheTokens == 0 {
 		return cacheShare * defaultCacheTokens
@@ -168,14 +171,14 @@
 	return int(cacheShare * float64(p.cacheTokens))
 }
 
-// best returns the cheapest target, and whether one was left out since it is crowded; without any in good health, one that was
-// left out is better than none.
+// best returns the cheapest target, and whether a target was skipped because it is at capacity. If failing is set,
+// unhealthy and full targets are considered too, since any target is better than none.
 func (p *targetPool) best(now time.Time, w TargetCriteria, failing bool) (best *Target, atCapacity bool) {
 	preferred := p.preferredTarget(now, w)
 	longPrompts := p.hasLongPrompts(now, w.Route)
 	p.tokenCost, p.streamCost = p.model.rates()
 	least := math.Inf(1)
-	// The search begins at another target each time, so that equal ones share the work.
+	// Start at another target each time, so that targets of equal cost share the work.
 	p.rotation++
 	for i := range p.list {
 		t := p.list[(p.rotation+i)%len(p.list)]
@@ -198,7 +201,7 @@
 	return best, atCapacity
 }
 
-// isOpen tells whether a request may go to a target, whatever its health.
+// isEligible reports whether a request may go to a target, regardless of its health.
 func (p *targetPool) isEligible(now time.Time, t *Target, w *TargetCriteria) bool {
 	id := t.Spec.ID
 	switch {
@@ -210,7 +213,7 @@
 	return w.ForPeer || !t.backsOff(now)
 }
 
-// AtCapacity tells whether each target of a pool that is in good health has as many requests as it may have at a time.
+// AtCapacity reports whether every healthy target of a pool has as many requests as it may have at a time.
 func (f *Fleet) AtCapacity(now time.Time, pool string) bool {
 	p := f.pool(pool)
 	if p == nil {
@@ -231,7 +234,8 @@
 	return atCapacity
 }
 
-// homeOf picks a target for a prompt part by rendezvous hashing, so that all daemons agree without a message.
+// preferredTarget picks a target for a prompt part by rendezvous hashing, so that all daemons agree without
+// communication.
 func (p *targetPool) preferredTarget(now time.Time, w TargetCriteria) *Target {
 	if len(w.SharedParts) == 0 {
 		return nil
@@ -266,7 +270,7 @@
 	return ""
 }
 
-// cost is the expected delay of an attempt, and what it costs others.
+// cost returns the expected delay of an attempt plus its cost to other requests.
 func (t *Target) cost(now time.Time, w TargetCriteria, preferred *Target, longPrompts bool) float64 {
 	c := t.health.cost(now)
 	cross := t.Spec.Zone != w.Zone
@@ -288,7 +292,7 @@
 	tokenCost, streamCost := t.pool.tokenCost, t.pool.streamCost
 	queued := float64(t.unreadTokens) * tokenCost * t.slowdown
 	read := (float64(w.OwnTokens) + missingTokens) * tokenCost * t.slowdown
-	// Streams beside a prompt stand still while it is read; what is queued already would hold them up anyway.
+	// Concurrent streams stall while a prompt is read. What is queued already would stall them anyway.
 	stall := stallWeight * t.pauseWeight * ((queued+read)*(queued+read) - queued*queued)
 	duplicate := duplicateReadFactor * missingTokens * tokenCost
 	running := (float64(t.active) + others) * streamCost * t.slowdown
@@ -306,35 +310,35 @@
 	return t.otherLoad * (1 - float64(age)/float64(otherLoadLifetime))
 }
 
-// Load is what a target's answer said of itself.
+// Load is the load that a target reported in a response.
 type Load struct {
 	Running, Waiting, Slots int
 	Known                   bool
 }
 
-// HealthVerdict is what an attempt showed of a target's health.
+// HealthVerdict is what an attempt says about a target's health.
 type HealthVerdict uint8
 
 // Verdicts on an attempt.
 const (
-	// VerdictNone says nothing, such as when the caller left.
+	// VerdictNone says nothing, as when the caller left.
 	VerdictNone HealthVerdict = iota
-	// VerdictGood is a whole answer.
+	// VerdictSuccess is a complete response.
 	VerdictSuccess
-	// VerdictBad is a connection that broke, no answer in time, or bytes that form no answer.
+	// VerdictFailure is a broken connection, a timeout, or a malformed response.
 	VerdictFailure
-	// VerdictFull is a refusal for want of room.
+	// VerdictOverloaded is a refusal for lack of capacity.
 	VerdictOverloaded
 )
 
-// RecordResponseStart notes that an attempt began to answer, so that its prompt is read.
+// RecordResponseStart records that the response to an attempt began, so its prompt has been read.
 func (f *Fleet) RecordResponseStart(now time.Time, t *Target, w TargetCriteria) {
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
 	t.finishPrompt(now, w, true)
 }
 
-// FinishAttempt ends an attempt; began tells whether Began was called for it.
+// FinishAttempt ends an attempt; began is set if RecordResponseStart was called for it.
 func (f *Fleet) FinishAttempt(now time.Time, t *Target, w TargetCriteria, began bool, v HealthVerdict, load Load) {
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
@@ -360,21 +364,22 @@
 	}
 }
 
-// Spec returns a target's entry as it is now.
+// Spec returns the current entry of a target.
 func (f *Fleet) Spec(t *Target) proto.RelayTarget {
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
 	return t.Spec
 }
 
-// AcceptsWork tells whether a target may still get new work.
+// AcceptsWork reports whether a target may still get new work.
 func (f *Fleet) AcceptsWork(t *Target) bool {
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
 	return !t.unlisted && !t.leaves()
 }
 
-// InService tells whether the run of a target as it was listed is still listed and has not said that it leaves.
+// InService reports whether the run of a target that spec describes is still listed and has not announced that it
+// leaves.
 func (f *Fleet) InService(spec proto.RelayTarget) bool {
 	f.mu.RLock()
 	t := f.byID[spec.ID]
@@ -382,7 +387,8 @@
 	return t != nil && f.AcceptsWork(t) && f.Spec(t).StartedAt.Equal(spec.StartedAt)
 }
 
-// Out returns the targets of a pool that this daemon leaves out: for their failures, since they may have left, or since they want rest.
+// ExcludedTargets returns the targets of a pool that this daemon does not use: they fail, may have left, or asked it to
+// back off.
 func (f *Fleet) ExcludedTargets(now time.Time, pool string) []string {
 	p := f.pool(pool)
 	if p == nil {
@@ -399,7 +405,7 @@
 	return ids
 }
 
-// EngineTimes returns what was learnt of a pool's engines.
+// EngineTimes returns the estimated times of a pool's engines.
 func (f *Fleet) EngineTimes(pool string) proto.EngineTimes {
 	p := f.pool(pool)
 	if p == nil {
@@ -410,7 +416,7 @@
 	return p.model.estimates()
 }
 
-// SetEngineTimes takes over what another daemon learnt of a pool's engines.
+// SetEngineTimes replaces the estimated times of a pool's engines by those of another daemon.
 func (f *Fleet) SetEngineTimes(pool string, times proto.EngineTimes) {
 	p := f.pool(pool)
 	if p == nil {
@@ -421,7 +427,7 @@
 	p.model.replace(times)
 }
 
-// SetCacheTokens takes over how many tokens an engine of a pool keeps.
+// SetCacheTokens sets the number of tokens that an engine of a pool caches.
 func (f *Fleet) SetCacheTokens(pool string, tokens int) {
 	f.mu.Lock()
 	p := f.ensurePool(pool)
--- a/relay/coldsends.go
+++ b/relay/coldsends.go
@@ -8,20 +8,22 @@
 )
 
 const (
-	// coldTask begins the names of the tasks of sending requests to a cold target, which only one daemon does at a time.
+	// coldTaskPrefix is the prefix of the tasks of sending requests to a cold target, which only one daemon has at a
+	// time.
 	coldTaskPrefix = "cold/"
-	// coldSettle is how long after another daemon may have sent requests to a cold target this one begins: what that one sent
-	// has arrived by then, since connections to targets are made within some hundred milliseconds or not at all.
+	// coldHandoverDelay is how long this daemon waits after another daemon may have sent requests to a cold target.
+	// What that daemon sent has arrived by then, since connections to targets are made within some hundred milliseconds
+	// or not at all.
 	coldHandoverDelay = 2 * time.Second
-	// coldReserve is the part of a cold target's allowance that is left to the most urgent requests.
+	// coldReserve is the fraction of a cold target's quota that is reserved for the most urgent requests.
 	coldReserve = 1.0 / 3
-	// coldTries is how often a target is chosen anew when other requests took the allowance meanwhile.
+	// maxColdPicks is how often a target is picked again if other requests used up its quota.
 	maxColdPicks = 3
 )
 
-// coldSends counts what this daemon sends to the cold targets that it alone may send to. What arrives at a target within a second
-// was either on its way when the second began or was sent within it; each of the two is kept below half of what the target may get,
-// so the bound holds however long requests are on their way.
+// coldSendLimiter counts the requests to the cold targets that only this daemon may send to. The requests that arrive
+// at a target within a second were either in flight when the second began or were sent within it. Each of the two is
+// kept below half of the target's quota, so the quota holds however long requests are in flight.
 type coldSendLimiter struct {
 	mu           sync.Mutex
 	targets      map[string]*coldTarget
@@ -29,13 +31,13 @@
 }
 
 type coldTarget struct {
-	// sent is when requests were sent within the last second.
+	// sent holds when requests were sent within the last second.
 	sent []time.Time
-	// open is how many requests may still be on their way.
+	// open is the number of requests that may still be in flight.
 	open int
 }
 
-// left is how many requests may be sent to a target now; most is what it may get within a second.
+// left returns how many requests may be sent to a target now; most is the number that it may get within a second.
 func (c *coldSendLimiter) left(now time.Time, id string, most int) int {
 	t := c.targets[id]
 	if t == nil {
@@ -48,7 +50,7 @@
 	return most/2 - max(len(t.sent), t.open)
 }
 
-// allows tells whether a request of a rank may be sent.
+// allows reports whether a request of a rank may be sent.
 func (c *coldSendLimiter) allows(now time.Time, id string, most, rank int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,7 +80,7 @@
 	return true
 }
 
-// arrived notes that a request has arrived at a target, or never will.
+// arrived records that a request has arrived at a target, or never will.
 func (c *coldSendLimiter) arrived(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,7 +89,7 @@
 	}
 }
 
-// sweep forgets the targets that nothing was sent to for a while.
+// sweep forgets the targets without recent requests.
 func (c *coldSendLimiter) sweep(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -96,7 +98,7 @@
 	}
 }
 
-// mayBeSent returns the cold targets of a pool that a request of a rank may be sent to from here.
+// sendableCold returns the cold targets of a pool that this daemon may send a request of a rank to.
 func (p *Placer) sendableCold(now time.Time, pool string, rank int) map[string]bool {
 	ids, most := p.fleet.Cold(now, pool)
 	var may map[string]bool
@@ -112,11 +114,11 @@
 	return may
 }
 
-// countCold counts a request to a cold target, unless others have taken what was left.
+// countCold counts a request to a cold target, unless other requests have used up the quota.
 func (p *Placer) countCold(now time.Time, placed *Placement) bool {
 	_, most := p.fleet.Cold(now, placed.pool)
 	if most == 0 {
-		// All have become warm meanwhile.
+		// All targets have become warm meanwhile.
 		return true
 	}
 	placed.Cold = true
@@ -124,7 +126,7 @@
 	return placed.counted
 }
 
-// arrived notes that the request has arrived at its target, or never will.
+// arrived records that the request has arrived at its target, or never will.
 func (p *Placement) arrived() {
 	if p.counted {
 		p.counted = false
@@ -132,10 +134,10 @@
 	}
 }
 
-// ColdStats are totals of requests for cold targets since the start.
+// ColdStats are the totals of requests to cold targets since the start of the daemon.
 type ColdStats struct {
 	Sent int64 `json:"sent"`
-	// Denied counts how often other requests had taken what was left of a target's allowance.
+	// Denied counts how often other requests had used up a target's quota.
 	Denied int64 `json:"denied"`
 }
 
--- a/relay/coldsends_test.go
+++ b/relay/coldsends_test.go
@@ -15,14 +15,15 @@
 	"emberlead/state"
 )
 
-// A cold target takes 6.7 requests a second; all daemons together may send it half as many again and five more.
+// A cold target has a throughput of 6.7 requests per second. All daemons together may send it half as many again, plus
+// five.
 var (
 	coldSpec        = proto.ColdSpec{WarmUpTime: 3 * time.Second, RequestsPerSecond: 6.7}
 	coldTerms       = ColdConfig{Factor: 1.5, Slack: 5}
 	coldMaxRequests = coldTerms.maxRequests(coldSpec)
 )
 
-// coldPeers are daemons that do not reach each other, and divide the targets as daemons do that count each other.
+// coldPeers simulates daemons that cannot reach each other, and divide the targets as daemons do that count each other.
 type coldPeers struct {
 	self proto.VM
 	all  []proto.VM
@@ -47,7 +48,7 @@
 	return best == p.self
 }
 
-// coldFleet has engines of which some are cold.
+// coldFleet returns a fleet of engines, the first of which are cold.
 func coldFleet(engines, cold int) *Fleet {
 	f := NewFleet(func(string) {}, WithColdConfig(coldTerms))
 	f.SetColdSpec("p", coldSpec)
@@ -62,7 +63,7 @@
 	return f
 }
 
-// mostWithinASpan is the largest number of arrivals within a second, whatever its beginning.
+// maxWithinWindow returns the largest number of arrivals within any span of one second.
 func maxWithinWindow(arrivals []time.Time) int {
 	slices.SortFunc(arrivals, time.Time.Compare)
 	most, from := 0, 0
@@ -75,8 +76,8 @@
 	return most
 }
 
-// TestAColdTargetNeverGetsMoreThanItMay sends as often as is allowed, with requests that are on their way for up to some
-// seconds, also many at once: the bound is on what arrives.
+// Requests are sent as often as allowed and take up to some seconds to arrive, sometimes many at once. The bound
+// applies to arrivals.
 func TestColdSendLimiterBoundsArrivals(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 3))
@@ -111,9 +112,9 @@
 	}
 }
 
-// TestAPoolThatComesBackColdAmongDaemonsThatAreSplit is the load after a zone or a pool came back at once: 120 engines, all cold,
-// and 20 daemons that do not hear each other, each with an equal part of four times what cold engines may get. The figures are those
-// of a pool of model engines in service: seven a second each while cold.
+// Simulates the load after a zone or a pool came back at once: 120 engines, all cold, and 20 daemons that do not hear
+// from each other, each with an equal part of four times what cold engines may get. The figures are those of a pool of
+// model engines in production: seven requests per second for each engine while cold.
 func TestColdLimitWithPartitionedDaemons(t *testing.T) {
 	const engineCount, daemons, perSecond = 120, 20, 3400
 	clock := clockwork.NewFakeClockAt(start)
@@ -138,7 +139,7 @@
 			arrivals[placed.Spec.ID] = append(arrivals[placed.Spec.ID], clock.Now())
 			open = append(open, placed)
 		}
-		// An answer begins after a tenth of a second.
+		// A response begins after a tenth of a second.
 		if len(open) > perSecond/10 {
 			open[0].Finish(VerdictSuccess, Load{})
 			open = open[1:]
@@ -188,7 +189,7 @@
 	}
 }
 
-// TestATargetIsColdForAsLongAsItSays follows what entries say, over time.
+// Follows what entries report over time.
 func TestTargetColdPeriod(t *testing.T) {
 	entry := func(version uint64, coldFor time.Duration) []FleetChange {
 		spec := testTarget("e000", "p", "z")
@@ -232,8 +233,8 @@
 	}
 }
 
-// TestACrowdedPoolSendsNothingToTargetsThatFail has 19 of 21 engines fail, and more requests than the others may have at a time: what
-// they may not have is not sent to the ones that fail.
+// Of 21 engines 19 fail, and there are more requests than the others may have at a time. The excess must not go to the
+// failing engines.
 func TestPoolAtCapacityAvoidsFailingTargets(t *testing.T) {
 	f := coldFleet(21, 0)
 	want := TargetCriteria{Engine: true, Route: "r", OwnTokens: 20}
@@ -259,8 +260,8 @@
 	}
 }
 
-// TestNoTargetGetsMoreThanAColdOneMay has all requests share one long part of their prompts: their home may have become cold
-// a second ago, and nobody knows it yet.
+// All requests share one long part of their prompts. The target that is preferred for it may have become cold a second
+// ago without any daemon knowing yet.
 func TestWarmTargetsRespectColdLimit(t *testing.T) {
 	f := coldFleet(6, 0)
 	var chosen []time.Time
@@ -282,8 +283,8 @@
 	}
 }
 
-// TestTargetsThatMayGetOneRequestASecondAreUsed has cold targets work through one request a second, and nothing allowed beyond that: warm
-// ones are chosen all the same, one request after the other.
+// Cold targets have a throughput of one request per second with no slack. Warm targets must be picked nevertheless, one
+// request after the other.
 func TestWarmTargetsWithColdLimitOfOne(t *testing.T) {
 	f := fleetWith(putChange(1, testTarget("t", "p", "z")))
 	f.SetColdSpec("p", proto.ColdSpec{WarmUpTime: time.Second, RequestsPerSecond: 1})
--- a/relay/eras_test.go
+++ b/relay/eras_test.go
@@ -27,8 +27,8 @@
 	return t
 }
 
-// TestWhatAStoreLostInARestorationStaysKnown has two targets, a and b, in a copy of the store as of version 10; then something happens
-// to a at versions up to 20, and the store comes back from the copy.
+// Targets a and b are in a copy of the store as of version 10. Then a changes, up to version 20, and the store is
+// restored from the copy.
 func TestFleetKeepsChangesLostInRestore(t *testing.T) {
 	type step struct {
 		at     time.Duration
@@ -39,7 +39,7 @@
 	scenarios := []struct {
 		testName string
 		lost     []FleetChange
-		// then are changes after the restoration, and usable is what may get work at last.
+		// then holds changes after the restoration, and usable the targets that may get work at the end.
 		then   []step
 		at     time.Duration
 		usable string
@@ -79,7 +79,7 @@
 	}
 }
 
-// TestADaemonThatStartsIsToldWhatTheCopyGotWrong reads the copy by a daemon that never knew that a had left.
+// The copy is read by a daemon that never knew that a had left.
 func TestNewDaemonLearnsInvalidRestoredEntries(t *testing.T) {
 	for _, lost := range []FleetChange{putIn(1, 20, leavingTarget("a")), removedIn(1, 20, "a")} {
 		knew := fleetWith(putIn(1, 1, testTarget("a", "p", "z")), putIn(1, 2, testTarget("b", "p", "z")), lost)
@@ -145,8 +145,8 @@
 	}
 }
 
-// TestAnEvacuationThatTheStoreLostIsKeptByThoseWhoStart has a daemon be told of it that reads the store's list only then, and tell the
-// first one what it believes.
+// Guards against an evacuation that is revoked by a daemon which reads the restored store only after it was told of the
+// evacuation, and then reports its own view back.
 func TestNewDaemonKeepsEvacuationLostInRestore(t *testing.T) {
 	knew, starts := fleetWith(putIn(1, 1, testTarget("a", "p", "y"))), fleetWith(putIn(2, 1, testTarget("a", "p", "y")))
 	knew.ApplyEvacuations(start, []proto.Evacuation{{Zone: "y", Version: inEra(1, 20)}})
@@ -164,8 +164,9 @@
 	}
 }
 
-// restoredWorld is a store with targets that come, leave and go, which is restored from copies now and then; what it lost is written
-// again within two seconds. Three fleets follow it as daemons do: by changes, by whole lists, and by what another one tells.
+// restoreSimulation is a store with targets that come, leave and go. It is occasionally restored from copies, and what
+// it lost is rewritten within two seconds. Three fleets follow it as daemons do: by changes, by whole lists, and by
+// reports of another daemon.
 type restoreSimulation struct {
 	random  *rand.Rand
 	now     time.Time
@@ -173,10 +174,10 @@
 	version uint64
 	rows    map[string]FleetChange
 	copies  []storeCopy
-	// left are the targets that have said that they leave, or are gone, and since when.
+	// left holds the targets that have announced that they leave or are gone, and since when.
 	left map[string]time.Time
 	live map[string]bool
-	// due are writes that are made again.
+	// due holds writes that are repeated.
 	due    []pendingWrite
 	fleets [3]*Fleet
 	seen   [3]proto.Revision
@@ -193,7 +194,7 @@
 	id string
 }
 
-// write puts the entry of a target as it is now, or removes it.
+// write puts the current entry of a target, or removes it.
 func (w *restoreSimulation) write(id string) {
 	w.version++
 	c := FleetChange{ID: id, Version: inEra(w.era, w.version)}
@@ -275,7 +276,7 @@
 	}
 }
 
-// follow has one of the fleets catch up as its daemon does.
+// follow lets one of the fleets catch up as its daemon does.
 func (w *restoreSimulation) follow(i int) {
 	f := w.fleets[i]
 	asOf := inEra(w.era, w.version)
@@ -308,8 +309,8 @@
 	}
 }
 
-// TestNothingThatLeftIsUsedThroughRestorations plays random histories. A fleet must not use a target two and a half seconds after the
-// target said that it leaves, which each fleet that knew of it at once had heard, and in the end each must use all that are there.
+// Plays random histories. A fleet that could learn of it at once must not use a target two and a half seconds after the
+// target announced that it leaves, and in the end every fleet must use all targets that exist.
 func TestDepartedTargetsAreUnusedAcrossRestores(t *testing.T) {
 	for seed := range uint64(120) {
 		w := &restoreSimulation{
--- a/relay/fleet.go
+++ b/relay/fleet.go
@@ -11,66 +11,67 @@
 	"emberlead/state"
 )
 
-// Target is one target with what this daemon knows of it.
+// Target is a target of a pool together with this daemon's state of it.
 type Target struct {
 	Spec proto.RelayTarget
 
 	pool *targetPool
-	// hash is that of the id.
+	// idHash is the hash of the target's ID.
 	idHash uint64
 	health health
-	// active are this daemon's attempts in progress.
+	// active counts this daemon's attempts in progress.
 	active int
-	// unread are the prompt tokens of attempts that have not begun to answer, and reads these attempts.
+	// unreadTokens is the sum of prompt tokens of attempts without a response yet, and unreadPrompts holds these
+	// prompts.
 	unreadTokens  int
 	unreadPrompts []unreadPrompt
 	cache         promptCache
-	// strain is how much a pause of a millisecond counts for all streams in progress.
+	// pauseWeight is the cost of a pause of one millisecond, summed over all streams in progress.
 	pauseWeight float64
-	// others is how many attempts of other daemons the last answer showed.
+	// otherLoad is the number of attempts by other daemons according to the latest response.
 	otherLoad   float64
 	otherLoadAt time.Time
-	// pace is how long attempts take against what was expected.
+	// slowdown is the ratio of the time attempts take to the expected time.
 	slowdown float64
-	// lapsedAt is when the entry went while the store was away; zero if it is listed.
+	// lapsedAt is when the entry disappeared while the store was down; zero if the target is listed.
 	lapsedAt      time.Time
 	lapseFromPeer bool
-	// doubted says that another daemon, which reached the store all the time, saw the entry of a lapsed target go: it
-	// has more likely left than lapsed, and gets work only where its pool has no other target.
+	// suspected is set if another daemon, which could reach the store throughout, saw the entry of a lapsed target
+	// disappear. Such a target has more likely left than lapsed, so it only gets work if its pool has no other target.
 	suspected bool
-	// version is the store's version at which the entry last changed.
+	// version is the store revision of the entry's latest change.
 	version  proto.Revision
 	unlisted bool
-	// running ends when another run of the target is known, and end ends it.
+	// runCtx is canceled by cancelRun once a newer run of the target is known.
 	runCtx    context.Context
 	cancelRun context.CancelFunc
-	// long engines take the routes with long prompts.
+	// longPrompts is set on engines that serve the routes with long prompts.
 	longPrompts bool
-	// evacuated targets are in a zone that is to get nothing more.
+	// evacuated is set if the target's zone must not get new work.
 	evacuated bool
-	// coldUntil is until when the target is cold; zero if it is warm.
+	// coldUntil is when the target is warm; zero if it is warm already.
 	coldUntil time.Time
-	// notice is what the target's run has said of itself in answers.
+	// notice holds what the target's run has reported in its responses.
 	notice proto.TargetNotice
-	// restUntil is until when the target wants nothing from this daemon.
+	// backoffUntil is the time before which the target accepts no requests from this daemon.
 	backoffUntil time.Time
-	// lately is when the target was chosen within the last second, in pools whose targets may be cold.
+	// recentPicks holds when the target was picked within the last second, in pools whose targets may be cold.
 	recentPicks []time.Time
 }
 
-// leaves tells whether the target has said that it leaves, by its entry or in an answer.
+// leaves reports whether the target has announced that it leaves, in its entry or in a response.
 func (t *Target) leaves() bool { return t.Spec.Leaving || t.notice.Leaving }
 
-// closed tells whether the target is to get no new work, whatever its health.
+// closed reports whether the target must not get new work, regardless of its health.
 func (t *Target) closed() bool { return t.leaves() || t.evacuated }
 
 type targetPool struct {
 	mu      sync.Mutex
 	targets map[string]*Target
 	list    []*Target
-	// stale says that the list is not that of the targets any more.
+	// listStale is set if list no longer matches targets.
 	listStale bool
-	// listed counts the changes of the list, and orderedOf is that of the list in order of hash.
+	// listVersion counts the rebuilds of list, and sortedVersion is the listVersion for which sortedByHash was built.
 	listVersion, sortedVersion uint64
 	sortedByHash               []*Target
 	prompts                    map[string]*promptStats
@@ -79,24 +80,25 @@
 	allPrompts                 promptStats
 	model                      engineModel
 	slowdowns                  []float64
-	// token and stream are what a prompt token and a stream beside it add to a first event, in milliseconds, as of the
-	// last choice.
+	// tokenCost and streamCost are the milliseconds that a prompt token and a concurrent stream add to the time to the
+	// first event, as of the latest pick.
 	tokenCost, streamCost float64
 	zones                 ZoneCosts
-	// read is how many prompt tokens engines have lately read.
+	// recentReadTokens is the decaying sum of the prompt tokens that engines have read.
 	recentReadTokens state.DecayingSum
-	// memory is how many tokens an engine of the pool keeps; 0 if that is not known.
+	// cacheTokens is the number of tokens that an engine of the pool caches; 0 if unknown.
 	cacheTokens int
-	// cold says how targets warm up, and coldMost how many requests a cold one may get within a second from all daemons.
+	// coldSpec describes how targets warm up, and coldLimit is the number of requests per second that a cold target may
+	// get from all daemons.
 	coldSpec  proto.ColdSpec
 	coldLimit int
-	// mayLimit says that a target may name a limit.
+	// mayHaveLimits is set if a target may have reported a limit.
 	mayHaveLimits bool
-	// coldTo is when the last of the targets that are known to be cold is warm.
+	// lastColdUntil is when the last target that is known to be cold becomes warm.
 	lastColdUntil time.Time
 }
 
-// lock locks the pool with its list as it should be; the list is made anew once after many changes.
+// lock locks the pool and rebuilds its list if it is stale, so that many changes cost one rebuild.
 func (p *targetPool) lock() {
 	p.mu.Lock()
 	if p.listStale {
@@ -114,49 +116,54 @@
 	slices.SortFunc(p.list, func(a, b *Target) int { return cmp.Compare(a.Spec.ID, b.Spec.ID) })
 }
 
-// Fleet holds all targets by pool, each pool under its own lock.
+// Fleet holds all targets by pool. Each pool has its own lock.
 type Fleet struct {
 	mu    sync.RWMutex
 	pools map[string]*targetPool
 	byID  map[string]*Target
-	// awayAt and backAt are when the store was last found away, and when it answered again after that.
+	// storeDownAt is when the store was last found unavailable, and storeUpAt when it first answered after that.
 	storeDownAt, storeUpAt time.Time
-	// version is that of the newest change of any entry, which is the same at all daemons that know as much.
+	// version is the revision of the newest change of any entry; daemons with the same knowledge have the same version.
 	version proto.Revision
 	changed func(pool string)
 	zones   ZoneCosts
-	// void holds the revisions of entries that name no target to use although they read as if they did, and judged those that came
-	// back with a copy of the store and count again, since they stayed.
+	// invalid holds the revisions of entries that name no usable target although they parse as if they did. revalidated
+	// holds the revisions that reappeared with a restored copy of the store and count again, because their entries
+	// stayed.
 	invalid     map[string]invalidEntry
 	revalidated map[string]proto.Revision
-	// left holds the targets that left lately, and copied is the revision as of which the store's list was first read in its era.
+	// departed holds the targets that left recently, and restoredAsOf is the revision of the first list read in the
+	// store's era.
 	departed     map[string]departedTarget
 	restoredAsOf proto.Revision
-	// evacuations holds the zones that are or were evacuated, and evacuatedAt is the revision of the newest change.
+	// evacuations holds the zones that are or were evacuated, and evacuationsVersion is the revision of the newest
+	// change.
 	evacuations        map[string]proto.Evacuation
 	evacuationsVersion proto.Revision
-	// evacuationRows are the versions of the rows that evacuated zones last, and heldSince is since when evacuations are in force
-	// that a restored store lacks.
+	// evacuationRowVersions holds the versions of the rows that last evacuated zones, and heldSince the time since when
+	// evacuations that a restored store lacks have been kept in force.
 	evacuationRowVersions map[string]uint64
 	heldSince             map[string]time.Time
 	coldTerms             ColdConfig
-	// signals are those that runs of targets gave in answers.
+	// signals holds what runs of targets have reported in responses.
 	signals   map[proto.RunName]*targetSignals
 	onNotices func([]proto.TargetNotice)
 }
 
-// FleetOption changes a Fleet at construction.
+// FleetOption configures a Fleet.
 type FleetOption func(*Fleet)
 
-// WithZoneCosts sets what other zones count for instead of DefaultZoneCosts.
+// WithZoneCosts sets the costs of crossing zones instead of DefaultZoneCosts.
 func WithZoneCosts(costs ZoneCosts) FleetOption { return func(f *Fleet) { f.zones = costs } }
 
-// WithNoticeHandler has what targets say told to other daemons, as it becomes known here.
+// WithNoticeHandler sets a function that passes the notices of targets on to other daemons as soon as this daemon
+// learns them.
 func WithNoticeHandler(onNotices func([]proto.TargetNotice)) FleetOption {
 	return func(f *Fleet) { f.onNotices = onNotices }
 }
 
-// NewFleet returns an empty fleet; changed is told of each pool whose list of targets changes, without a lock held.
+// NewFleet returns an empty fleet. It calls changed, without holding a lock, for each pool whose list of targets
+// changes.
 func NewFleet(changed func(pool string), options ...FleetOption) *Fleet {
 	f := &Fleet{
 		pools: map[string]*targetPool{}, byID: map[string]*Target{}, invalid: map[string]invalidEntry{}, revalidated: map[string]proto.Revision{},
@@ -169,30 +176,32 @@
 	return f
 }
 
-// Version returns the store's version of the newest change that the fleet knows.
+// Version returns the store revision of the newest change that the fleet knows.
 func (f *Fleet) Version() proto.Revision {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	return f.version
 }
 
-// FleetChange is one entry of the store's list that was put or removed.
+// FleetChange is an entry of the store's list that was put or removed.
 type FleetChange struct {
 	ID string
-	// Version is the store's revision of the change.
+	// Version is the store revision of the change.
 	Version proto.Revision
 	Removed bool
-	// Told changes come from another daemon, which knows how the store is; Lapsed says that it saw the entry go while
-	// the store was away, so that it may come back.
+	// FromPeer is set if the change comes from another daemon, which knows the state of the store. Lapsed is set if
+	// that daemon saw the entry disappear while the store was down, so that it may come back.
 	FromPeer, Lapsed bool
-	// Restored says that the entry is missing in a copy that the store was restored from, so that it may come back.
+	// LostInRestore is set if the entry is missing in the copy that the store was restored from, so that it may come
+	// back.
 	LostInRestore bool
-	// Unusable entries name no target: another writer left them, or they cannot be read.
+	// Unusable is set if the entry names no target: another writer overwrote it, or it cannot be parsed.
 	Unusable bool
 	Target   proto.RelayTarget
 }
 
-// ApplyChanges takes in changes and returns what it did with each; one that is older than what is known is ignored.
+// ApplyChanges applies changes and returns what was done with each. Changes that are older than the known state are
+// ignored.
 func (f *Fleet) ApplyChanges(now time.Time, changes []FleetChange) []FleetEvent {
 	f.mu.Lock()
 	var notes []FleetEvent
@@ -205,9 +214,8 @@
 	return notes
 }
 
-// Replace takes in the whole list as of a version; entries that it lacks are removed. A list that is older than what
-// is known is refused.
-// A list of another daemon that has all changes up to that version is complete.
+// Replace applies the whole list as of a version and removes the entries that it lacks. It refuses a list that is older
+// than the known state. A list is complete if it comes from another daemon that has all changes up to that version.
 func (f *Fleet) Replace(now time.Time, asOf proto.Revision, entries []FleetChange, complete bool) ([]FleetEvent, bool) {
 	f.mu.Lock()
 	if f.version.After(asOf) {
@@ -244,15 +252,15 @@
 	return notes, true
 }
 
-// FleetEvent says what became of one entry, for the log.
+// FleetEvent describes what was done with an entry, for the log.
 type FleetEvent struct {
 	Target  proto.RelayTarget
 	Outcome string
-	// Version is the store's revision of the change, zero if no change of the store brought it.
+	// Version is the store revision of the change; zero if the event was not caused by a change in the store.
 	Version proto.Revision
 }
 
-// Crashed tells whether the note says that a run is over which had not said that it would leave.
+// Crashed reports whether a run ended without having announced that it leaves.
 func (n *FleetEvent) Crashed() bool {
 	return !n.Target.Leaving && (n.Outcome == outcomeRemoved || n.Outcome == OutcomeEnded)
 }
@@ -262,20 +270,20 @@
 	outcomeAdded   = "added"
 	outcomeLeaving = "leaving"
 	outcomeRemoved = "removed"
-	// OutcomeLapsed means that the entry went, and may come back.
+	// OutcomeLapsed means that the entry disappeared while the store was down or restored, and may come back.
 	OutcomeLapsed = "lapsed"
-	// outcomeDoubted means that another daemon holds a lapsed target to have left.
+	// outcomeSuspected means that another daemon considers a lapsed target to have left.
 	outcomeSuspected = "doubted"
 	outcomeUpdated   = "updated"
-	// outcomeCold means that a target that was warm has become cold.
+	// outcomeCold means that a warm target became cold.
 	outcomeCold = "cold"
-	// OutcomeEnded means that the run ended: the target has started again, or is in another pool.
+	// OutcomeEnded means that the run ended: the target restarted or moved to another pool.
 	OutcomeEnded = "ended its run"
-	// outcomeStale means that the entry was written by an earlier run, and is not taken in.
+	// outcomeStale means that the entry was written by an earlier run and is ignored.
 	outcomeStale = "told of an earlier run"
-	// outcomeLeftOver means that the entry came back with a copy of the store, after its target had left.
+	// outcomeDeparted means that the entry reappeared with a restored copy of the store after its target had left.
 	outcomeDeparted = "left before the store was restored"
-	// outcomeUnusable means that the entry names no target any more.
+	// outcomeUnusable means that the entry no longer names a target.
 	outcomeUnusable = "has an entry that cannot be used"
 )
 
@@ -318,7 +326,7 @@
 	old := t.Spec
 	switch {
 	case c.Target.StartedAt.IsZero() && !old.StartedAt.IsZero():
-		// A target that tells when its run started always does. Daemons that did not know it then must be told.
+		// A target that reports the start of its run always does. Daemons that did not know this run have to be told.
 		f.invalid[c.ID] = invalidEntry{version: c.Version}
 		return f.dropAsUnusable(t, c)
 	case c.Target.StartedAt.Before(old.StartedAt):
@@ -327,7 +335,7 @@
 	case c.Target.StartedAt.After(old.StartedAt) || c.Target.Pool != old.Pool:
 		return f.restart(now, t, c)
 	case old.Leaving && !c.Target.Leaving && c.Version.Era > t.version.Era:
-		// The store was restored from a copy of before the target said that it leaves.
+		// The store was restored from a copy taken before the target announced that it leaves.
 		t.version = c.Version
 		f.quarantineRestored(now, c)
 		return []FleetEvent{{Target: old, Outcome: outcomeDeparted, Version: c.Version}}
@@ -348,7 +356,7 @@
 	return nil
 }
 
-// add lists a target of which nothing is known but its health.
+// add lists a target with no known state but its health.
 func (f *Fleet) add(now time.Time, c FleetChange, known health) FleetEvent {
 	p := f.ensurePool(c.Target.Pool)
 	p.mu.Lock()
@@ -367,9 +375,9 @@
 	return FleetEvent{Target: c.Target, Outcome: outcomeAdded}
 }
 
-// restart replaces a target by its next run, or by what it is in another pool, of which nothing is known but that the last
-// one ended; the pool of the last one is locked. All that is believed of a target is in its Target, so it goes here at
-// once, and work in progress ends.
+// restart replaces a target by its next run, or by its entry in another pool, keeping only the fact that the previous
+// run ended. The pool of the previous run is locked. All state about a target is held in its Target, so it is dropped
+// here at once, and work in progress ends.
 func (f *Fleet) restart(now time.Time, t *Target, c FleetChange) []FleetEvent {
 	ended := f.unlist(t)
 	ended.Outcome, ended.Version = OutcomeEnded, c.Version
@@ -381,7 +389,7 @@
 	return []FleetEvent{ended, f.addTo(now, t.pool, c, t.health.afterRestart(now))}
 }
 
-// dropUnusable removes a target whose entry names no target any more, whatever the state of the store.
+// dropUnusable removes a target whose entry no longer names a target, regardless of the state of the store.
 func (f *Fleet) dropUnusable(now time.Time, t *Target, c FleetChange) []FleetEvent {
 	if t == nil {
 		return nil
@@ -400,7 +408,7 @@
 	return []FleetEvent{note}
 }
 
-// drop removes a target whatever the state of the store.
+// drop removes a target regardless of the state of the store.
 func (f *Fleet) drop(t *Target) FleetEvent {
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
@@ -438,7 +446,7 @@
 	return FleetEvent{Target: ended, Outcome: outcomeRemoved}
 }
 
-// Size returns the number of a pool's targets, leaving and doubted ones included.
+// Size returns the number of a pool's targets, including leaving and suspected ones.
 func (f *Fleet) Size(pool string) int {
 	p := f.pool(pool)
 	if p == nil {
@@ -449,7 +457,8 @@
 	return len(p.targets)
 }
 
-// Usable returns the targets of a pool that may get new work at a moment, without cold ones where these have a bound.
+// Usable returns the targets of a pool that may get new work at a time. Cold targets are left out if the pool limits
+// them. Suspected targets are returned only if there are no others.
 func (f *Fleet) Usable(now time.Time, pool string) []proto.RelayTarget {
 	p := f.pool(pool)
 	if p == nil {
--- a/relay/fleet_test.go
+++ b/relay/fleet_test.go
@@ -12,7 +12,7 @@
 	return proto.RelayTarget{ID: id, Pool: pool, Zone: zone, Slots: 4}
 }
 
-// rev is a revision of a store that tells of no eras.
+// rev is a revision of a store without eras.
 func rev(version uint64) proto.Revision { return proto.Revision{Version: version} }
 
 func putChange(version uint64, t proto.RelayTarget) FleetChange {
@@ -137,7 +137,7 @@
 	}
 }
 
-// TestALapseThatWasToldIsAskedAbout has a daemon that reaches the store hear of a removal first from one that does not.
+// A daemon that reaches the store learns of a removal first from one that does not.
 func TestLapseReportedByPeerIsChecked(t *testing.T) {
 	f := fleetWith(putChange(1, testTarget("a", "p", "z")), putChange(2, testTarget("b", "p", "z")))
 	told := removeChange(5, "a")
@@ -151,7 +151,7 @@
 	}
 }
 
-// TestALapsedTargetThatAnotherDaemonSawLeaveIsLeftOut is a daemon that was turned away by a store which served others.
+// Simulates a daemon whose requests were rejected by a store that served others.
 func TestSuspectedTargetIsAvoided(t *testing.T) {
 	f := fleetWith(putChange(1, testTarget("a", "p", "z")), putChange(2, testTarget("b", "p", "z")))
 	f.MarkStoreDown(start)
@@ -256,7 +256,7 @@
 	}
 }
 
-// TestEqualTargetsShareTheWork asks one at a time, so that all are idle at each choice.
+// Requests are sent one at a time, so that all targets are idle at each choice.
 func TestPickRotatesEqualTargets(t *testing.T) {
 	f := fleetWith(putChange(1, testTarget("a", "p", "z")), putChange(2, testTarget("b", "p", "z")), putChange(3, testTarget("c", "p", "z")))
 	counts := map[string]int{}
@@ -281,7 +281,7 @@
 	}
 }
 
-// BenchmarkFleetStart is a daemon that takes over the targets of a large deployment one after the other.
+// BenchmarkFleetStart measures a daemon that takes over the targets of a large deployment one by one.
 func BenchmarkFleetStart(b *testing.B) {
 	for _, n := range []int{300, 3000} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
--- a/relay/fleetcold.go
+++ b/relay/fleetcold.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// coldSpan is the span in which the requests that arrive at a cold target are counted, whatever its beginning.
+	// coldWindow is the sliding window in which the requests that arrive at a cold target are counted.
 	coldWindow = time.Second
-	// coldCost is what a cold target adds to the expected time of an attempt: it is slow, and some seconds later it will not
-	// be, so that a queue of less than this at a warm one is better.
+	// coldPenalty is added to the expected time of an attempt on a cold target. The target is slow now but warm some
+	// seconds later, so a queue shorter than this at a warm target is preferable.
 	coldPenalty = float64(400 * time.Millisecond)
 )
 
-// ColdConfig bound how many requests all daemons together may send to a cold target within a second: Over times what the
-// target works through, plus Slack.
+// ColdConfig bounds the number of requests per second that all daemons together may send to a cold target: Factor times
+// the target's throughput, plus Slack.
 type ColdConfig struct{ Factor, Slack float64 }
 
-// WithColdConfig sets the terms; without them a cold target gets what it works through.
+// WithColdConfig sets the bounds for cold targets; without them a cold target gets its throughput.
 func WithColdConfig(terms ColdConfig) FleetOption { return func(f *Fleet) { f.coldTerms = terms } }
 
-// most is how many requests a cold target of a pool may get within a second; 0 if there is no bound.
+// maxRequests returns how many requests a cold target of a pool may get within a second; 0 if there is no bound.
 func (t ColdConfig) maxRequests(spec proto.ColdSpec) int {
 	if spec.RequestsPerSecond <= 0 {
 		return 0
@@ -31,7 +31,7 @@
 	return max(1, int(math.Floor(t.Factor*spec.RequestsPerSecond+t.Slack)))
 }
 
-// SetColdSpec takes over how the targets of a pool warm up.
+// SetColdSpec sets how the targets of a pool warm up.
 func (f *Fleet) SetColdSpec(pool string, spec proto.ColdSpec) {
 	f.mu.Lock()
 	p := f.ensurePool(pool)
@@ -41,7 +41,7 @@
 	p.coldSpec, p.coldLimit = spec, f.coldTerms.maxRequests(spec)
 }
 
-// warmsIn notes that the target is cold for so long, or warm; its pool is locked.
+// setWarmUp records for how long the target stays cold, or that it is warm if left is not positive. The pool is locked.
 func (t *Target) setWarmUp(now time.Time, left time.Duration) {
 	t.coldUntil = time.Time{}
 	if left <= 0 {
@@ -53,7 +53,7 @@
 	}
 }
 
-// warmed tells whether a target that was cold has become warm since that was last asked.
+// warmed reports whether a cold target has become warm since the last call.
 func (t *Target) warmed(now time.Time) bool {
 	if t.coldUntil.IsZero() || now.Before(t.coldUntil) {
 		return false
@@ -62,23 +62,24 @@
 	return t.pool.coldLimit > 0
 }
 
-// isCold tells whether a target is cold and the requests for it are bounded by that.
+// isCold reports whether a target is cold and its requests are limited for that reason.
 func (p *targetPool) isCold(now time.Time, t *Target) bool {
 	return p.coldLimit > 0 && now.Before(t.coldUntil)
 }
 
-// crowded tells whether a target was chosen so often within the last second that it would get too many if it were cold. A
-// target may become cold at any moment, and that is not known before it has written its entry anew, one or two seconds later.
+// atCapacity reports whether a target was picked so often within the last second that it would get too many requests if
+// it were cold. A target may become cold at any moment, and that is known only when it has rewritten its entry, one or
+// two seconds later.
 func (p *targetPool) atCapacity(now time.Time, t *Target) bool {
 	if p.coldLimit == 0 {
 		return false
 	}
-	// Where a cold target may get one request, a warm one gets one too, or the pool would serve nobody.
+	// If a cold target may get one request, a warm one may too, or the pool would serve nobody.
 	most := max(1, p.coldLimit-1)
 	return len(t.recentPicks) >= most && now.Sub(t.recentPicks[len(t.recentPicks)-most]) <= coldWindow
 }
 
-// noteChosen notes that a target gets a request; its pool is locked.
+// recordChosen records that a target was picked; its pool is locked.
 func (t *Target) recordChosen(now time.Time) {
 	if t.pool.coldLimit == 0 {
 		return
@@ -87,7 +88,7 @@
 	t.recentPicks = append(t.recentPicks, now)
 }
 
-// Cold returns the targets of a pool that are cold and may get work otherwise, and how many requests one of them may get
+// Cold returns the cold targets of a pool that may otherwise get work, and how many requests each of them may get
 // within a second from all daemons.
 func (f *Fleet) Cold(now time.Time, pool string) (ids []string, most int) {
 	p := f.pool(pool)
@@ -107,7 +108,7 @@
 	return ids, p.coldLimit
 }
 
-// TimeUntilWarm returns how long it takes until a target of a pool that is cold now is warm, and false if none is cold.
+// TimeUntilWarm returns how long it takes until a cold target of a pool is warm, and false if none is cold.
 func (f *Fleet) TimeUntilWarm(now time.Time, pool string) (in time.Duration, cold bool) {
 	p := f.pool(pool)
 	if p == nil {
@@ -126,7 +127,8 @@
 	return in, cold
 }
 
-// OpenCount returns the number of a pool's targets in some regions that are not closed, in whatever health.
+// OpenCount returns the number of a pool's targets in the allowed regions that are not closed, regardless of their
+// health.
 func (f *Fleet) OpenCount(pool string, homes proto.AllowedRegions) int {
 	p := f.pool(pool)
 	if p == nil {
--- a/relay/fleetlapse.go
+++ b/relay/fleetlapse.go
@@ -6,22 +6,22 @@
 	"emberlead/proto"
 )
 
-// lapseSeen is how soon after the store's return an entry must be found gone to count as lapsed: what went while the
-// store was away shows in the first answer, and one that goes later has left.
+// lapseDetectWindow is how soon after the store is up again an entry must be found missing to count as lapsed. Entries
+// that disappeared during the outage are missing in the first answer; one that disappears later has left.
 const lapseDetectWindow = 300 * time.Millisecond
 
-// lapseWait is how long after the store's return an entry that went while the store was away may come back.
-// The platform states about two seconds; a little is added for the way to this daemon.
+// lapseGracePeriod is how long after the store is up again an entry that disappeared during the outage may come back.
+// The platform states about two seconds; some time is added for the propagation to this daemon.
 const lapseGracePeriod = 2300 * time.Millisecond
 
-// MarkStoreDown notes that the store did not answer.
+// MarkStoreDown records that the store did not answer.
 func (f *Fleet) MarkStoreDown(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.storeDownAt = now
 }
 
-// MarkStoreUp notes that the store answered.
+// MarkStoreUp records that the store answered.
 func (f *Fleet) MarkStoreUp(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -30,7 +30,7 @@
 	}
 }
 
-// mayHaveLapsed tells whether an entry that goes now may only have run out while the store was away.
+// mayHaveLapsed reports whether an entry that disappears now may only have expired while the store was down.
 func (f *Fleet) mayHaveLapsed(now time.Time) bool {
 	if f.storeDownAt.IsZero() {
 		return false
@@ -38,8 +38,8 @@
 	return f.storeUpAt.Before(f.storeDownAt) || now.Before(f.storeUpAt.Add(lapseDetectWindow))
 }
 
-// LapsedTargets returns the ids of targets that are held to have lapsed, and the version before the first of them went. A
-// daemon that was told so may have been told by one that the store had turned away.
+// LapsedTargets returns the IDs of targets that are considered lapsed, and the version before the first of them
+// disappeared. A lapse reported by another daemon may come from one whose requests the store rejected.
 func (f *Fleet) LapsedTargets(notes []FleetEvent) (ids []string, before proto.Revision) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -57,7 +57,7 @@
 	return ids, before
 }
 
-// MarkSuspected notes that another daemon saw a lapsed entry go while the store was well there.
+// MarkSuspected records that another daemon saw a lapsed entry disappear while the store was up for it.
 func (f *Fleet) MarkSuspected(id string) []FleetEvent {
 	f.mu.Lock()
 	t := f.byID[id]
@@ -75,7 +75,8 @@
 	return notes
 }
 
-// Sweep removes entries that lapsed and did not come back, and notes which targets have become warm; it comes several times a second.
+// Sweep removes lapsed entries that did not come back and detects which targets have become warm; it is called several
+// times a second.
 func (f *Fleet) Sweep(now time.Time) []FleetEvent {
 	f.mu.Lock()
 	own := !f.mayHaveLapsed(now)
--- a/relay/fleetnotices.go
+++ b/relay/fleetnotices.go
@@ -8,7 +8,7 @@
 	"emberlead/state"
 )
 
-// notice is what other daemons are told.
+// notice returns the part of the signals that is shared with other daemons.
 func (s *targetSignals) notice(run proto.RunName) proto.TargetNotice {
 	n := proto.TargetNotice{Target: s.target, Run: run, Leaving: s.leaving, LimitVersion: s.change}
 	if s.limit != noLimit {
@@ -17,7 +17,7 @@
 	return n
 }
 
-// MergeNotices takes in what another daemon knows of what targets have signalled, and returns what was news here.
+// MergeNotices merges the notices that another daemon knows, and returns those that were new to this daemon.
 func (f *Fleet) MergeNotices(now time.Time, list []proto.TargetNotice, from proto.VM) []proto.TargetNotice {
 	var news []proto.TargetNotice
 	pools := map[string]bool{}
@@ -43,7 +43,7 @@
 	return news
 }
 
-// lacks tells whether a notice says what is not known here. Of two limits that daemons were given at the same time the lower one holds.
+// updatedBy reports whether a notice holds news. Of two limits with the same change number, the lower one wins.
 func (s *targetSignals) updatedBy(n proto.TargetNotice) bool {
 	newer := n.LimitVersion > s.change || n.LimitVersion == s.change && n.HasLimit && (s.limit == noLimit || n.Limit < s.limit)
 	return n.Leaving && !s.leaving || newer
@@ -60,7 +60,7 @@
 	}
 }
 
-// Notices returns what is known of what listed targets have signalled.
+// Notices returns the notices of listed targets.
 func (f *Fleet) Notices() []proto.TargetNotice {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -73,7 +73,7 @@
 	return list
 }
 
-// lists tells whether a run is listed; the fleet is locked.
+// isListed reports whether a run is listed; the fleet is locked.
 func (f *Fleet) isListed(run proto.RunName, s *targetSignals) bool {
 	t := f.byID[s.target]
 	if t == nil {
@@ -84,7 +84,8 @@
 	return t.Spec.RunName() == run
 }
 
-// NoticeDigest returns a digest of what listed targets have signalled, which is the same at daemons that know the same; 0 if nothing.
+// NoticeDigest returns a digest of the notices of listed targets, which is equal at daemons that know the same notices;
+// 0 if there are none.
 func (f *Fleet) NoticeDigest() uint64 {
 	digest := uint64(0)
 	for _, n := range f.Notices() {
@@ -93,14 +94,14 @@
 	return digest
 }
 
-// NoticeStats tell what targets have signalled of themselves that still holds.
+// NoticeStats counts the runs of targets whose signals are in force.
 type NoticeStats struct {
 	Leaving int `json:"leaving"`
 	Limited int `json:"limited"`
 	Resting int `json:"resting"`
 }
 
-// NoticeStats returns how many runs of targets leave, name a limit, or want rest from this daemon.
+// NoticeStats returns how many runs of targets are leaving, report a limit, or asked this daemon to back off.
 func (f *Fleet) NoticeStats(now time.Time) NoticeStats {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
--- a/relay/fleetnotices_test.go
+++ b/relay/fleetnotices_test.go
@@ -14,15 +14,15 @@
 	"emberlead/proto"
 )
 
-// bornAt is a target of a run that started so many seconds after start.
+// targetStartedAt is a target of a run that started the given number of seconds after start.
 func targetStartedAt(seconds int) proto.RelayTarget {
 	t := testTarget("t", "p", "z")
 	t.StartedAt = start.Add(time.Duration(seconds) * time.Second)
 	return t
 }
 
-// TestALeaveSaidInAnAnswerHoldsForTheRun guards against a target that leaves and is used again by a change of its entry, or by one that was
-// not there when it said so; and against a new run that is held to what the last one said.
+// Guards against a leaving target that is used again after a change of its entry, or after the entry was missing while
+// the target announced that it leaves; and against a new run that is bound by what the previous run announced.
 func TestLeaveNoticeAppliesToRun(t *testing.T) {
 	scenarios := []struct {
 		testName string
@@ -64,7 +64,7 @@
 	}
 }
 
-// TestATargetThatLeavesByItsAnswersHasNotCrashed guards against requests that are held to have ended a target which left in order.
+// Guards against requests that are blamed for the end of a target that left in order.
 func TestLeaveNoticePreventsCrashReport(t *testing.T) {
 	f := NewFleet(func(string) {})
 	f.ApplyChanges(start, []FleetChange{putChange(1, targetStartedAt(1))})
@@ -76,7 +76,7 @@
 	}
 }
 
-// TestDaemonsThatHeardDifferentThingsComeToKnowTheSame has three daemons hear different things and tell each other in any order.
+// Three daemons learn different notices and exchange them in any order.
 func TestNoticesConverge(t *testing.T) {
 	var fleets []*Fleet
 	heard := []Notice{{Limited: true, Limit: 2}, {Limited: true, Limit: 1}, {Leaving: true}}
@@ -101,7 +101,7 @@
 	}
 }
 
-// TestANewTargetUnderAnIDIsNotHeldToWhatTheLastOneSaid guards against a target that starts in another pool and does not tell its start.
+// Guards against a target that starts in another pool and does not report its start time.
 func TestNewTargetIgnoresNoticesOfPreviousTarget(t *testing.T) {
 	f := NewFleet(func(string) {})
 	f.ApplyChanges(start, []FleetChange{putChange(1, testTarget("t", "q", "z"))})
@@ -112,12 +112,12 @@
 	}
 }
 
-// asked has a target of the pool "p" turn this daemon away for a time.
+// reportBackoff lets a target of the pool "p" ask this daemon for a backoff.
 func reportBackoff(f *Fleet, id string, rest time.Duration) {
 	f.recordSignal(start, &signal{Notice: Notice{Backoff: rest}, target: testTarget(id, "p", "z"), sent: start})
 }
 
-// TestATargetRestsForAsLongAsItAskedFor guards against requests within a rest, and against a rest that no target can mean or that never ends.
+// Guards against requests during a backoff, and against a backoff that is implausible or never ends.
 func TestTargetBackoffPeriod(t *testing.T) {
 	scenarios := []struct {
 		testName string
@@ -148,7 +148,7 @@
 	}
 }
 
-// TestARestHoldsForTheDaemonThatWasTurnedAway guards against a target that no daemon uses, since the one that places for the pool was turned away.
+// Guards against a target that no daemon uses because it asked only the owner of the pool to back off.
 func TestBackoffAppliesToOneDaemon(t *testing.T) {
 	all, _ := newPlacers(clockwork.NewFakeClockAt(start), engineFleet(1), engineFleet(1))
 	owner, other := all["vm-0"], all["vm-1"]
@@ -161,7 +161,7 @@
 	}
 }
 
-// TestARequestThatNoTargetTakesInTimeIsRefusedAtOnce guards against stages that are done for a request whose pool rests, or is at its limits.
+// Guards against stages that are run for a request whose pool is in backoff or at its limits.
 func TestRequestIsRefusedIfAllTargetsAreBlocked(t *testing.T) {
 	const exhausted = 4 * time.Second
 	rest, limit := Notice{Backoff: 3 * time.Second}, Notice{Limited: true, Limit: 0.25}
@@ -207,7 +207,7 @@
 	}
 }
 
-// TestACallIsMadeWhenItsTargetHasRested guards against calls for pieces within a rest of the only target, and against pieces that are never made.
+// Guards against calls for pieces during a backoff of the only target, and against pieces that are never made.
 func TestCallWaitsForBackoff(t *testing.T) {
 	b := NewBatcher(batchSpec)
 	b.SetTargets([]proto.RelayTarget{testTarget("t", "p", "z")})
@@ -224,7 +224,7 @@
 	}
 }
 
-// TestACallIsMadeAgainOnlyAtATargetThatTakesIt guards against a second call, beside one that takes long, to a target that leaves, rests or is at its limit.
+// Guards against a second call, in addition to a slow one, to a target that leaves, is in backoff or is at its limit.
 func TestOverdueCallRespectsNotices(t *testing.T) {
 	target := testTarget("t", "p", "z")
 	scenarios := []struct {
@@ -259,7 +259,7 @@
 	}
 }
 
-// TestTheLogTellsWhatTargetsSaid guards against refusals whose log does not say which targets would have taken the request, and when.
+// Guards against refusals whose log entry does not say which targets would have taken the request, and when.
 func TestSignalLogEntries(t *testing.T) {
 	f := fleetWith(putChange(1, testTarget("a", "p", "z")), putChange(2, testTarget("b", "p", "z")), putChange(3, testTarget("c", "p", "z")), putChange(4, testTarget("d", "p", "z")))
 	reportBackoff(f, "a", 3*time.Second)
--- a/relay/fleetvoid.go
+++ b/relay/fleetvoid.go
@@ -8,31 +8,33 @@
 )
 
 const (
-	// leftKept is how long targets that have left are remembered: a copy of the store that is some seconds old shows them again.
+	// departedRetention is how long targets that have left are remembered: a restored copy of the store that is some
+	// seconds old lists them again.
 	departedRetention = time.Minute
-	// restoredDoubt is how long an entry that came back with a copy of the store, after its target had left, is not used. Targets write
-	// again what the store has lost, and the entry of one that is gone goes after three missed heartbeats, which are 4 s where they
-	// come each 1.2 s; one that is still listed after this time is there after all.
+	// restoredQuarantine is how long an entry that reappeared with a restored copy of the store, after its target had
+	// left, is not used. Targets rewrite what the store lost, and the entry of a dead target disappears after three
+	// missed heartbeats, which is 4 s with heartbeats every 1.2 s. A target that is still listed after this time is
+	// alive.
 	restoredQuarantine = 15 * time.Second
 )
 
-// voidEntry is a revision of an entry that names no target to use although it reads as if it did.
+// invalidEntry is a revision of an entry that names no usable target although it parses as if it did.
 type invalidEntry struct {
 	version proto.Revision
-	// until is when an entry that came back with a copy of the store is judged anew; zero if it never is.
+	// until is when an entry that reappeared with a restored copy of the store is evaluated again; zero if it never is.
 	until time.Time
 }
 
-// leftTarget is a run of a target that has left.
+// departedTarget is a run of a target that has left.
 type departedTarget struct {
 	born time.Time
-	// said tells that it had said that it leaves.
+	// announced is set if the run had announced that it leaves.
 	announced bool
 	version   proto.Revision
 	at        time.Time
 }
 
-// noteLeft remembers a target that has left as of a revision.
+// recordDeparture records that a target has left as of a revision.
 func (f *Fleet) recordDeparture(now time.Time, t *Target, version proto.Revision) {
 	f.departed[t.Spec.ID] = departedTarget{born: t.Spec.StartedAt, announced: t.leaves(), version: version, at: now}
 }
@@ -45,8 +47,9 @@
 	}
 }
 
-// isLeftOver tells whether an entry of a target that is not known shows a run that has left, since the store was restored from a copy of
-// before that. An entry that was written since is right, unless the run had said that it leaves.
+// restoredAfterDeparture reports whether an entry of an unknown target describes a run that has left, because the store
+// was restored from an older copy. An entry that was written since the restoration is valid, unless the run had
+// announced that it leaves.
 func (f *Fleet) restoredAfterDeparture(now time.Time, c FleetChange) bool {
 	l, known := f.departed[c.ID]
 	switch {
@@ -64,7 +67,7 @@
 	f.invalid[c.ID] = invalidEntry{version: c.Version, until: now.Add(restoredQuarantine)}
 }
 
-// isVoid tells whether a change brings a void entry. A newer entry of the target is judged anew.
+// isInvalid reports whether a change contains an invalidated entry. A newer entry of the target is evaluated again.
 func (f *Fleet) isInvalid(c FleetChange) bool {
 	if c.Version.After(f.revalidated[c.ID]) {
 		delete(f.revalidated, c.ID)
@@ -80,7 +83,7 @@
 	return !c.Removed
 }
 
-// dropVoid forgets the void entries that a whole list as of a revision lacks.
+// pruneInvalid forgets the invalid entries that are missing in a whole list as of a revision.
 func (f *Fleet) pruneInvalid(asOf proto.Revision, listed map[string]bool) {
 	for id, v := range f.invalid {
 		if !listed[id] && asOf.After(v.version) {
@@ -89,7 +92,8 @@
 	}
 }
 
-// ExpireInvalid returns the targets whose entries came back with a copy of the store so long ago that they are to be judged anew.
+// ExpireInvalid returns the targets whose entries reappeared with a restored copy of the store so long ago that they
+// have to be evaluated again.
 func (f *Fleet) ExpireInvalid(now time.Time) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -106,7 +110,7 @@
 	return ids
 }
 
-// InvalidEntries returns the void entries that this daemon knows of.
+// InvalidEntries returns the invalid entries that this daemon knows.
 func (f *Fleet) InvalidEntries() []proto.InvalidEntry {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -117,7 +121,8 @@
 	return list
 }
 
-// InvalidDigest returns a digest of the void entries, which is the same at daemons that know the same ones; 0 if none.
+// InvalidDigest returns a digest of the invalid entries, which is equal at daemons that know the same entries; 0 if
+// there are none.
 func (f *Fleet) InvalidDigest() uint64 {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -128,8 +133,8 @@
 	return digest
 }
 
-// MergeInvalid takes in void entries that another daemon knows of: a target that is known by one is not used any more, and
-// one that is read later never is.
+// MergeInvalid merges the invalid entries that another daemon knows. Targets that use such an entry are dropped, and
+// the entry is ignored if it is read later.
 func (f *Fleet) MergeInvalid(now time.Time, list []proto.InvalidEntry) []FleetEvent {
 	f.mu.Lock()
 	var notes []FleetEvent
--- a/relay/fleetvoid_test.go
+++ b/relay/fleetvoid_test.go
@@ -6,8 +6,8 @@
 	"emberlead/proto"
 )
 
-// TestAVoidEntryIsNotUsedWhoeverReadsIt has a target's entry written anew without the start of its run: a daemon that knew the
-// run drops the target, and one that did not is told, before it reads the entry or after.
+// A target's entry is rewritten without the start of its run. A daemon that knew the run drops the target. One that did
+// not is told, before or after it reads the entry.
 func TestInvalidEntryIsNotUsed(t *testing.T) {
 	spoilt := putChange(4, testTarget("a", "p", "z"))
 	other := putChange(2, testTarget("b", "p", "z"))
--- a/relay/fleetzones.go
+++ b/relay/fleetzones.go
@@ -8,18 +8,19 @@
 	"emberlead/proto"
 )
 
-// rewriteWait is how long an evacuation that a restored store lacks stays in force. The operator writes again what the store lost, as
-// it does all it has asked for; a zone is out of service for this long if the evacuation was taken back in the same moments.
+// evacuationRewriteWait is how long an evacuation that a restored store lacks stays in force. The operator rewrites
+// what the store lost, including evacuations. If the evacuation was revoked in the meantime, the zone is out of service
+// for this long.
 const evacuationRewriteWait = 10 * time.Second
 
-// isEvacuated tells whether a zone is to get nothing more; the fleet is locked.
+// isEvacuated reports whether a zone must not get new work; the fleet is locked.
 func (f *Fleet) isEvacuated(zone string) bool {
 	e, ok := f.evacuations[zone]
 	return ok && !e.Ended
 }
 
-// ApplyEvacuations takes in evacuations and ends of them, of which the newest of a zone holds, and returns those that changed whether a
-// zone gets new work. Work in progress goes on.
+// ApplyEvacuations applies starts and ends of evacuations, of which the newest of each zone wins, and returns those
+// that changed whether a zone gets new work. Work in progress continues.
 func (f *Fleet) ApplyEvacuations(now time.Time, list []proto.Evacuation) []proto.Evacuation {
 	f.mu.Lock()
 	var changed []proto.Evacuation
@@ -43,12 +44,13 @@
 	return changed
 }
 
-// replaces tells whether news of a zone holds against what is known. At the same revision its end does, since that is found out last.
+// supersedes reports whether e replaces the known state of a zone. At the same revision the end of an evacuation wins,
+// since it is detected last.
 func supersedes(e, known proto.Evacuation) bool {
 	return e.Version.After(known.Version) || e.Version == known.Version && e.Ended && !known.Ended
 }
 
-// takeEvacuation remembers news of a zone.
+// recordEvacuation stores the new state of a zone.
 func (f *Fleet) recordEvacuation(now time.Time, e proto.Evacuation) {
 	delete(f.heldSince, e.Zone)
 	switch {
@@ -60,8 +62,8 @@
 	f.evacuations[e.Zone] = e
 }
 
-// markZone opens or closes the targets of a zone, and notes their pools. Those that come back count as cold: they may have
-// lost what they kept, and would draw all work at once since they have none.
+// markZoneTargets opens or closes the targets of a zone and adds their pools to pools. Reopened targets count as cold:
+// they may have lost their caches, and would attract all work at once since they have no load.
 func (f *Fleet) markZoneTargets(now time.Time, e proto.Evacuation, pools map[string]bool) {
 	for _, t := range f.byID {
 		t.pool.mu.Lock()
@@ -76,10 +78,10 @@
 	}
 }
 
-// EvacuationsFromList returns what a whole list of evacuations, as of a revision of the store, says of each zone: those in the list are in
-// force, and others are over. A store that was restored from a copy lacks what the operator did since: an evacuation that it lacks
-// stays in force until the operator has had the time to ask for it again, and one that was over before stays over if the row is
-// still the old one.
+// EvacuationsFromList derives the state of each zone from a whole list of evacuations as of a store revision: listed
+// zones are evacuated, others are not. A store that was restored from a copy lacks the operator's later changes. An
+// evacuation that it lacks stays in force until the operator has had the time to request it again, and one that had
+// ended stays ended if the restored row is the old one.
 func (f *Fleet) EvacuationsFromList(asOf proto.Revision, list []proto.Evacuation) []proto.Evacuation {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -105,7 +107,8 @@
 	return all
 }
 
-// ExpiredEvacuations returns the ends of the evacuations that a restored store lacks, and that the operator has not asked for again.
+// ExpiredEvacuations returns the ends of the evacuations that a restored store lacks and that the operator has not
+// requested again in time.
 func (f *Fleet) ExpiredEvacuations(now time.Time) []proto.Evacuation {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -118,21 +121,21 @@
 	return ends
 }
 
-// Evacuations returns what is known of each zone that ever was evacuated.
+// Evacuations returns the state of each zone that was ever evacuated.
 func (f *Fleet) Evacuations() []proto.Evacuation {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	return slices.Collect(maps.Values(f.evacuations))
 }
 
-// EvacuationsVersion returns the store's revision of the newest evacuation, or end of one, that is known.
+// EvacuationsVersion returns the store revision of the newest known start or end of an evacuation.
 func (f *Fleet) EvacuationsVersion() proto.Revision {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	return f.evacuationsVersion
 }
 
-// EvacuatedZones returns the zones that get no new work, in order of name.
+// EvacuatedZones returns the zones that get no new work, sorted by name.
 func (f *Fleet) EvacuatedZones() []string {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -146,7 +149,7 @@
 	return zones
 }
 
-// CountInZone returns the number of targets that a zone has.
+// CountInZone returns the number of targets in a zone.
 func (f *Fleet) CountInZone(zone string) int {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
--- a/relay/fleetzones_test.go
+++ b/relay/fleetzones_test.go
@@ -11,13 +11,13 @@
 	"emberlead/proto"
 )
 
-// evacuation is that of zone y, at a revision.
+// evacuation returns a start or an end of an evacuation of zone y at a revision.
 func evacuation(version uint64, over bool) []proto.Evacuation {
 	return []proto.Evacuation{{Zone: "y", Version: rev(version), Ended: over}}
 }
 
-// TestAnEvacuatedZoneGetsNothing asks for a target in each way that work takes, with all targets of the other zone failing,
-// doubted or tried before: a bad target is better than none, but not one that the operator has closed.
+// Requests a target in each way that work takes, with all targets of the other zone failing, suspected or already
+// tried: an unhealthy target is better than none, but not one that the operator has closed.
 func TestEvacuatedZoneIsNotPicked(t *testing.T) {
 	scenarios := []struct {
 		testName string
@@ -60,7 +60,7 @@
 	}
 }
 
-// TestTheNewestWordOnAZoneHolds has news of an evacuation arrive in all orders, whole and in parts.
+// Changes of an evacuation arrive in all orders, in whole and in part.
 func TestNewestEvacuationWins(t *testing.T) {
 	news := []proto.Evacuation{{Zone: "y", Version: rev(10)}, {Zone: "y", Version: rev(20), Ended: true}, {Zone: "y", Version: rev(30)}}
 	for _, order := range [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}} {
@@ -74,7 +74,7 @@
 	}
 }
 
-// TestTargetsThatComeDuringAnEvacuationAreClosed lists a new target in the zone, and moves one there.
+// A new target is listed in the zone, and another one moves there.
 func TestTargetsAddedDuringEvacuationAreClosed(t *testing.T) {
 	f := fleetWith(putChange(1, testTarget("a", "p", "z")), putChange(2, testTarget("b", "p", "z")))
 	f.ApplyEvacuations(start, evacuation(5, false))
@@ -113,7 +113,7 @@
 	}
 }
 
-// TestWorkInProgressInAnEvacuatedZoneGoesOn ends an attempt and a call there as usual.
+// An attempt and a call in the zone end as usual.
 func TestEvacuationKeepsWorkInProgress(t *testing.T) {
 	f := fleetWith(putChange(1, testTarget("a", "p", "y")))
 	attempt := f.Pick(start, "p", TargetCriteria{})
--- a/relay/health.go
+++ b/relay/health.go
@@ -6,29 +6,29 @@
 	"emberlead/state"
 )
 
-// Figures of ejection. A target that fails is left out for a time that doubles with each failure in a row.
+// A target that fails is ejected for a time that doubles with each consecutive failure.
 const (
-	// ejectBase is the first time out; a crashed target takes seconds to come back, a dropped connection none.
+	// baseEjection is the first ejection time; a crashed target takes seconds to come back, a dropped connection none.
 	baseEjection = 300 * time.Millisecond
-	// ejectMost bounds the time out, so that one that has recovered is used again within a few seconds.
+	// maxEjection bounds the ejection time, so that a target that has recovered is used again within a few seconds.
 	maxEjection = 4 * time.Second
-	// errorWeight is the weight of the newest sample in a target's failure rate: about the last ten count.
+	// failureWeight is the weight of the newest sample in a target's failure rate: about the last ten count.
 	failureWeight = 0.1
-	// errorCost is what a certain failure counts for in the choice of a target: a wasted attempt costs about a second.
+	// failureCost is the cost of a certain failure in the choice of a target: a failed attempt costs about a second.
 	failureCost = float64(time.Second)
-	// restartCost is what each restart of a target beyond the first counts for, as much as a failure among the last ten
-	// attempts, and restartHalf how soon it counts for half: one that has started again works as well as any other, and
-	// one that does so every few seconds loses what it is given.
+	// restartCost is the cost of each restart of a target beyond the first, equal to a failure among the last ten
+	// attempts, and restartHalfLife is the half-life of that cost. A target that restarted once works as well as any
+	// other; one that restarts every few seconds loses the requests it is given.
 	restartCost     = failureWeight * failureCost
 	restartHalfLife = 20 * time.Second
 )
 
-// health is what requests of this daemon showed of one target.
+// health is the health of a target according to this daemon's requests.
 type health struct {
 	consecutiveFailures int
 	ejectedUntil        time.Time
 	failureRate         float64
-	// restarts counts the target's ends of a run, older ones for less.
+	// restarts is the decaying count of ends of the target's runs.
 	restarts state.DecayingSum
 }
 
@@ -48,8 +48,8 @@
 	h.ejectedUntil = now.Add(out)
 }
 
-// afterRestart is the health of a target's next run. What the last one did is no fault of this one, but that it ended is
-// remembered.
+// afterRestart returns the health of the target's next run. Failures of the previous run do not count, but its end
+// does.
 func (h *health) afterRestart(now time.Time) health {
 	next := health{restarts: h.restarts}
 	next.restarts.Add(now, restartHalfLife, 1)
@@ -58,7 +58,7 @@
 
 func (h *health) ejected(now time.Time) bool { return now.Before(h.ejectedUntil) }
 
-// cost is what failures and restarts add to the expected time of an attempt.
+// cost returns what failures and restarts add to the expected time of an attempt.
 func (h *health) cost(now time.Time) float64 {
 	return h.failureRate*failureCost + max(0, h.restarts.Value(now, restartHalfLife)-1)*restartCost
 }
--- a/relay/limits.go
+++ b/relay/limits.go
@@ -13,30 +13,33 @@
 )
 
 const (
-	// noLimit stands for the limit of a target that names none.
+	// noLimit is the limit of a target that does not report one.
 	noLimit = -1.0
-	// limitLeast is the least rate at which a target with a limit gets requests, a second. Only an answer tells that the limit is over.
+	// minLimitRate is the lowest rate, in requests per second, at which requests go to a target with a limit. Only a
+	// response can tell that the limit has been lifted.
 	minLimitRate = 0.2
-	// limitBurst is for how long requests that were not sent may be sent later, at one request the least.
+	// limitBurst is for how long unused requests accumulate; at least one always does.
 	limitBurst = 250 * time.Millisecond
-	// liveShareOver is how many times its part of the daemons a group that does not hear the others may use of a limit. The lost are most
-	// often dead; the groups of a fleet that is cut in two come to this much of the limit together.
+	// liveShareFactor is how many times its proportional share of a limit a group of daemons may use that does not hear
+	// from the others. Missing daemons are most often dead; the groups of a partitioned fleet together use up to this
+	// factor of the limit.
 	liveShareFactor = 1.25
-	// permitAgain is when to ask again where the daemon that hands out permits did not answer: by then another one may do it.
+	// permitRetryDelay is when to ask again if the daemon that grants permits did not answer: another one may have
+	// taken over by then.
 	permitRetryDelay = 100 * time.Millisecond
-	// limitTries is how often a target is chosen anew when other requests took what its limit left.
+	// maxLimitPicks is how often a target is picked again if other requests used up its limit.
 	maxLimitPicks = 3
 )
 
-// allowance is a token bucket for the requests that a target's limit allows, which is empty at first and whose rate may change.
+// tokenBucket limits the requests to a target with a limit. It is empty at first, and its rate may change.
 type tokenBucket struct {
 	bucket *rate.Limiter
 }
 
-// limitRate is how many requests a second go to a target that names a limit, from daemons that have a part of it.
+// limitRate returns the rate, per second, of requests to a target with a limit, from daemons that have a part of it.
 func limitRate(limit, part float64) float64 { return max(minLimitRate, limit) * part }
 
-// refill sets the rate, a second, from a moment on.
+// refill sets the rate per second from now on.
 func (a *tokenBucket) refill(now time.Time, perSecond float64) {
 	burst := max(1, int(perSecond*limitBurst.Seconds()))
 	if a.bucket == nil {
@@ -48,7 +51,7 @@
 	a.bucket.SetBurstAt(now, burst)
 }
 
-// wait is how long it takes until a request is allowed; 0 if one is now.
+// wait returns how long it takes until a request is allowed; 0 if one is allowed now.
 func (a *tokenBucket) wait(now time.Time, perSecond float64) time.Duration {
 	a.refill(now, perSecond)
 	lacking := 1 - a.bucket.TokensAt(now)
@@ -64,18 +67,18 @@
 	return a.bucket.AllowN(now, 1)
 }
 
-// permits hold what the targets with a limit may get. For each pool one daemon hands them out, which places its requests too; the
-// others ask it.
+// permits limit the requests to targets that report a limit. For each pool one daemon, which also places its requests,
+// grants them; the others ask it.
 type permits struct {
 	mu              sync.Mutex
 	runs            map[proto.RunName]*permitState
 	granted, denied atomic.Int64
 }
 
-// permit is what is known of the permits for one target.
+// permitState is the known state of the permits for one target.
 type permitState struct {
 	tokenBucket
-	// exhaustedUntil is until when another daemon has none to hand out.
+	// exhaustedUntil is the time before which another daemon grants no permits.
 	exhaustedUntil time.Time
 	lastAsked      time.Time
 }
@@ -84,7 +87,7 @@
 	return permits{runs: map[proto.RunName]*permitState{}}
 }
 
-// of returns the permits for a target, and whether they are new; the lock is held.
+// lookup returns the permits for a target, and whether they are new; the lock is held.
 func (p *permits) lookup(now time.Time, run proto.RunName) (known *permitState, isNew bool) {
 	known, ok := p.runs[run]
 	if !ok {
@@ -95,7 +98,7 @@
 	return known, !ok
 }
 
-// sweep forgets the targets of which nobody asked for a while.
+// sweep forgets targets that were not asked for recently.
 func (p *permits) sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,7 +109,7 @@
 	}
 }
 
-// liveShare is the part of common limits that the daemons may use together which hear each other.
+// liveShare returns the fraction of common limits that the daemons in contact with each other may use together.
 func (s *Share) liveShare() float64 {
 	if s.Counted <= 0 || s.Live <= 0 {
 		return 1
@@ -114,13 +117,14 @@
 	return min(1, liveShareFactor*float64(s.Live)/float64(s.Counted))
 }
 
-// handsOut tells whether this daemon hands out the permits for the targets of a pool, or else who does.
+// permitOwner returns the daemon that grants the permits for the targets of a pool, and whether it is this one.
 func (p *Placer) permitOwner(pool string) (owner proto.VM, own bool) {
 	owner = p.peers.Owner(placementTaskPrefix+pool, nil)
 	return owner, owner == "" || owner == p.self
 }
 
-// mayBeAsked returns the targets of a pool that name a limit and may have something left of it, as far as is known here.
+// usableLimited returns the targets of a pool that report a limit, with whether the limit may have room left, as far as
+// this daemon knows.
 func (p *Placer) usableLimited(now time.Time, pool string) map[string]bool {
 	limited := p.fleet.limited(pool)
 	if len(limited) == 0 {
@@ -133,8 +137,8 @@
 	return may
 }
 
-// permitsIn is how long it takes until there may be a permit for each of some targets of a pool, as far as is known here; 0 if there may be
-// one now.
+// permitWaits returns, for each of some targets of a pool, how long it takes until a permit may be available; 0 if one
+// may be available now.
 func (p *Placer) permitWaits(now time.Time, pool string, targets []proto.TargetNotice) []time.Duration {
 	_, own := p.permitOwner(pool)
 	share := p.peers.Share()
@@ -152,7 +156,7 @@
 	return in
 }
 
-// grant hands out a permit, if this daemon does so and there is one.
+// grant grants a permit if this daemon is the owner and the limit has room.
 func (p *Placer) grant(now time.Time, pool string, n *proto.TargetNotice, to proto.VM) proto.PermitAnswer {
 	owner, own := p.permitOwner(pool)
 	if !own {
@@ -175,7 +179,7 @@
 	return proto.PermitAnswer{Granted: true}
 }
 
-// HandlePermitAsk answers a daemon that asks for a permit. Of what the two know of the limit, the newer holds.
+// HandlePermitAsk answers a daemon that asks for a permit, by the newer of the limits that the two daemons know.
 func (p *Placer) HandlePermitAsk(from proto.VM, ask proto.PermitAsk) proto.PermitAnswer {
 	now := p.clock.Now()
 	if !ask.Notice.Valid() {
@@ -189,7 +193,7 @@
 	return p.grant(now, ask.Pool, &ask.Notice, from)
 }
 
-// permitted counts a request within the limit of its target, if that names one; false means that the limit is used up.
+// permitted counts a request within the limit of its target, if there is one; false means that the limit is used up.
 func (p *Placer) permitted(ctx context.Context, placed *Placement) bool {
 	n, limited := p.fleet.limitOf(placed.Target)
 	if !limited || placed.permitted {
@@ -222,7 +226,7 @@
 	return answer
 }
 
-// noteExhausted takes in that the daemon that hands out permits for targets has none for a while.
+// recordExhausted records that the owner of the permits for some targets has none for a while.
 func (p *Placer) recordExhausted(now time.Time, wait time.Duration, targets ...proto.TargetNotice) {
 	p.permits.mu.Lock()
 	defer p.permits.mu.Unlock()
@@ -232,7 +236,8 @@
 	}
 }
 
-// roomIn returns how long it takes until a target of a pool that names a limit may get a request, and false if none names one.
+// limitWait returns how long it takes until a target of a pool that reports a limit may get a request, and false if
+// none reports one.
 func (p *Placer) limitWait(pool string) (in time.Duration, limited bool) {
 	targets := p.fleet.limited(pool)
 	if len(targets) == 0 {
@@ -241,7 +246,7 @@
 	return slices.Min(p.permitWaits(p.clock.Now(), pool, targets)), true
 }
 
-// signalLines returns what the first targets of a pool signal, and when those with a limit may get a request.
+// signalLogEntries returns the signals of the first targets of a pool, and when those with a limit may get a request.
 func (p *Placer) signalLogEntries(pool string) []signalLogEntry {
 	now := p.clock.Now()
 	lines := p.fleet.signalLogEntries(now, pool)
@@ -253,8 +258,8 @@
 	return lines
 }
 
-// heldFor returns how long it takes until a target of a pool in some regions may get a request, by what the targets signal, and why none may
-// get one now; 0 if one may, as far as is known here.
+// signalWait returns how long the signals of the targets of a pool in the allowed regions prevent new requests, and
+// why; 0 if one may get a request now, as far as this daemon knows.
 func (p *Placer) signalWait(pool string, homes proto.AllowedRegions) (in time.Duration, reason string) {
 	now := p.clock.Now()
 	for i, t := range p.fleet.allBlocked(now, pool, homes) {
@@ -271,7 +276,7 @@
 	return in, reason
 }
 
-// PermitStats are totals of permits for targets that name a limit, since the start.
+// PermitStats are the totals of permits for targets that report a limit, since the start of the daemon.
 type PermitStats struct {
 	Granted int64 `json:"granted"`
 	// Denied counts how often a limit was used up.
--- a/relay/limits_bench_test.go
+++ b/relay/limits_bench_test.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// BenchmarkLimitWays compares ways to divide a limit between daemons: part of what the target takes that is used, the most that
-// arrives within a span against what may, and messages a second.
+// BenchmarkLimitWays compares ways to divide a limit between daemons. It reports the used part of the target's limit,
+// the largest number of arrivals within a span relative to the bound, and messages per second.
 func BenchmarkLimitSharing(b *testing.B) {
 	const length = 40 * time.Second
 	ways := []struct {
 		testName string
-		// apart daemons do not hear each other, so that each keeps to a part of its own; unasked ones do not answer each other.
+		// isolated daemons do not hear from each other, so that each keeps to a part of its own; silent ones do not
+		// answer each other.
 		isolated, silent bool
 	}{{"handed out by one daemon", false, false}, {"equal parts", true, false}, {"one daemon sends alone", false, true}}
 	for _, way := range ways {
@@ -38,7 +39,7 @@
 	}
 }
 
-// partsAll has no daemon reach another.
+// isolateAll cuts all daemons off from each other.
 func (w *limitSimulation) isolateAll() {
 	for i, d := range w.daemons {
 		d.group, d.assumedGroup = i, i
--- a/relay/limits_test.go
+++ b/relay/limits_test.go
@@ -15,49 +15,52 @@
 )
 
 const (
-	// limitTick is the step of the model, and limitAnswer how long a target takes to answer.
+	// limitTick is the step of the simulation, and limitAnswer is how long a target takes to answer.
 	limitTick   = 10 * time.Millisecond
 	limitAnswer = 20 * time.Millisecond
-	// limitHop is how long news takes to other daemons, and limitLag how long a daemon takes to find out who is cut off.
+	// limitNoticeDelay is how long notices take to reach other daemons, and limitDetectionLag is how long a daemon
+	// takes to detect which daemons are cut off.
 	limitNoticeDelay  = 100 * time.Millisecond
 	limitDetectionLag = time.Second
-	// limitSpan, limitOver and limitSlack are what may arrive at a target beyond its limit, limitTold after it first named that.
+	// At most limitFactor times the limit over limitSpan, plus limitSlack, may arrive at a target, from limitLearnTime
+	// after it first reported the limit.
 	limitSpan      = 4 * time.Second
 	limitFactor    = 1.5
 	limitSlack     = 5
 	limitLearnTime = 3 * time.Second
-	// limitUse is the part of what a target takes that a calm fleet uses at least.
+	// minLimitUse is the least part of the target's limit that an undisturbed fleet uses.
 	minLimitUse = 0.8
 )
 
-// limitFleet is a deployment of daemons before one target that names a limit, under a clock of its own.
+// limitSimulation simulates daemons and one target that reports a limit, with a clock of its own.
 type limitSimulation struct {
 	clock   *clockwork.FakeClock
 	random  *rand.Rand
 	daemons []*limitDaemon
-	// limit is what the target names; it names none if it is negative.
+	// limit is the limit that the target reports; it reports none if negative.
 	limit    float64
 	arrivals []time.Time
 	due      []limitEvent
-	// calls counts what daemons ask each other; unasked ones do not answer.
+	// calls counts the calls between daemons; silent ones do not answer.
 	calls  int
 	silent bool
 }
 
-// limitEvent is an answer or a message on its way.
+// limitEvent is a response or a message in flight.
 type limitEvent struct {
 	at time.Time
 	do func()
 }
 
-// limitDaemon is one daemon; it reaches the others of its group, and believes to reach those of the group of some time ago.
+// limitDaemon is one daemon. It reaches the others of its group, and believes that it reaches those of its group of
+// some time ago.
 type limitDaemon struct {
 	sim    *limitSimulation
 	vm     proto.VM
 	placer *Placer
 	fleet  *Fleet
 	group  int
-	// believed is the group that the daemon goes by.
+	// assumedGroup is the group that the daemon assumes.
 	assumedGroup int
 }
 
@@ -77,7 +80,7 @@
 	w.due = append(w.due, limitEvent{w.clock.Now().Add(wait), do})
 }
 
-// tell passes news on to the daemons of the group.
+// sendNotices sends notices to the daemons of the group.
 func (d *limitDaemon) sendNotices(news []proto.TargetNotice) {
 	for _, other := range d.sim.daemons {
 		if other != d && other.group == d.group {
@@ -140,7 +143,7 @@
 	return nil
 }
 
-// asks has a daemon send a request, if it finds a target.
+// send lets a daemon send a request if it finds a target.
 func (w *limitSimulation) send(d *limitDaemon, engine bool) {
 	placed := d.placer.Choose(context.Background(), "p", TargetCriteria{Engine: engine, Route: "r", OwnTokens: 100})
 	if placed == nil {
@@ -155,7 +158,7 @@
 	})
 }
 
-// runs plays a time with so many requests a second; spread is the number of daemons that get them.
+// run simulates a number of requests per second, spread over the first daemons.
 func (w *limitSimulation) run(length time.Duration, perSecond float64, spread int, engine bool) {
 	credit := 0.0
 	for end := w.clock.Now().Add(length); w.clock.Now().Before(end); w.clock.Advance(limitTick) {
@@ -181,7 +184,7 @@
 	w.due = append(later, w.due...)
 }
 
-// splits puts each daemon into one of so many groups, which do not reach each other from now on and find that out later.
+// split puts each daemon into one of several groups, which cannot reach each other from now on and detect that later.
 func (w *limitSimulation) split(groups int) {
 	for _, d := range w.daemons {
 		d.group = w.random.IntN(groups)
@@ -190,7 +193,7 @@
 	}
 }
 
-// most is the largest number of arrivals within a span, from a moment on.
+// maxArrivals returns the largest number of arrivals within a span, from a time on.
 func (w *limitSimulation) maxArrivals(from time.Time) int {
 	maxArrivals, first := 0, 0
 	for last, at := range w.arrivals {
@@ -206,7 +209,7 @@
 	return int(limitFactor*limitSpan.Seconds()*limit + limitSlack)
 }
 
-// TestALimitIsKeptAndUsedByACalmFleet guards against a limit that each daemon keeps for itself, or that is divided until nobody is served.
+// Guards against a limit that each daemon applies separately, or that is divided until nobody is served.
 func TestLimitIsRespectedAndUsed(t *testing.T) {
 	const length = 40 * time.Second
 	for _, daemons := range []int{6, 30, 95} {
@@ -240,7 +243,7 @@
 	}
 }
 
-// TestALimitIsKeptByAFleetThatIsSplit guards against groups of daemons that each use a whole limit while they do not hear each other.
+// Guards against groups of daemons that each use a whole limit while they do not hear from each other.
 func TestLimitIsRespectedByPartitionedFleet(t *testing.T) {
 	for seed := range uint64(60) {
 		random := rand.New(rand.NewPCG(seed, 2))
@@ -259,7 +262,7 @@
 	}
 }
 
-// TestALimitEndsWithTheAnswersThatNameIt guards against a target that is held to a limit which it names no more.
+// Guards against a target that is held to a limit which it no longer reports.
 func TestLimitIsLiftedByResponses(t *testing.T) {
 	for _, limit := range []float64{0, 0.01, 1} {
 		t.Run(fmt.Sprintf("limit %g", limit), func(t *testing.T) {
@@ -275,7 +278,7 @@
 	}
 }
 
-// TestLimitsThatSayNothingDoNoHarm guards against values that would stop all work for a target, or let it through in a burst.
+// Guards against values that would stop all work for a target, or let it through in a burst.
 func TestExtremeLimits(t *testing.T) {
 	scenarios := []struct {
 		testName string
@@ -303,7 +306,7 @@
 	}
 }
 
-// TestALimitedTargetOfAZoneThatComesBackIsUsed guards against a target that is never used again since nothing counts what its limit allows.
+// Guards against a target that is never used again because nothing counts what its limit allows.
 func TestLimitedTargetIsUsedAfterEvacuation(t *testing.T) {
 	w := newLimitSimulation(1, 1, 1)
 	d := w.daemons[0]
@@ -318,7 +321,7 @@
 	}
 }
 
-// TestADaemonThatMakesCallsBesideTheOwnerKeepsToAPart guards against two daemons that each use a target's whole limit for calls.
+// Guards against two daemons that each use a target's whole limit for calls.
 func TestNonOwnerUsesPartOfLimit(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(start)
 	p := newTestPieceScheduler(clock, &scriptedPeers{silent: make(chan struct{})}, &stubSender{})
@@ -335,7 +338,7 @@
 	}
 }
 
-// TestANewerLimitHoldsForPermits guards against permits at a limit that an asking daemon knows and that the target has lowered since.
+// Guards against permits granted by an outdated limit of the asking daemon after the target lowered its limit.
 func TestPermitUsesNewerLimit(t *testing.T) {
 	w := newLimitSimulation(1, 1, 1)
 	d := w.daemons[0]
--- a/relay/notices.go
+++ b/relay/notices.go
@@ -10,7 +10,7 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// noticingSender sends requests and takes in what targets say of themselves in their answers, whatever they were asked.
+// noticeSender sends requests and records what targets report about themselves in the headers of any response.
 type noticeSender struct {
 	sender  Sender
 	dialect Dialect
@@ -23,11 +23,11 @@
 	return &noticeSender{sender: sender, dialect: dialect, fleet: fleet, clock: clock, log: log}
 }
 
-// Send returns the head of the answer. Its error is a *SendError.
+// Send returns the header of the response. Its error is a *SendError.
 func (s *noticeSender) Send(ctx context.Context, to netip.AddrPort, out *TargetRequest) (*TargetResponse, error) {
 	sent := s.clock.Now()
 	in, err := s.sender.Send(ctx, to, out)
-	// An answer of another target that has the address now says nothing of the one that was asked.
+	// A response of another target that now has the address says nothing about the target that was asked.
 	if err == nil && in.Status != http.StatusMisdirectedRequest {
 		s.recordSignal(sent, to, out, in)
 	}
@@ -44,7 +44,7 @@
 		if !known {
 			return
 		}
-		// Such calls are not part of the work, and may be answered without what is said with work.
+		// Such calls are not part of the work, and the responses may lack headers that responses to work have.
 		h.target, h.partial = target, true
 	}
 	if len(h.Unreadable) > 0 {
--- a/relay/noticescope_test.go
+++ b/relay/noticescope_test.go
@@ -14,8 +14,8 @@
 	"emberlead/proto"
 )
 
-// TestALateAnswerChangesNothingThatIsNewer guards against a limit that ends or changes by an answer from before it was known, or by one that
-// may lack what holds, and against a run that is closed by what the one before said.
+// Guards against a limit that is changed or lifted by an outdated response, or by one that may lack headers, and
+// against a run that is closed by what the previous run reported.
 func TestOutdatedResponseKeepsSignals(t *testing.T) {
 	limited := Notice{Limited: true, Limit: 2}
 	known := start.Add(time.Second)
@@ -46,7 +46,8 @@
 	}
 }
 
-// TestALimitThatCannotBeKeptIsNotLearnt guards against a value in a message of another daemon that would stop or open a target.
+// Guards against a value in a message of another daemon that would stop all requests to a target, or leave them without
+// a limit.
 func TestInvalidLimitIsIgnored(t *testing.T) {
 	for _, limit := range []float64{-1, math.NaN(), math.Inf(1)} {
 		w := newLimitSimulation(1, 1, 1)
@@ -63,7 +64,7 @@
 	}
 }
 
-// TestAPlacerThatWasTurnedAwayChoosesForOthers guards against a target that no other daemon is sent to while it wants rest from the one that places.
+// Guards against a target that no daemon is sent to because it asked only the owner of the pool to back off.
 func TestPlacerIgnoresOwnBackoffForPeers(t *testing.T) {
 	all, _ := newPlacers(clockwork.NewFakeClockAt(start), engineFleet(1))
 	owner := all["vm-0"]
@@ -76,7 +77,7 @@
 	}
 }
 
-// noticeDialect reads every answer as saying the same.
+// noticeDialect reads the same notice from every response.
 type noticeDialect struct {
 	stubDialect
 	notice Notice
@@ -84,14 +85,14 @@
 
 func (d noticeDialect) ParseNotice(int, http.Header) Notice { return d.notice }
 
-// statusSender answers with a status.
+// statusSender answers every request with the same status.
 type statusSender struct{ status int }
 
 func (s statusSender) Send(context.Context, netip.AddrPort, *TargetRequest) (*TargetResponse, error) {
 	return &TargetResponse{Status: s.status, Header: http.Header{}}, nil
 }
 
-// TestAnAnswerOfAnotherTargetSaysNothingOfTheOneAsked guards against a target that is closed by what another one at its address says.
+// Guards against a target that is closed by what another target at its address reports.
 func TestMisdirectedResponseKeepsSignals(t *testing.T) {
 	for status, leaves := range map[int]bool{http.StatusOK: true, http.StatusServiceUnavailable: true, http.StatusMisdirectedRequest: false} {
 		f := fleetWith(putChange(1, testTarget("t", "p", "z")))
@@ -106,10 +107,10 @@
 	}
 }
 
-// stuckAfter bounds the wait for a goroutine; it decides no verdict on a machine that is not stuck.
+// stuckTimeout bounds the wait for a goroutine; it only expires on a machine that is stuck.
 const stuckTimeout = 20 * time.Second
 
-// TestResultsAreFreedWhenTheirMakerTakesCalls guards against calls that free results at a target that rests, or that use up its limit.
+// Guards against calls that free results at a target in backoff, or that use up its limit.
 func TestFreeCallsRespectNotices(t *testing.T) {
 	maker := netip.MustParseAddrPort("10.0.0.1:80")
 	scenarios := []struct {
--- a/relay/outage.go
+++ b/relay/outage.go
@@ -6,23 +6,24 @@
 	"emberlead/state"
 )
 
-// A daemon that has started knows its configuration within some ten milliseconds, or the store is out and no other daemon
-// has it either. How long that lasts nobody knows, but most callers come back only once, and one who returns into the
-// same outage has lost its request.
+// A daemon that has started gets its configuration within some ten milliseconds, unless the store is down and no other
+// daemon has one either. The length of the outage is unknown, but most callers retry only once, and a retry into the
+// same outage fails the request.
 const (
-	// outagePart is the part of its caller's time after which a request is to be sent again: the last moment that leaves
-	// it time to be served, since the first try took next to none, its stages and its answer the other parts.
+	// outageRetryFraction is the fraction of the caller's timeout after which the request is to be retried: as late as
+	// possible while leaving time for the request to be served. The first try took next to no time; the stages and the
+	// answer take the other parts.
 	outageRetryFraction = 1.0 / 3
-	// outageSpread is the part of that time over which callers of the same moment come back, so that the load of an
-	// outage does not return in one instant.
+	// outageSpread is the fraction of that time over which simultaneous callers are spread, so that the load of an
+	// outage does not return all at once.
 	outageSpread = 0.2
-	// outageUnknown is when a caller is to come back that does not say how long it waits.
+	// outageDefaultRetry is the retry time for callers that state no timeout.
 	outageDefaultRetry = 2 * time.Second
-	// outageLeast keeps callers with little time from coming back before anything can have changed.
+	// minOutageRetry keeps callers with a short timeout from retrying before anything can have changed.
 	minOutageRetry = 200 * time.Millisecond
 )
 
-// outageWait is when the caller of a request is to come back to a daemon that cannot serve anybody yet.
+// outageRetryAfter returns when the caller of a request is to retry if the daemon cannot serve anybody yet.
 func outageRetryAfter(r *Request) time.Duration {
 	if r.CallerTimeout == 0 {
 		return outageDefaultRetry
--- a/relay/outage_test.go
+++ b/relay/outage_test.go
@@ -11,10 +11,10 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// TestCallersOfAnOutageOfEverythingComeBackWhenTheyMayBeServed has all daemons die while the store is out, so that no
-// daemon knows a configuration. Callers come back once: one who is told 0.4 s, as for a busy daemon, returns into an
-// outage of seconds and is lost, and one who returns too late has no time left to be served. Outages of the platform's
-// store last some seconds; deadlines of streams are 6 to 20 s and those of short requests about 1 s.
+// All daemons die while the store is down, so that no daemon has a configuration. Callers retry once: one that is told
+// 0.4 s, as by a busy daemon, returns into an outage of seconds and is lost, and one that returns too late leaves no
+// time to be served. Outages of the platform's store last some seconds; deadlines of streams are 6 to 20 s and those of
+// short requests about 1 s.
 func TestOutageRetryAfter(t *testing.T) {
 	scenarios := []struct {
 		wait, least, most time.Duration
@@ -42,7 +42,7 @@
 	}
 }
 
-// waitDialect reads how long a caller waits, and keeps when it is to come back.
+// waitDialect parses the timeout of a caller, and records when the caller is to retry.
 type waitDialect struct {
 	stubDialect
 	wait, back time.Duration
--- a/relay/overload_test.go
+++ b/relay/overload_test.go
@@ -15,20 +15,21 @@
 	"emberlead/state"
 )
 
-// kindOfLoad is one kind of request of the load below.
+// loadKind is one kind of request of the simulated load.
 type loadKind struct {
 	route     string
 	rank      int
 	perSecond float64
-	// own and shared are tokens of the prompt, and stages how long stages take before it goes to an engine.
+	// own and shared are tokens of the prompt, and stages is how long the stages take before it goes to an engine.
 	own, shared int
 	stages      time.Duration
-	// goal is within what time the first event has its full worth.
+	// goal is the time within which the first event has its full value.
 	goal time.Duration
 }
 
-// The load is that of a platform of live scores in service: summaries that begin with one of some hundred shared parts, recaps after
-// three stages, short captions; 140 engines are a quarter busy with it, and 21 can take some two thirds.
+// liveScores is the load of a platform of live scores in production: summaries that begin with one of some hundred
+// shared parts, recaps after three stages, and short captions. It keeps 140 engines a quarter busy, and 21 engines can
+// handle some two thirds of it.
 var liveScores = []loadKind{
 	{"summary", 0, 63, 2900, 1500, 300 * time.Millisecond, 1600 * time.Millisecond},
 	{"recap", 1, 143, 1800, 0, 1100 * time.Millisecond, 3600 * time.Millisecond},
@@ -36,32 +37,32 @@
 }
 
 const (
-	// modelRate is how many tokens an engine of the model reads in a second, streams beside.
+	// modelRate is the number of tokens that a simulated engine reads per second besides its streams.
 	modelRate     = 19_000
 	modelTick     = 5 * time.Millisecond
 	modelMaxPause = 600 * time.Millisecond
 )
 
-// modelRequest is a request on its way.
+// modelRequest is a request in progress.
 type modelRequest struct {
 	kind   *loadKind
 	digest proto.RequestDigest
 	first  time.Time
 	tries  int
-	// at is when it goes on: to its caller's next try, or to an engine.
+	// at is when the request continues: with its caller's next try, or at an engine.
 	at     time.Time
 	begun  bool
 	tokens float64
 	placed *Placement
 }
 
-// modelEngine reads the prompts that it was given, the urgent ones first, one after the other.
+// modelEngine reads its prompts one by one, the most urgent first.
 type modelEngine struct {
 	gone  bool
 	queue []*modelRequest
 }
 
-// overload is a deployment of daemons before engines, of which some go at once.
+// overloadSimulation simulates daemons and engines, of which many fail at once.
 type overloadSimulation struct {
 	t       *testing.T
 	clock   *clockwork.FakeClock
@@ -69,12 +70,13 @@
 	placers []*Placer
 	fleets  []*Fleet
 	engines map[string]*modelEngine
-	// order is that in which the engines read, so that a seed always plays the same.
+	// order is the order in which the engines read, so that a seed always yields the same run.
 	order   []*modelEngine
 	waiting []*modelRequest
 	next    uint64
 	version uint64
-	// inTime counts tokens of requests whose first event was in time, by the second in which it came, and served and refused requests.
+	// inTime counts the tokens of requests whose first event was in time, by the second in which it came. served and
+	// refused count requests by route.
 	inTime          map[int]float64
 	served, refused map[string]int
 	asked           map[string]int
@@ -110,7 +112,7 @@
 	o.order = append(o.order, e)
 }
 
-// arrive has callers send requests for one tick.
+// arrive lets callers send the requests of one tick.
 func (o *overloadSimulation) arrive(times float64) {
 	now := o.clock.Now()
 	for i := range liveScores {
@@ -156,7 +158,7 @@
 	}
 }
 
-// begin asks whether to begin a request; a caller that is refused comes back once.
+// begin asks for admission of a request; a caller that is refused retries once.
 func (o *overloadSimulation) begin(r *modelRequest) {
 	now := o.clock.Now()
 	p := o.placers[o.random.IntN(len(o.placers))]
@@ -184,7 +186,7 @@
 	o.waiting = append(o.waiting, r)
 }
 
-// place sends a request to an engine; one that is gone refuses the connection, and another is tried.
+// place sends a request to an engine. An engine that is gone refuses the connection, and another one is tried.
 func (o *overloadSimulation) place(r *modelRequest) {
 	p := o.placers[o.random.IntN(len(o.placers))]
 	w := TargetCriteria{
@@ -213,7 +215,7 @@
 	o.refuse(r, minRetryWait)
 }
 
-// read has an engine read for one tick.
+// read lets an engine read for one tick.
 func (o *overloadSimulation) read(e *modelEngine) {
 	if e.gone {
 		return
@@ -242,7 +244,7 @@
 	}
 }
 
-// lose has engines go at once, with what they read; their entries stay until they lapse.
+// fail stops engines at once, losing what they had read; their entries stay until they expire.
 func (o *overloadSimulation) fail(count int) {
 	for i := range count {
 		e := o.engines[fmt.Sprintf("e%03d", i)]
@@ -256,14 +258,14 @@
 	}
 }
 
-// lapse has the entries of engines that are gone be removed.
+// expire removes the entries of engines that are gone.
 func (o *overloadSimulation) expire(count int) {
 	for i := range count {
 		o.change(func(version uint64) FleetChange { return removeChange(version, fmt.Sprintf("e%03d", i)) })
 	}
 }
 
-// come has new engines list themselves.
+// addEngines lists new engines.
 func (o *overloadSimulation) addEngines(count int) {
 	for i := range count {
 		target := testTarget(fmt.Sprintf("new%03d", i), "p", "z")
@@ -286,7 +288,7 @@
 	}
 }
 
-// between is how many tokens of requests in time were read in some seconds, a second.
+// goodput returns the tokens per second, over some seconds, that were read for requests in time.
 func (o *overloadSimulation) goodput(from, to int) float64 {
 	sum := 0.0
 	for s := from; s < to; s++ {
@@ -295,7 +297,7 @@
 	return sum / float64(to-from)
 }
 
-// offered is how many tokens callers ask for in a second.
+// offered returns the tokens that callers request per second.
 func offered(times float64) float64 {
 	sum := 0.0
 	for i := range liveScores {
@@ -305,9 +307,9 @@
 	return sum
 }
 
-// TestMostOfAPoolOfEnginesIsLost has 119 of 140 engines go at once, with and without a burst after it, and others come later. In each two
-// seconds from three seconds on at least 0.8 of what the others can read must be for requests that are in time, and three seconds after they
-// came all must be served in time again.
+// Of 140 engines 119 fail at once, with and without a burst afterwards, and others come later. In each two seconds from
+// three seconds after the loss on, at least 0.8 of what the remaining engines can read must be for requests that are in
+// time. Three seconds after the new engines came all requests must be served in time again.
 func TestLossOfMostEngines(t *testing.T) {
 	for _, burst := range []float64{1, 1.6} {
 		t.Run(fmt.Sprint("load times ", burst), func(t *testing.T) {
@@ -337,7 +339,8 @@
 	}
 }
 
-// fewAreLeft plays a seed in which 119 of 140 engines go, and returns the part of the requests of each kind that is served then, and of all.
+// serveAfterLoss runs a seed in which 119 of 140 engines fail, and returns the fraction of the requests of each kind
+// that is served afterwards, and of all.
 func serveAfterLoss(t *testing.T, seed uint64) (rates map[string]float64, all float64) {
 	t.Helper()
 	o := newOverloadSimulation(t, 140, 8, seed)
@@ -356,8 +359,7 @@
 	return rates, float64(served) / float64(asked)
 }
 
-// TestUrgentRequestsGoFirstWhenFewEnginesAreLeft wants the most urgent kind served nearly whole, and each kind at least a quarter as often
-// as all.
+// Nearly all requests of the most urgent kind must be served, and each kind at least a quarter as often as all.
 func TestUrgentRequestsAreServedFirstAfterLoss(t *testing.T) {
 	for seed := range uint64(8) {
 		rates, all := serveAfterLoss(t, seed)
@@ -372,13 +374,13 @@
 	}
 }
 
-// What was seen: after a loss of most engines, captions were served 0.06 to 0.10 more often than the more urgent recaps, in a fifth of the
-// seeds. Both were at their floors, which were the same for all ranks, so that only what the most urgent left set them apart: recaps were
-// admitted at 0.37 to 0.43 of their tries and captions at 0.32 to 0.35. That is less than chance moves the rate of some five hundred captions
-// in twelve seconds, and than the captions add that were begun before the loss and read last. The mean of the difference was 0.00 and its
-// spread 0.05; counted by the requests that came in the window alone, recaps were ahead by 0.07 in the mean and no caption by 0.05.
-//
-// TestNoKindIsServedMoreOftenThanAMoreUrgentOne allows for 5 in 100, as the platform's users do.
+// Allows for 5 in 100, as the platform's users do. After a loss of most engines, captions were served 0.06 to 0.10 more
+// often than the more urgent recaps, in a fifth of the seeds. Both were at their minimum shares, which were the same
+// for all ranks, so only what the most urgent requests left over set them apart: recaps were admitted in 0.37 to 0.43
+// of their tries and captions in 0.32 to 0.35. This is less than the random variation of the rate of some five hundred
+// captions in twelve seconds, and less than the captions add that were begun before the loss and read last. The mean of
+// the difference was 0.00 and its spread 0.05. Counting only requests that arrived in the window, recaps were ahead by
+// 0.07 on average and no caption by 0.05.
 func TestServedFractionFollowsUrgency(t *testing.T) {
 	for seed := range uint64(8) {
 		rates, _ := serveAfterLoss(t, seed)
@@ -391,7 +393,7 @@
 	}
 }
 
-// TestCalmPoolsAskNobody has no daemon ask for admission while engines have little to read, nor any request refused.
+// While engines have little to read, no daemon asks for admission and no request is refused.
 func TestIdlePoolsNeedNoAdmission(t *testing.T) {
 	o := newOverloadSimulation(t, 140, 8, 5)
 	o.run(5*time.Second, 1)
@@ -405,7 +407,7 @@
 	}
 }
 
-// BenchmarkAdmit decides on one request for a pool of 140 and of 600 engines.
+// BenchmarkAdmit measures the admission of one request to a pool of 140 and of 600 engines.
 func BenchmarkAdmit(b *testing.B) {
 	for _, engines := range []int{140, 600} {
 		b.Run(fmt.Sprint("engines=", engines), func(b *testing.B) {
--- a/relay/place.go
+++ b/relay/place.go
@@ -15,18 +15,19 @@
 )
 
 const (
-	// placeWait bounds the asking for a target: the way is a millisecond, and without an answer the daemon decides alone.
+	// placementTimeout bounds a call to the owner: a round trip takes a millisecond, and without an answer the daemon
+	// chooses alone.
 	placementTimeout = 60 * time.Millisecond
-	// placeLate is how long a late answer is waited for, to say that it is not used.
+	// lateAnswerTimeout is how long a late answer is awaited in order to release its lease.
 	lateAnswerTimeout = 2 * time.Second
-	// placeTask begins the name of the task of placing the requests of a pool.
+	// placementTaskPrefix is the prefix of the task of placing the requests of a pool.
 	placementTaskPrefix = "place/"
-	// leaseMost is how long a placed request is counted when nobody says how it ended.
+	// maxLeaseAge is how long a placed request is counted if nobody reports how it ended.
 	maxLeaseAge = 25 * time.Second
 )
 
-// Placer chooses the targets of a pool of engines for all daemons, so that one daemon knows what each engine was
-// given. A daemon that cannot reach it chooses alone.
+// Placer chooses the targets of a pool of engines. One daemon, the owner, places the requests of all daemons, so that
+// it knows the load of each engine. A daemon that cannot reach the owner chooses alone.
 type Placer struct {
 	self  proto.VM
 	clock clockwork.Clock
@@ -34,14 +35,14 @@
 	fleet *Fleet
 	peers Peers
 
-	// admissions decide for the pools that this daemon places for, and busyUntil is until when requests for a pool are to be admitted
-	// by the daemon that places for it.
+	// admissions holds the admission state of the pools that this daemon owns. busyUntil is the time until which
+	// requests for a pool have to be admitted by its owner.
 	admitMu    sync.Mutex
 	admissions map[string]*admissionController
 	busyUntil  map[string]time.Time
-	// cold counts what this daemon sends to cold targets.
+	// coldLimiter counts the requests of this daemon to cold targets.
 	coldLimiter coldSendLimiter
-	// permits are those for targets that name a limit.
+	// permits holds the permits for targets that report a limit.
 	permits permits
 
 	mu        sync.Mutex
@@ -49,7 +50,7 @@
 	leases    map[uint64]placementLease
 }
 
-// placement is an attempt that this daemon placed for another.
+// placementLease is an attempt that this daemon placed for another.
 type placementLease struct {
 	target *Target
 	want   TargetCriteria
@@ -57,7 +58,7 @@
 	at     time.Time
 }
 
-// NewPlacer returns a placer that has placed nothing.
+// NewPlacer returns a placer without any placed requests.
 func NewPlacer(self proto.VM, clock clockwork.Clock, log hclog.Logger, fleet *Fleet, peers Peers) *Placer {
 	return &Placer{self: self, clock: clock, log: log, fleet: fleet, peers: peers, leases: map[uint64]placementLease{}, coldLimiter: coldSendLimiter{targets: map[string]*coldTarget{}}, permits: newPermits(), admissions: map[string]*admissionController{}, busyUntil: map[string]time.Time{}}
 }
@@ -65,7 +66,7 @@
 // Placement is a target chosen for an attempt.
 type Placement struct {
 	Target *Target
-	// Spec is the target's entry as it was when it was chosen; the entry may change at any time.
+	// Spec is the target's entry at the time of the choice; the entry may change at any time.
 	Spec proto.RelayTarget
 
 	placer *Placer
@@ -74,14 +75,14 @@
 	owner  proto.VM // another daemon that counts the attempt, or ""
 	lease  uint64
 	began  bool
-	// Cold says that the target is cold, and counted that the request counts as on its way there.
+	// Cold is set if the target is cold, and counted if the request counts as in flight to it.
 	Cold    bool
 	counted bool
-	// permitted says that the request is counted within the limit of its target.
+	// permitted is set if the request is counted within the target's limit.
 	permitted bool
 }
 
-// Choose returns the target for an attempt, or nil if there is none; Ended must be called for it.
+// Choose returns the target for an attempt, or nil if there is none. The caller must call Finish on it.
 func (p *Placer) Choose(ctx context.Context, pool string, w TargetCriteria) *Placement {
 	for range max(maxColdPicks, maxLimitPicks) {
 		now := p.clock.Now()
@@ -90,7 +91,7 @@
 		if placed == nil || (!w.AllowedCold[placed.Spec.ID] || p.countCold(now, placed)) && p.permitted(ctx, placed) {
 			return placed
 		}
-		// Other requests have taken what was left for the target.
+		// Other requests have used up what was left for the target.
 		placed.Finish(VerdictNone, Load{})
 	}
 	w.AllowedCold, w.AllowedLimited = nil, nil
@@ -102,8 +103,8 @@
 	return placed
 }
 
-// ChooseByID returns a target that has run the request before for another attempt, or nil if it may get none now; Ended must be called
-// for it.
+// ChooseByID returns a target that handled the request before, for another attempt, or nil if the target must not get
+// one now. The caller must call Finish on it.
 func (p *Placer) ChooseByID(ctx context.Context, pool, id string, w TargetCriteria) *Placement {
 	now := p.clock.Now()
 	w.AllowedCold, w.AllowedLimited = p.sendableCold(now, pool, w.Rank), p.usableLimited(now, pool)
@@ -135,7 +136,7 @@
 	return &Placement{Target: t, Spec: p.fleet.Spec(t), placer: p, pool: pool, want: w}
 }
 
-// remote asks the daemon that places for the pool; it has decided unless this daemon should choose alone.
+// chooseRemotely asks the owner of the pool. It returns false if this daemon has to choose alone.
 func (p *Placer) chooseRemotely(ctx context.Context, owner proto.VM, pool string, w TargetCriteria) (placed *Placement, decided bool) {
 	without := p.fleet.ExcludedTargets(p.clock.Now(), pool)
 	for id := range w.Tried {
@@ -166,11 +167,11 @@
 	return &Placement{Target: t, Spec: p.fleet.Spec(t), placer: p, pool: pool, want: w, owner: owner, lease: a.Lease, permitted: a.Permitted}, true
 }
 
-// errLateAnswer says that the daemon that places for a pool has not answered in time.
+// errLateAnswer means that the owner of a pool has not answered in time.
 var errLateAnswer = errors.New("no answer in time")
 
-// ask asks the daemon that places for a pool. An answer that comes too late is not used, and that daemon is told so: it would count the
-// request at the target for as long as leases last.
+// ask asks the owner of the pool. A late answer is not used, and the owner is told so; otherwise it would count the
+// request at the target until the lease expires.
 func (p *Placer) ask(ctx context.Context, owner proto.VM, ask proto.PlaceAsk) (a proto.PlaceAnswer, ok bool, err error) {
 	type reply struct {
 		message proto.Message
@@ -202,7 +203,7 @@
 	return a, false, err
 }
 
-// RecordResponseStart notes that the target has read the prompt.
+// RecordResponseStart records that the target has read the prompt.
 func (p *Placement) RecordResponseStart() {
 	p.began = true
 	p.arrived()
@@ -212,14 +213,15 @@
 	}
 }
 
-// HasAlternative tells whether a request could go to another target than those that it was sent to, as far as is known here.
+// HasAlternative reports whether a request could go to a target that it was not sent to yet, as far as this daemon
+// knows.
 func (p *Placer) HasAlternative(pool string, w TargetCriteria) bool {
 	now := p.clock.Now()
 	w.AllowedCold, w.AllowedLimited = p.sendableCold(now, pool, w.Rank), p.usableLimited(now, pool)
 	return p.fleet.HasTarget(now, pool, w)
 }
 
-// ReportSlow notes that the attempt takes longer than it should, so that others go to other targets meanwhile.
+// ReportSlow records that the attempt takes longer than expected, so that other requests avoid the target meanwhile.
 func (p *Placement) ReportSlow() {
 	p.placer.fleet.ReportSlow(p.placer.clock.Now(), p.Target)
 	if p.owner != "" {
@@ -227,7 +229,7 @@
 	}
 }
 
-// Finish notes how the attempt ended.
+// Finish records how the attempt ended.
 func (p *Placement) Finish(v HealthVerdict, load Load) {
 	p.arrived()
 	p.placer.fleet.FinishAttempt(p.placer.clock.Now(), p.Target, p.want, p.began, v, load)
@@ -260,7 +262,7 @@
 	return proto.PlaceAnswer{Target: id, Lease: p.nextLease, Times: times, AdmissionRequired: busy, Permitted: permitted}
 }
 
-// pick chooses a target for another daemon, and counts the request within the limit of the target if that names one.
+// pickForPeer picks a target for another daemon, and counts the request within the target's limit if it reports one.
 func (p *Placer) pickForPeer(now time.Time, pool string, w TargetCriteria) (t *Target, permitted bool) {
 	for range maxLimitPicks {
 		w.AllowedLimited = p.usableLimited(now, pool)
@@ -280,7 +282,7 @@
 	return nil, false
 }
 
-// HandlePlaceNote takes in how far a placed attempt has come.
+// HandlePlaceNote records the progress of an attempt that was placed for another daemon.
 func (p *Placer) HandlePlaceNote(n proto.PlaceNote) {
 	p.mu.Lock()
 	l, ok := p.leases[n.Lease]
@@ -303,7 +305,7 @@
 	}
 }
 
-// Sweep ends the leases of which nothing was heard for too long; it comes several times a second.
+// Sweep ends expired leases and removes state that is no longer used; it is called several times a second.
 func (p *Placer) Sweep() {
 	now := p.clock.Now()
 	p.coldLimiter.sweep(now)
--- a/relay/place_test.go
+++ b/relay/place_test.go
@@ -15,7 +15,7 @@
 	"emberlead/proto"
 )
 
-// peersOf is a network of daemons in one process; a cut daemon answers nobody.
+// stubPeers is a network of daemons in one process; a daemon that is cut off answers nobody.
 type stubPeers struct {
 	self  proto.VM
 	owner proto.VM
@@ -48,7 +48,7 @@
 	return p.all[to].HandlePlaceAsk(ask), nil
 }
 
-// engines returns a fleet of engines in two zones.
+// engineFleet returns a fleet of engines in two zones.
 func engineFleet(n int) *Fleet {
 	f := NewFleet(func(string) {})
 	for i := range n {
@@ -215,8 +215,7 @@
 	}
 }
 
-// TestAnEntryMayChangeWhileItsTargetIsChosen is for the race detector: the entry of a chosen target is read while the
-// store's answer replaces it.
+// For the race detector: the entry of a chosen target is read while the store's answer replaces it.
 func TestEntryChangesDuringChoice(t *testing.T) {
 	fleet := NewFleet(func(string) {})
 	spec := testTarget("t", "p", "z")
@@ -259,7 +258,7 @@
 	}
 }
 
-// latePeers answer after a time, and not at all if the asker's time is over by then.
+// latePeers answer after a delay, and not at all if the asker's timeout has expired by then.
 type latePeers struct {
 	*stubPeers
 	delay time.Duration
@@ -275,8 +274,8 @@
 	}
 }
 
-// TestALateChoiceIsGivenBack has the daemon that places for a pool answer later than is waited for. The asker decides alone, and the
-// engine that was chosen for it counts for nobody.
+// The owner of a pool answers after the timeout. The asking daemon chooses alone, and the lease of the engine that was
+// chosen for it is released.
 func TestLatePlacementIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := clockwork.NewRealClock()
--- a/relay/ranks.go
+++ b/relay/ranks.go
@@ -8,11 +8,11 @@
 	"emberlead/proto"
 )
 
-// urgency orders requests: the workspace's priority goes first, and among equal ones the route's; 0 is the highest.
+// urgency orders requests by the workspace's priority, then by the route's; 0 is the most urgent.
 type urgency struct{ workspace, route int }
 
-// urgencyOf returns the urgency of a workspace's requests on a route. Without a priority of its own a workspace, also
-// one that is not known, has the route's.
+// urgencyOf returns the urgency of a workspace's requests on a route. A workspace that is unknown or has no priority of
+// its own gets the route's.
 func urgencyOf(owner *proto.RelayWorkspace, route *proto.Route) urgency {
 	u := urgency{route.Priority, route.Priority}
 	if owner != nil && owner.Priority != nil {
@@ -21,8 +21,8 @@
 	return u
 }
 
-// ranksOf numbers the urgencies that requests for each pool can have, without gaps: a step of rank means the same
-// whatever numbers the operator uses, and routes stay apart when all workspaces have one priority.
+// rankUrgencies numbers the urgencies that requests for each pool can have, without gaps. A rank step thus means the
+// same whatever numbers the operator uses, and routes stay distinct if all workspaces have the same priority.
 func rankUrgencies(r *proto.Routing) map[string]map[urgency]int {
 	found := map[string]map[urgency]bool{}
 	for i := range r.Routes {
@@ -43,7 +43,7 @@
 	return ranks
 }
 
-// urgenciesOn returns those that requests on one route can have.
+// urgenciesOn returns the urgencies that requests on a route can have.
 func urgenciesOn(r *proto.Routing, route *proto.Route) []urgency {
 	var all []urgency
 	if route.Public || len(r.Workspaces) == 0 {
--- a/relay/shards.go
+++ b/relay/shards.go
@@ -7,18 +7,19 @@
 	"emberlead/state"
 )
 
-// shardTargets is how many targets of a pool of stages one daemon batches for. It hears of each stage of each request
-// for them, some hundred messages a second, and a larger pool is too much for a fifth of a core when all daemons come
-// back at once. A smaller one fills its calls less: six daemons that batch apart for five targets earn half.
+// shardTargets is the number of targets of a pool of stages that one daemon batches for. That daemon receives a message
+// for each stage of each request, some hundred messages per second, and a larger pool exceeds a fifth of a core when
+// all daemons come back at once. With fewer targets calls are filled less: six daemons that batch separately for five
+// targets earn half.
 const shardTargets = 24
 
-// shard is a part of a pool's targets, for which one daemon fills the calls.
+// shard is a part of a pool's targets for which one daemon fills the calls.
 type shard struct {
 	pool  string
 	index int
 }
 
-// task names the shard's work among the daemons.
+// taskName is the name of the shard's task among the daemons.
 func (s shard) taskName() string {
 	if s.index == 0 {
 		return batchTaskPrefix + s.pool
@@ -26,11 +27,11 @@
 	return batchTaskPrefix + s.pool + "/" + strconv.Itoa(s.index)
 }
 
-// shardsOf is how many shards so many targets are divided into.
+// shardCount returns the number of shards that a number of targets is divided into.
 func shardCount(targets int) int { return max(1, (targets+shardTargets-1)/shardTargets) }
 
-// shardOf returns a target's shard of several by rendezvous hashing: another shard takes its part from all others, and
-// daemons whose lists differ by a target agree on nearly all.
+// shardOf assigns a target to one of several shards by rendezvous hashing: an added shard takes targets from all
+// others, and daemons whose lists differ by a target agree on nearly all assignments.
 func shardOf(target string, shards int) int {
 	if shards == 1 {
 		return 0
@@ -45,8 +46,8 @@
 	return best
 }
 
-// shardTargetsOf returns the targets of a shard. One that is no shard any more, since the pool has shrunk, goes on with
-// the targets of another until its work is done.
+// targetsInShard returns the targets of a shard. A shard that no longer exists because the pool has shrunk uses the
+// targets of another one until its work is done.
 func targetsInShard(targets []proto.RelayTarget, index, shards int) []proto.RelayTarget {
 	if shards == 1 {
 		return targets
@@ -60,7 +61,8 @@
 	return own
 }
 
-// chooseShard picks the shard for a stage of a request: of two, the one that was last heard to have the shorter queue.
+// chooseShard chooses the shard for a stage of a request: of two candidates, the one whose queue was last reported to
+// be shorter.
 func (p *PieceScheduler) chooseShard(pool, request string, rank int) int {
 	shards := shardCount(p.fleet.Size(pool))
 	if shards == 1 {
--- a/relay/shards_test.go
+++ b/relay/shards_test.go
@@ -45,13 +45,13 @@
 			t.Errorf("%s is in %d shards", target.ID, seen[target.ID])
 		}
 	}
-	// A shard that is none any more ends its work with targets of another.
+	// A shard that no longer exists finishes its work with the targets of another one.
 	if own := targetsInShard(targets, shards, shards); len(own) == 0 {
 		t.Error("a shard that was given up has no target for what waits in it")
 	}
 }
 
-// TestAnotherShardTakesItsPartFromAllOthers counts the targets that change their shard as a pool grows.
+// Counts the targets that change their shard as a pool grows.
 func TestAddedShardMovesFewTargets(t *testing.T) {
 	moved := 0
 	const targets, shards = 1000, 9
@@ -69,7 +69,7 @@
 	}
 }
 
-// shardedPieces is a driver that batches for all shards of a pool of so many targets itself.
+// shardedPieces returns a scheduler that itself batches for all shards of a pool with a number of targets.
 func shardedPieces(targets int) *PieceScheduler {
 	peers := &recordingPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}}
 	p := newTestPieceScheduler(clockwork.NewRealClock(), peers, &stubSender{})
@@ -103,7 +103,7 @@
 	}
 }
 
-// TestResultsAreFreedAtTheShardThatMadeThem has another daemon batch for all shards.
+// Another daemon batches for all shards.
 func TestResultsAreFreedAtTheirShard(t *testing.T) {
 	p := shardedPieces(3 * shardTargets)
 	peers := p.peers.(*recordingPeers)
@@ -120,7 +120,7 @@
 	}
 }
 
-// TestBatchersFollowAPoolThatGrows has a pool of one shard become one of two.
+// A pool of one shard grows to two.
 func TestShardsFollowPoolGrowth(t *testing.T) {
 	p := shardedPieces(shardTargets)
 	first := p.workerFor(shard{"p", 0})
--- a/relay/signalterms.go
+++ b/relay/signalterms.go
@@ -6,7 +6,7 @@
 	"emberlead/proto"
 )
 
-// limited returns the targets of a pool that name a limit and may get new work.
+// limited returns the targets of a pool that report a limit and may get new work.
 func (f *Fleet) limited(pool string) []proto.TargetNotice {
 	p := f.pool(pool)
 	if p == nil {
@@ -28,17 +28,18 @@
 	return list
 }
 
-// limitOf returns the limit that a target names, if it names one.
+// limitOf returns the limit of a target, if it reports one.
 func (f *Fleet) limitOf(t *Target) (n proto.TargetNotice, limited bool) {
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
 	return t.notice, t.notice.HasLimit
 }
 
-// rests tells whether the target wants nothing from this daemon.
+// backsOff reports whether the target accepts no requests from this daemon for now.
 func (t *Target) backsOff(now time.Time) bool { return now.Before(t.backoffUntil) }
 
-// restsFor returns how long it takes until a target of a pool that wants rest from this daemon may get work, and false if none wants rest.
+// backoffRemaining returns how long it takes until a backoff of a target of a pool ends, and false if no target is in
+// backoff.
 func (f *Fleet) backoffRemaining(now time.Time, pool string) (left time.Duration, backsOff bool) {
 	p := f.pool(pool)
 	if p == nil {
@@ -57,13 +58,15 @@
 	return left, backsOff
 }
 
-// heldTarget is a target that may get no request for a while by what it signals: for left, if it asked for rest, and within its limit.
+// blockedTarget is a target that may get no request for a while: for left if it asked for backoff, and beyond that
+// within its limit.
 type blockedTarget struct {
 	notice proto.TargetNotice
 	left   time.Duration
 }
 
-// allHeld returns the targets of a pool in some regions that may get work, if each of them rests or names a limit; nil if one does neither.
+// allBlocked returns the targets of a pool in the allowed regions that may get work, if each of them is in backoff or
+// reports a limit; nil if one is neither.
 func (f *Fleet) allBlocked(now time.Time, pool string, homes proto.AllowedRegions) []blockedTarget {
 	p := f.pool(pool)
 	if p == nil {
@@ -84,15 +87,15 @@
 	return held
 }
 
-// targetTerms are what a target accepts from this daemon.
+// targetLimits are the requests that a target accepts from this daemon.
 type targetLimits struct {
 	id string
-	// limit is in requests a second, from all daemons together; noLimit if it names none.
+	// limit is in requests per second from all daemons together; noLimit if the target reports none.
 	limit        float64
 	backoffUntil time.Time
 }
 
-// terms returns what the targets of a pool accept.
+// poolLimits returns the limits and backoffs of the targets of a pool.
 func (f *Fleet) poolLimits(now time.Time, pool string) []targetLimits {
 	p := f.pool(pool)
 	if p == nil {
@@ -114,26 +117,27 @@
 	return list
 }
 
-// signalLinesMost bounds the targets whose notices stand in one line of the log.
+// maxSignalLogEntries bounds the number of targets in one log line.
 const maxSignalLogEntries = 8
 
-// signalLine is what a target signals, for the log. It belongs to the line of a request, so the age tells how old it was then.
+// signalLogEntry holds the signals of a target, for the log line of a request. Ages are relative to the time of the
+// request.
 type signalLogEntry struct {
 	Target  string  `json:"target"`
 	Leaving bool    `json:"leaving,omitempty"`
 	Limit   float64 `json:"perSecond,omitempty"`
-	// Age is how long ago the limit became known here, From the daemon that told it, if an answer did not, and Next how long it takes until
-	// a request may be sent within it.
+	// Age is how long this daemon has known the limit, From is the daemon that sent it (empty if a response did), and
+	// Next is how long it takes until a request within the limit may be sent.
 	Age  string   `json:"age,omitempty"`
 	From proto.VM `json:"from,omitempty"`
 	Next string   `json:"next,omitempty"`
-	// Rest is how much longer the target wants rest.
+	// Backoff is the remaining backoff of the target.
 	Backoff string `json:"rest,omitempty"`
 
 	notice proto.TargetNotice
 }
 
-// signalLines returns what the first targets of a pool signal that holds.
+// signalLogEntries returns the signals in force of the first targets of a pool.
 func (f *Fleet) signalLogEntries(now time.Time, pool string) []signalLogEntry {
 	p := f.pool(pool)
 	if p == nil {
--- a/relay/targetsignals.go
+++ b/relay/targetsignals.go
@@ -7,54 +7,56 @@
 	"emberlead/proto"
 )
 
-// noticesKept is how long what a run of a target has said is remembered once the run is not listed. Its entry may come back, as
-// after another writer spoilt it or with a copy of the store.
+// noticeRetention is how long the signals of a run are kept after it was last listed. Its entry may come back, for
+// example if another writer overwrote it or the store was restored from a copy.
 const noticeRetention = 10 * time.Minute
 
-// What targets that turn a daemon away may ask of it.
+// Bounds on the backoff that targets may ask for when they reject a request.
 const (
-	// restMost bounds a rest, since a target may recover sooner than it thought.
+	// maxBackoff bounds a backoff, since a target may recover sooner than it expected.
 	maxBackoff = 5 * time.Minute
-	// restCredible is the longest rest that is believed. One that asks for more, such as a year, is not left out for that.
+	// maxCredibleBackoff is the longest backoff that is believed. A target that asks for more, such as a year, is not
+	// excluded at all.
 	maxCredibleBackoff = time.Hour
 )
 
-// signal is what a target signals in one answer.
+// signal is what a target reports in one response.
 type signal struct {
 	Notice
 	target proto.RelayTarget
-	// sent is when the request went out that was answered.
+	// sent is when the request of that response was sent.
 	sent time.Time
-	// partial answers may lack headers that hold all the same, so that a limit does not end with one.
+	// partial is set if the response may lack headers that still apply, so that a missing limit does not lift the known
+	// one.
 	partial bool
 }
 
-// signalChange is what became known by an answer.
+// signalChange is a change of the known signals caused by a response.
 type signalChange struct {
-	// event is the line for the log.
+	// event is the log message.
 	event string
-	// limit and before are the limits in force now and before, in requests a second; negative if there is none.
+	// limit and before are the current and the previous limit, in requests per second; negative if there is none.
 	limit, before float64
 	backoff       time.Duration
 }
 
-// targetSignals is what a run of a target has signalled.
+// targetSignals holds what a run of a target has reported.
 type targetSignals struct {
 	target  string
 	leaving bool
-	// limit is in requests a second, and limitAt is when it became known here.
+	// limit is in requests per second, and limitAt is when this daemon learned it.
 	limit   float64
 	limitAt time.Time
-	// limitFrom is the daemon that told the limit; "" if an answer to this one did.
+	// limitFrom is the daemon that sent the limit; "" if a response reported it.
 	limitFrom proto.VM
-	// change counts the changes of the limit, at whatever daemon.
+	// change counts the changes of the limit at any daemon.
 	change       uint64
 	backoffUntil time.Time
-	// listedAt is when the run was last seen to be listed.
+	// listedAt is when the run was last seen in the list.
 	listedAt time.Time
 }
 
-// at returns the target that has an address.
+// targetAt returns the target with an address.
 func (f *Fleet) targetAt(address netip.AddrPort) (proto.RelayTarget, bool) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -66,7 +68,7 @@
 	return proto.RelayTarget{}, false
 }
 
-// signalsAt returns whether the target that has an address names a limit, and until when it wants rest from this daemon.
+// signalsAt reports whether the target with an address has a limit, and returns the end of its backoff for this daemon.
 func (f *Fleet) signalsAt(address netip.AddrPort) (limited bool, backoffUntil time.Time) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -82,7 +84,7 @@
 	return false, time.Time{}
 }
 
-// signalsOf returns what a run has signalled, as far as is known.
+// signalsOf returns the known signals of a run.
 func (f *Fleet) signalsOf(run proto.RunName) proto.TargetNotice {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -92,7 +94,7 @@
 	return proto.TargetNotice{}
 }
 
-// takeSignal takes in the signal of a target's answer, and returns what changed by it.
+// recordSignal records the signal of a response, and returns what it changed.
 func (f *Fleet) recordSignal(now time.Time, h *signal) []signalChange {
 	run := h.target.RunName()
 	f.mu.RLock()
@@ -129,7 +131,7 @@
 	return changes
 }
 
-// keep returns what is kept of a run, which is nothing yet if it is new; the fleet is locked.
+// ensureSignals returns the signals of a run, adding an empty record if there is none; the fleet is locked.
 func (f *Fleet) ensureSignals(now time.Time, run proto.RunName, target string) *targetSignals {
 	s := f.signals[run]
 	if s == nil {
@@ -139,8 +141,8 @@
 	return s
 }
 
-// takeLimit takes in the limit that an answer names, or that it names none. An answer to a request from before the limit became known
-// may be older than that.
+// recordLimit records the limit in a response, or its absence. Responses to requests from before the limit became known
+// may be outdated and are ignored.
 func (s *targetSignals) recordLimit(now time.Time, h *signal) (change signalChange, changed bool) {
 	limit := noLimit
 	if h.Limited {
@@ -158,7 +160,7 @@
 	return change, true
 }
 
-// takeRest takes in for how long the target wants nothing from this daemon.
+// recordBackoff records for how long the target accepts no requests from this daemon.
 func (s *targetSignals) recordBackoff(now time.Time, h *signal) (change signalChange, changed bool) {
 	change = signalChange{event: "target asks for rest", limit: s.limit, before: s.limit, backoff: h.Backoff}
 	if h.Backoff > maxCredibleBackoff {
@@ -173,7 +175,8 @@
 	return change, true
 }
 
-// mark applies what a run has signalled to its target, and returns the pool, or "" if the run is not listed; the fleet is locked.
+// applySignals applies the signals of a run to its target, and returns the pool, or "" if the run is not listed; the
+// fleet is locked.
 func (f *Fleet) applySignals(run proto.RunName, s *targetSignals) (pool string) {
 	t := f.byID[s.target]
 	if t == nil {
@@ -188,7 +191,7 @@
 	return t.Spec.Pool
 }
 
-// apply takes over what the target's run has signalled, if anything; its pool is locked.
+// apply copies the signals of the target's run, if any; its pool is locked.
 func (t *Target) apply(s *targetSignals) {
 	if s == nil {
 		return
@@ -197,7 +200,7 @@
 	t.pool.mayHaveLimits = t.pool.mayHaveLimits || t.notice.HasLimit
 }
 
-// forgetNotices forgets what runs have signalled that are not listed any more; the fleet is locked.
+// forgetNotices removes the signals of runs that are no longer listed; the fleet is locked.
 func (f *Fleet) forgetNotices(now time.Time) {
 	for run, s := range f.signals {
 		if now.Sub(s.listedAt) > noticeRetention {
