--- a/relay/batch.go
+++ b/relay/batch.go
@@ -8,110 +8,113 @@
 
 // Limits and weights of batching.
 const (
-	// pieceTries is the number of failed calls after which the pieces of a stage are given up: three targets that fail
-	// one after the other have a common cause, and by then the deadline of the request has passed.
-	pieceTries = 3
-	// aloneAfter is the number of failed calls after which the pieces of a job get a call of their own. A piece that
-	// crashes its target then affects no other job, and the jobs that shared the failed calls succeed on their third
-	// one. After the first failure the pieces are still batched with others: most targets fail for reasons of their
-	// own, and calls with few pieces take as long as full ones.
-	aloneAfter = pieceTries - 1
-	// crossCalls is how long a job waits for a target in the zone of its inputs, as a multiple of the time of a full
+	// maxFailedCalls is the number of failed calls after which the pieces of a stage are given up: three targets that
+	// fail one after the other have a common cause, and by then the deadline of the request has passed.
+	maxFailedCalls = 3
+	// separateAfterFailures is the number of failed calls after which the pieces of a job get a call of their own. A
+	// piece that crashes its target then affects no other job, and the jobs that shared the failed calls succeed on
+	// their third one. After the first failure the pieces are still batched with others: most targets fail for reasons
+	// of their own, and calls with few pieces take as long as full ones.
+	separateAfterFailures = maxFailedCalls - 1
+	// zoneWaitCalls is how long a job waits for a target in the zone of its inputs, as a multiple of the time of a full
 	// call: one of these targets becomes idle within one call, and traffic between zones costs money.
-	crossCalls = 1.2
-	// spareCalls is how much time a less urgent job must have left to leave the last idle target to others, as a
+	zoneWaitCalls = 1.2
+	// minSpareCalls is how much time a less urgent job must have left to leave the last idle target to others, as a
 	// multiple of its call time.
-	spareCalls = 2
+	minSpareCalls = 2
 	// minBulkInputBytes is the number of bytes from which the zone of the inputs affects placement.
 	minBulkInputBytes = 50_000
-	// wholeRoom is the fraction of the result storage of a target up to which a job starts only if there is room for
-	// all of its pieces. Larger jobs would wait too long for that.
-	wholeRoom = 0.5
-	// rankShare is the fraction of its latency goal by which a job is moved back in the queue for each step of rank.
-	// With a much larger one the least urgent jobs would wait until their deadlines during a burst.
-	rankShare = 0.4
-	// begunLead is how far a job of a request that already did work is moved ahead in the queue, as a multiple of the
-	// time of an empty call. The resources that the request holds, above all result storage, are then released sooner.
-	begunLead = 1.5
-	// overdueAt is how many times its expected time a call may take before its pieces are queued again: beyond a factor
-	// of two, a second call finishes before the first one more often than not.
-	overdueAt = 2.2
-	// hiddenShare is the fraction of the lifetime of results after which results unknown to this daemon no longer
-	// count. Most results are freed long before they expire.
-	hiddenShare = 0.5
-	// holdCalls is the initial estimate of how long a result occupies storage, in full calls: that of the call that
-	// makes it, and that of the next stage. holdWeight is the weight of one observation.
-	holdCalls  = 2
-	holdWeight = 0.05
-	// rankReserve is the fraction of its time that a job must have to spare for each step of rank to be admitted.
-	rankReserve = 0.1
-	// lateMargin and latePart decide whether a job that will be late is accepted: with lateMargin times the work ahead
-	// of it, since more urgent work keeps arriving, it must be done within latePart of the time until its deadline. If
-	// it were refused, its caller would have to wait for at least as long, and half of the callers that retry late
-	// fail.
-	lateMargin = 2
-	latePart   = 0.5
-	// giveUpEvery is how often the queue is searched for jobs that cannot meet their deadlines, which takes time
+	// maxWholeJobShare is the fraction of the result storage of a target up to which a job starts only if there is room
+	// for all of its pieces. Larger jobs would wait too long for that.
+	maxWholeJobShare = 0.5
+	// rankDelayShare is the fraction of its latency goal by which a job is moved back in the queue for each step of
+	// rank. With a much larger one the least urgent jobs would wait until their deadlines during a burst.
+	rankDelayShare = 0.4
+	// startedLeadCalls is how far a job of a request that already did work is moved ahead in the queue, as a multiple
+	// of the time of an empty call. The resources that the request holds, above all result storage, are then released
+	// sooner.
+	startedLeadCalls = 1.5
+	// overdueFactor is how many times its expected time a call may take before its pieces are queued again: beyond a
+	// factor of two, a second call finishes before the first one more often than not.
+	overdueFactor = 2.2
+	// unknownExpiryShare is the fraction of the lifetime of results after which results unknown to this daemon no
+	// longer count. Most results are freed long before they expire.
+	unknownExpiryShare = 0.5
+	// initialHoldCalls is the initial estimate of how long a result occupies storage, in full calls: that of the call
+	// that makes it, and that of the next stage. holdWeight is the weight of one observation.
+	initialHoldCalls = 2
+	holdWeight       = 0.05
+	// rankReserveShare is the fraction of its time that a job must have to spare for each step of rank to be admitted.
+	rankReserveShare = 0.1
+	// lateWorkFactor and lateTimeShare decide whether a job that will be late is accepted: with lateWorkFactor times
+	// the work ahead of it, since more urgent work keeps arriving, it must be done within lateTimeShare of the time
+	// until its deadline. If it were refused, its caller would have to wait for at least as long, and half of the
+	// callers that retry late fail.
+	lateWorkFactor = 2
+	lateTimeShare  = 0.5
+	// refuseLateInterval is how often the queue is searched for jobs that cannot meet their deadlines, which takes time
 	// proportional to its length. Callers learn of a refusal that much later.
-	giveUpEvery = 50 * time.Millisecond
-	// allTurns is a position behind all other jobs, late ones included.
-	allTurns = time.Hour
+	refuseLateInterval = 50 * time.Millisecond
+	// queueEnd is a position behind all other jobs, late ones included.
+	queueEnd = time.Hour
 	// minRetryWait is the shortest retry time that a refusal names.
 	minRetryWait = 300 * time.Millisecond
-	// roomWait is how long a target without room for results is skipped: results are freed every 20 ms.
-	roomWait = 100 * time.Millisecond
-	// outBase and outMost are the shortest and the longest time for which a target is skipped after a failed call.
-	outBase = 250 * time.Millisecond
-	outMost = 3 * time.Second
+	// noRoomBackoff is how long a target without room for results is skipped: results are freed every 20 ms.
+	noRoomBackoff = 100 * time.Millisecond
+	// minCallBackoff and maxCallBackoff are the shortest and the longest time for which a target is skipped after a
+	// failed call.
+	minCallBackoff = 250 * time.Millisecond
+	maxCallBackoff = 3 * time.Second
 )
 
 type batchTarget struct {
-	spec  proto.RelayTarget
-	call  *Call
-	pace  float64
-	inRow int
-	outTo time.Time
+	spec                proto.RelayTarget
+	call                *Call
+	slowdown            float64
+	consecutiveFailures int
+	skippedUntil        time.Time
 	// backoffUntil is the end of the backoff that the target asked for.
-	restUntil time.Time
-	// limit is the number of requests per second that the target accepts, if it named a limit, and allowed counts the
+	backoffUntil time.Time
+	// limit is the number of requests per second that the target accepts, if it named a limit, and bucket counts the
 	// requests against it.
-	limit   float64
-	limited bool
-	allowed tokenBucket
-	// room is the number of bytes of results that are kept or being made. hidden is the number of bytes of further
-	// results that were found at hiddenAt.
-	room     int64
-	hidden   int64
-	hiddenAt time.Time
-	leaves   []keptResult
+	limit    float64
+	hasLimit bool
+	bucket   tokenBucket
+	// usedBytes is the number of bytes of results that are kept or being made. unknownBytes is the number of bytes of
+	// further results that were found at unknownSince.
+	usedBytes    int64
+	unknownBytes int64
+	unknownSince time.Time
+	keptResults  []keptResult
 }
 
 type keptResult struct {
-	handle string
-	bytes  int64
-	until  time.Time
-	// since is the time when the call that made the result started.
-	since time.Time
+	handle    string
+	bytes     int64
+	expiresAt time.Time
+	// startedAt is the time when the call that made the result started.
+	startedAt time.Time
 }
 
 // Batcher fills the calls to the targets of one pool from the jobs of all requests. It does no I/O: its caller sends
 // the calls and reports their outcomes.
 type Batcher struct {
-	spec    proto.BatchSpec
-	targets map[string]*batchTarget
-	jobs    []*Job
-	model   *callModel
-	kept    map[string]*batchTarget
-	// lastLook is when the queue was last searched for jobs that cannot meet their deadlines. resort is set when the
-	// order of the jobs may have changed.
-	lastLook time.Time
-	resort   bool
-	// began is when the first job was added.
-	began time.Time
-	// hold is the average time for which a result occupies storage, from the start of its call until it is freed.
-	hold float64
-	// refuses reports whether a request must not be worked on.
-	refuses func(proto.RequestDigest) bool
+	spec          proto.BatchSpec
+	targets       map[string]*batchTarget
+	jobs          []*Job
+	model         *callModel
+	resultTargets map[string]*batchTarget
+	// lastRefuseLate is when the queue was last searched for jobs that cannot meet their deadlines. needsSort is set
+	// when the order of the jobs may have changed.
+	lastRefuseLate time.Time
+	needsSort      bool
+	// startedAt is when the first job was added.
+	startedAt time.Time
+	// meanHoldTime is the average time for which a result occupies storage, from the start of its call until it is
+	// freed.
+	meanHoldTime float64
+	// isBlocked reports whether a request must not be worked on.
+	isBlocked func(proto.RequestDigest) bool
 	// liveShare is the fraction of the rate limits of targets that this batcher may use.
 	liveShare float64
 }
@@ -119,16 +122,16 @@
 // BatcherOption configures a Batcher.
 type BatcherOption func(*Batcher)
 
-// WithRefusals makes the batcher fail the jobs of requests that must not be worked on.
-func WithRefusals(refuses func(proto.RequestDigest) bool) BatcherOption {
-	return func(b *Batcher) { b.refuses = refuses }
+// WithBlockedRequests makes the batcher fail the jobs of requests that must not be worked on.
+func WithBlockedRequests(isBlocked func(proto.RequestDigest) bool) BatcherOption {
+	return func(b *Batcher) { b.isBlocked = isBlocked }
 }
 
 // NewBatcher returns a batcher without targets.
 func NewBatcher(spec proto.BatchSpec, options ...BatcherOption) *Batcher {
-	b := &Batcher{spec: spec, liveShare: 1, targets: map[string]*batchTarget{}, model: newCallModel(spec), kept: map[string]*batchTarget{}}
-	b.hold = holdCalls * b.fullCall(0)
-	b.refuses = func(proto.RequestDigest) bool { return false }
+	b := &Batcher{spec: spec, liveShare: 1, targets: map[string]*batchTarget{}, model: newCallModel(spec), resultTargets: map[string]*batchTarget{}}
+	b.meanHoldTime = initialHoldCalls * b.fullCall(0)
+	b.isBlocked = func(proto.RequestDigest) bool { return false }
 	for _, option := range options {
 		option(b)
 	}
@@ -143,26 +146,26 @@
 // SetSpec replaces the specification of the pool.
 func (b *Batcher) SetSpec(spec proto.BatchSpec) {
 	b.spec = spec
-	b.model.respec(spec)
+	b.model.updateSpec(spec)
 }
 
 // SetTargets replaces the targets that may get new calls. Calls in progress at other targets continue, except those at
 // a target that has restarted. It returns the jobs that end because of the change.
 func (b *Batcher) SetTargets(specs []proto.RelayTarget) []FinishedJob {
-	var ends []FinishedJob
+	var finished []FinishedJob
 	listed := map[string]bool{}
 	for _, s := range specs {
 		listed[s.ID] = true
 		t := b.targets[s.ID]
 		if t != nil && s.StartedAt.After(t.spec.StartedAt) {
-			ends = append(ends, b.endRun(t)...)
+			finished = append(finished, b.discardRun(t)...)
 			t = nil
 		}
 		if t != nil {
 			t.spec = s
 			continue
 		}
-		b.targets[s.ID] = &batchTarget{spec: s, pace: 1}
+		b.targets[s.ID] = &batchTarget{spec: s, slowdown: 1}
 	}
 	for id, t := range b.targets {
 		if !listed[id] && t.call == nil {
@@ -170,51 +173,51 @@
 		}
 		t.spec.Leaving = !listed[id]
 	}
-	return ends
+	return finished
 }
 
 func (b *Batcher) dropTarget(id string, t *batchTarget) {
 	delete(b.targets, id)
-	for _, k := range t.leaves {
-		delete(b.kept, k.handle)
+	for _, k := range t.keptResults {
+		delete(b.resultTargets, k.handle)
 	}
 }
 
 // Add queues a job, or returns the refusal if its results would not be ready in time.
 func (b *Batcher) Add(now time.Time, j *Job) *proto.PiecesAnswer {
-	if b.began.IsZero() {
-		b.began = now
+	if b.startedAt.IsZero() {
+		b.startedAt = now
 	}
-	j.since = now
-	j.order = j.Due.Add(time.Duration(rankShare * float64(j.Params.Rank) * float64(j.Params.LatencyGoal)))
+	j.queuedAt = now
+	j.sortTime = j.Due.Add(time.Duration(rankDelayShare * float64(j.Params.Rank) * float64(j.Params.LatencyGoal)))
 	if !j.Params.NoWorkDone {
-		j.order = j.order.Add(-time.Duration(begunLead * b.model.callCost()))
+		j.sortTime = j.sortTime.Add(-time.Duration(startedLeadCalls * b.model.callCost()))
 	}
 	j.handles, j.missing = make([]string, j.Params.Pieces), j.Params.Pieces
 	for piece := range j.Params.Pieces {
-		j.todo = append(j.todo, piece)
+		j.pending = append(j.pending, piece)
 	}
-	j.length = b.length(j)
-	if b.homeless(j) {
+	j.callTime = b.callTime(j)
+	if b.noAllowedTarget(j) {
 		return &proto.PiecesAnswer{Outcome: proto.PiecesRefused, RetryAfter: unknownPoolRetryAfter, Detail: reasonNoTargetInRegions}
 	}
-	wait := b.WaitTime(now, j.order)
-	finish := now.Add(wait + time.Duration(j.length))
+	wait := b.EstimateWait(now, j.sortTime)
+	finish := now.Add(wait + time.Duration(j.callTime))
 	limit := j.Deadline
 	if j.Params.NoWorkDone {
-		reserve := rankReserve * float64(j.Params.Rank) * float64(j.Due.Sub(now))
+		reserve := rankReserveShare * float64(j.Params.Rank) * float64(j.Due.Sub(now))
 		limit = j.Due.Add(-time.Duration(reserve))
 	}
-	if finish.After(limit) && !(wait == 0 && j.Deadline.After(finish)) && !b.canBeLate(now, j) {
+	if finish.After(limit) && !(wait == 0 && j.Deadline.After(finish)) && !b.mayBeLate(now, j) {
 		return &proto.PiecesAnswer{Outcome: proto.PiecesRefused, QueueDelay: wait, RetryAfter: max(minRetryWait, finish.Sub(limit)), Detail: "the queue of the pool is longer than the time left"}
 	}
 	b.jobs = append(b.jobs, j)
-	b.resort = true
+	b.needsSort = true
 	return nil
 }
 
-// homeless reports whether no target is in the regions that a job is restricted to.
-func (b *Batcher) homeless(j *Job) bool {
+// noAllowedTarget reports whether no target is in the regions that a job is restricted to.
+func (b *Batcher) noAllowedTarget(j *Job) bool {
 	for _, t := range b.targets {
 		if !t.spec.Leaving && j.Params.AllowedRegions.Allows(t.spec.Region) {
 			return false
@@ -225,22 +228,22 @@
 
 // NextCalls returns the calls to send now and the jobs that ended.
 func (b *Batcher) NextCalls(now time.Time) ([]*Call, []FinishedJob) {
-	ends := b.expire(now)
-	ends = append(ends, b.refuseJobs()...)
-	b.requeue(now)
-	b.sort(now)
-	ends = append(ends, b.giveUp(now)...)
+	finished := b.expireJobs(now)
+	finished = append(finished, b.failBlockedJobs()...)
+	b.requeueOverdue(now)
+	b.sortJobs(now)
+	finished = append(finished, b.refuseLateJobs(now)...)
 	var calls []*Call
 	for {
-		c := b.fill(now)
+		c := b.nextCall(now)
 		if c == nil {
-			return calls, ends
+			return calls, finished
 		}
 		calls = append(calls, c)
 	}
 }
 
-func (b *Batcher) end(j *Job, a proto.PiecesAnswer) FinishedJob {
+func (b *Batcher) finishJob(j *Job, a proto.PiecesAnswer) FinishedJob {
 	j.done = true
 	a.InputsFreed = j.inputsFreed
 	return FinishedJob{Job: j, Answer: a}
@@ -266,9 +269,9 @@
 // Queued returns the number of jobs and of pieces in the queue.
 func (b *Batcher) Queued() (jobs, pieces int) {
 	for _, j := range b.jobs {
-		if !j.done && j.left() > 0 {
+		if !j.done && j.pendingCount() > 0 {
 			jobs++
-			pieces += j.left()
+			pieces += j.pendingCount()
 		}
 	}
 	return jobs, pieces
--- a/relay/batch_test.go
+++ b/relay/batch_test.go
@@ -98,7 +98,7 @@
 	if calls := next(b, start); len(calls) != 0 {
 		t.Fatalf("without room a call was sent: %q", pieces(calls[0]))
 	}
-	b.Freed(start, made[0].Handle)
+	b.ResultFreed(start, made[0].Handle)
 	if calls := next(b, start); len(calls) != 1 || pieces(calls[0]) != "c0 " {
 		t.Error("freed room was not used")
 	}
@@ -131,7 +131,7 @@
 	if ends, _ := b.CallDone(start, c, made); len(ends) != 0 {
 		t.Fatal("the job ended although a piece can be made again")
 	}
-	if calls := next(b, start.Add(roomWait)); len(calls) != 0 {
+	if calls := next(b, start.Add(noRoomBackoff)); len(calls) != 0 {
 		t.Error("a call was sent to a target that keeps unknown results")
 	}
 	if calls := next(b, start.Add(batchSpec.ResultLifetime)); len(calls) != 1 || pieces(calls[0]) != "a1 " {
@@ -157,7 +157,7 @@
 		t.Fatal("c did not end")
 	}
 	for _, h := range results(first) {
-		b.Freed(start, h.Handle)
+		b.ResultFreed(start, h.Handle)
 	}
 	if calls = next(b, start); len(calls) != 1 || pieces(calls[0]) != "b0 b1 b2 b3 b4 b5 " {
 		t.Errorf("b is not made once there is room for it: %d calls", len(calls))
@@ -190,7 +190,7 @@
 		}
 		last = calls[0].Target.ID
 		ends := b.CallFailed(now, calls[0], false)
-		if try == pieceTries {
+		if try == maxFailedCalls {
 			if len(ends) != 1 || ends[0].Answer.Outcome != proto.PiecesFailed {
 				t.Fatalf("ends %v", ends)
 			}
@@ -199,7 +199,7 @@
 		if len(ends) != 0 {
 			t.Fatalf("given up after %d tries", try)
 		}
-		now = now.Add(outMost)
+		now = now.Add(maxCallBackoff)
 	}
 }
 
@@ -207,7 +207,7 @@
 	b := batcher(testTarget("t1", "p", "z"))
 	add(t, b, job("a", 4))
 	now := start
-	for range 2 * pieceTries {
+	for range 2 * maxFailedCalls {
 		calls := next(b, now)
 		if len(calls) != 1 {
 			t.Fatal("no call after the wait")
@@ -215,7 +215,7 @@
 		if ends := b.CallFailed(now, calls[0], true); len(ends) != 0 {
 			t.Fatal("the job was given up since a target was busy")
 		}
-		now = now.Add(outBase)
+		now = now.Add(minCallBackoff)
 	}
 }
 
@@ -223,7 +223,7 @@
 	b := batcher(testTarget("t1", "p", "z"), testTarget("t2", "p", "z"))
 	add(t, b, job("a", 4))
 	slow := next(b, start)[0]
-	now := start.Add(time.Duration(overdueAt*float64(slow.Expected)) + time.Millisecond)
+	now := start.Add(time.Duration(overdueFactor*float64(slow.Expected)) + time.Millisecond)
 	calls := next(b, now)
 	if len(calls) != 1 || calls[0].Target.ID == slow.Target.ID || len(calls[0].Items) != 4 {
 		t.Fatalf("calls %v", calls)
@@ -259,7 +259,7 @@
 	if calls = next(b, start); len(calls) != 0 {
 		t.Error("the job did not wait for a target in the zone of its inputs")
 	}
-	if calls = next(b, start.Add(time.Duration(crossCalls*b.fullCall(1000)))); len(calls) != 1 || pieces(calls[0]) != "here0 here1 " {
+	if calls = next(b, start.Add(time.Duration(zoneWaitCalls*b.fullCall(1000)))); len(calls) != 1 || pieces(calls[0]) != "here0 here1 " {
 		t.Error("the job waited for longer than it should")
 	}
 }
@@ -283,11 +283,11 @@
 // targets that come and go.
 func TestEveryJobEndsOnceWithItsOwnResults(t *testing.T) {
 	for seed := range uint64(300) {
-		playBatches(t, rand.New(rand.NewPCG(seed, 1)))
+		runRandomBatches(t, rand.New(rand.NewPCG(seed, 1)))
 	}
 }
 
-func playBatches(t *testing.T, r *rand.Rand) {
+func runRandomBatches(t *testing.T, r *rand.Rand) {
 	targets := []proto.RelayTarget{testTarget("t1", "p", "y"), testTarget("t2", "p", "z"), testTarget("t3", "p", "z")}
 	b := batcher(targets...)
 	open, ended := map[*Job]bool{}, 0
@@ -361,11 +361,11 @@
 	}
 	ends, unused := b.CallDone(now, c, made)
 	for _, h := range unused {
-		b.Freed(now, h)
+		b.ResultFreed(now, h)
 	}
 	for _, e := range ends {
 		for _, h := range e.Answer.Handles {
-			b.Freed(now, h)
+			b.ResultFreed(now, h)
 		}
 	}
 	return ends
--- a/relay/batchends_test.go
+++ b/relay/batchends_test.go
@@ -17,7 +17,7 @@
 	crashes := newTestCrashTracker(clockwork.NewFakeClockAt(start))
 	pool := batchSpec
 	pool.MaxPieces = 12
-	b := NewBatcher(pool, WithRefusals(func(r proto.RequestDigest) bool {
+	b := NewBatcher(pool, WithBlockedRequests(func(r proto.RequestDigest) bool {
 		_, refused := crashes.Blocks(r)
 		return refused
 	}))
--- a/relay/batchfill.go
+++ b/relay/batchfill.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// fill builds a call from the first jobs of the queue that can start, or returns nil.
-func (b *Batcher) fill(now time.Time) *Call {
-	idle, inService := b.idle(now)
+// nextCall builds a call from the first jobs of the queue that can start, or returns nil.
+func (b *Batcher) nextCall(now time.Time) *Call {
+	idle, inService := b.countIdle(now)
 	if idle == 0 {
 		return nil
 	}
-	keepsLast := b.keepsLast(idle, inService)
+	reservesLastTarget := b.reservesLastTarget(idle, inService)
 	for _, j := range b.jobs {
-		if j.left() == 0 || j.done || keepsLast && b.canWait(now, j) {
+		if j.pendingCount() == 0 || j.done || reservesLastTarget && b.canWait(now, j) {
 			continue
 		}
 		t := b.targetFor(now, j)
 		if t == nil {
 			continue
 		}
-		return b.load(now, t, j)
+		return b.buildCall(now, t, j)
 	}
 	return nil
 }
 
-// idle counts the targets that can take a call now and the targets in service.
-func (b *Batcher) idle(now time.Time) (idle, inService int) {
+// countIdle counts the targets that can take a call now and the targets in service.
+func (b *Batcher) countIdle(now time.Time) (idle, inService int) {
 	for _, t := range b.targets {
-		if t.spec.Leaving || b.isOut(now, t) {
+		if t.spec.Leaving || b.isSkipped(now, t) {
 			continue
 		}
 		inService++
@@ -39,9 +39,9 @@
 	return idle, inService
 }
 
-// keepsLast reports whether only one target is idle and the queue does not fill a call. A call with few pieces takes
-// nearly as long as a full one, and urgent work that arrives meanwhile would have to wait for it.
-func (b *Batcher) keepsLast(idle, inService int) bool {
+// reservesLastTarget reports whether only one target is idle and the queue does not fill a call. A call with few pieces
+// takes nearly as long as a full one, and urgent work that arrives meanwhile would have to wait for it.
+func (b *Batcher) reservesLastTarget(idle, inService int) bool {
 	if inService < 2 || idle != 1 {
 		return false
 	}
@@ -51,7 +51,7 @@
 
 // canWait reports whether a job of a lower priority has time to wait for another call.
 func (b *Batcher) canWait(now time.Time, j *Job) bool {
-	return j.Params.Rank > 0 && j.Due.Sub(now) >= time.Duration(spareCalls*j.length)
+	return j.Params.Rank > 0 && j.Due.Sub(now) >= time.Duration(minSpareCalls*j.callTime)
 }
 
 // targetFor returns an idle target for a job: one in the zone of its inputs, or any target once the job has waited long
@@ -60,15 +60,15 @@
 	var best *batchTarget
 	least := math.Inf(1)
 	for _, t := range b.targets {
-		if t.call != nil || t.spec.Leaving || b.isOut(now, t) || !j.Params.AllowedRegions.Allows(t.spec.Region) || !b.hasRoom(now, t, j, b.whole(j)) {
+		if t.call != nil || t.spec.Leaving || b.isSkipped(now, t) || !j.Params.AllowedRegions.Allows(t.spec.Region) || !b.hasRoom(now, t, j, b.requiredPieces(j)) {
 			continue
 		}
-		c := t.pace
-		if t.spec.ID == j.exclude {
+		c := t.slowdown
+		if t.spec.ID == j.avoidTarget {
 			c += 10
 		}
-		if b.crosses(t, j) {
-			if now.Before(j.since.Add(b.patience(now, j))) {
+		if b.crossesZones(t, j) {
+			if now.Before(j.queuedAt.Add(b.zoneWait(now, j))) {
 				continue
 			}
 			c++
@@ -80,38 +80,38 @@
 	return best
 }
 
-// whole returns the number of pieces of a job for which a target must have room before the job starts: the results of
-// some pieces would only occupy storage until the others are made. Jobs that need a large part of the storage may start
-// with any number, or they would wait too long.
-func (b *Batcher) whole(j *Job) int {
-	n := min(j.left(), b.spec.MaxPieces)
-	if float64(n*j.Params.ResultBytes) > wholeRoom*float64(b.spec.MaxResultBytes) {
+// requiredPieces returns the number of pieces of a job for which a target must have room before the job starts: the
+// results of some pieces would only occupy storage until the others are made. Jobs that need a large part of the
+// storage may start with any number, or they would wait too long.
+func (b *Batcher) requiredPieces(j *Job) int {
+	n := min(j.pendingCount(), b.spec.MaxPieces)
+	if float64(n*j.Params.ResultBytes) > maxWholeJobShare*float64(b.spec.MaxResultBytes) {
 		return 1
 	}
 	return n
 }
 
-func (b *Batcher) crosses(t *batchTarget, j *Job) bool {
+func (b *Batcher) crossesZones(t *batchTarget, j *Job) bool {
 	return j.Params.Zone != "" && t.spec.Zone != j.Params.Zone
 }
 
-// patience returns how long a job waits for a target in the zone of its inputs, if there is one in service.
-func (b *Batcher) patience(now time.Time, j *Job) time.Duration {
+// zoneWait returns how long a job waits for a target in the zone of its inputs, if there is one in service.
+func (b *Batcher) zoneWait(now time.Time, j *Job) time.Duration {
 	for _, t := range b.targets {
-		if !b.crosses(t, j) && j.Params.AllowedRegions.Allows(t.spec.Region) && !t.spec.Leaving && !b.isOut(now, t) {
-			return max(0, min(time.Duration(crossCalls*b.fullCall(j.Params.ResultBytes)), j.Due.Sub(now)/4))
+		if !b.crossesZones(t, j) && j.Params.AllowedRegions.Allows(t.spec.Region) && !t.spec.Leaving && !b.isSkipped(now, t) {
+			return max(0, min(time.Duration(zoneWaitCalls*b.fullCall(j.Params.ResultBytes)), j.Due.Sub(now)/4))
 		}
 	}
 	return 0
 }
 
-func (b *Batcher) load(now time.Time, t *batchTarget, first *Job) *Call {
+func (b *Batcher) buildCall(now time.Time, t *batchTarget, first *Job) *Call {
 	c := &Call{Target: t.spec, StartedAt: now, BaseTime: b.spec.CallCost}
 	t.call = c
 	b.countSend(now, t)
-	b.take(now, t, c, first)
-	if first.alone {
-		c.Expected = b.expected(c, t)
+	b.addPieces(now, t, c, first)
+	if first.separate {
+		c.Expected = b.expectedTime(c, t)
 		return c
 	}
 	// Jobs with inputs in the zone of the target come before those whose inputs would cross zones.
@@ -120,34 +120,34 @@
 			if len(c.Items) >= b.spec.MaxPieces {
 				break
 			}
-			if j.left() > 0 && !j.done && b.crosses(t, j) != own && b.mayFill(now, c, t, j, own) {
-				b.take(now, t, c, j)
+			if j.pendingCount() > 0 && !j.done && b.crossesZones(t, j) != own && b.mayAdd(now, c, t, j, own) {
+				b.addPieces(now, t, c, j)
 			}
 		}
 	}
-	c.Expected = b.expected(c, t)
+	c.Expected = b.expectedTime(c, t)
 	return c
 }
 
-// expected returns the expected time of a call.
-func (b *Batcher) expected(c *Call, t *batchTarget) time.Duration {
-	return time.Duration(b.model.times.sum(contents(c, nil)) * t.pace)
+// expectedTime returns the expected time of a call.
+func (b *Batcher) expectedTime(c *Call, t *batchTarget) time.Duration {
+	return time.Duration(b.model.times.sum(callComponents(c, nil)) * t.slowdown)
 }
 
-// mayFill reports whether the pieces of a job may be added to a call. Pieces of a job that fit into one call are not
+// mayAdd reports whether the pieces of a job may be added to a call. Pieces of a job that fit into one call are not
 // split, since their results are needed together.
-func (b *Batcher) mayFill(now time.Time, c *Call, t *batchTarget, j *Job, own bool) bool {
-	if j.alone || !j.Params.AllowedRegions.Allows(t.spec.Region) || !own && now.Before(j.since.Add(b.patience(now, j))) {
+func (b *Batcher) mayAdd(now time.Time, c *Call, t *batchTarget, j *Job, own bool) bool {
+	if j.separate || !j.Params.AllowedRegions.Allows(t.spec.Region) || !own && now.Before(j.queuedAt.Add(b.zoneWait(now, j))) {
 		return false
 	}
 	free := b.spec.MaxPieces - len(c.Items)
-	return (j.left() <= free || j.left() > b.spec.MaxPieces) && b.hasRoom(now, t, j, min(free, j.left()))
+	return (j.pendingCount() <= free || j.pendingCount() > b.spec.MaxPieces) && b.hasRoom(now, t, j, min(free, j.pendingCount()))
 }
 
-func (b *Batcher) take(now time.Time, t *batchTarget, c *Call, j *Job) {
-	for len(c.Items) < b.spec.MaxPieces && j.left() > 0 && b.hasRoom(now, t, j, 1) {
-		c.Items = append(c.Items, CallItem{Job: j, Piece: j.todo[0]})
-		t.room += int64(j.Params.ResultBytes)
-		j.todo = j.todo[1:]
+func (b *Batcher) addPieces(now time.Time, t *batchTarget, c *Call, j *Job) {
+	for len(c.Items) < b.spec.MaxPieces && j.pendingCount() > 0 && b.hasRoom(now, t, j, 1) {
+		c.Items = append(c.Items, CallItem{Job: j, Piece: j.pending[0]})
+		t.usedBytes += int64(j.Params.ResultBytes)
+		j.pending = j.pending[1:]
 	}
 }
--- a/relay/batchinputs_test.go
+++ b/relay/batchinputs_test.go
@@ -7,8 +7,8 @@
 	"emberlead/proto"
 )
 
-// reader returns a job that is the only reader of results of another pool.
-func reader(id string, pieces int) *Job {
+// soleReaderJob returns a job that is the only reader of results of another pool.
+func soleReaderJob(id string, pieces int) *Job {
 	j := job(id, pieces)
 	j.Params.Inputs, j.Params.InputPool = []string{"input of " + id}, "before"
 	return j
@@ -19,27 +19,27 @@
 	b.spec.MaxResultBytes = 0
 	kept := job("kept", 1)
 	kept.Params.Inputs = []string{"read by others"}
-	add(t, b, reader("a", 2), kept, reader("large", 10))
+	add(t, b, soleReaderJob("a", 2), kept, soleReaderJob("large", 10))
 	first := next(b, start)[0]
-	if got := fmt.Sprint(b.fetched(start, first)); got != "map[{before 0}:[input of a]]" {
+	if got := fmt.Sprint(b.releaseInputs(start, first)); got != "map[{before 0}:[input of a]]" {
 		t.Errorf("given up: %s; others read one job's inputs, and pieces of the large one wait for another call", got)
 	}
-	if again := b.fetched(start, first); len(again) != 0 {
+	if again := b.releaseInputs(start, first); len(again) != 0 {
 		t.Errorf("given up again: %v", again)
 	}
 	ends, _ := b.CallDone(start, first, results(first))
 	if len(ends) == 0 || !ends[0].Answer.InputsFreed {
 		t.Errorf("ends %+v: the asker is not told that the inputs are freed", ends)
 	}
-	if late := b.fetched(start, first); len(late) != 0 {
+	if late := b.releaseInputs(start, first); len(late) != 0 {
 		t.Errorf("given up after the call: %v", late)
 	}
 }
 
 func TestInputsAreKeptWhereRoomIsInDoubt(t *testing.T) {
 	b := batcher(testTarget("t1", "p", "z"))
-	b.began = start.Add(-batchSpec.ResultLifetime)
-	add(t, b, reader("a", 2))
+	b.startedAt = start.Add(-batchSpec.ResultLifetime)
+	add(t, b, soleReaderJob("a", 2))
 	first := next(b, start)[0]
 	made := results(first)
 	made[1] = ItemResult{Outcome: proto.PiecesNoRoom}
@@ -49,7 +49,7 @@
 	if len(again) != 1 {
 		t.Fatal("the piece without room is not made again")
 	}
-	if given := b.fetched(soon, again[0]); len(given) != 0 {
+	if given := b.releaseInputs(soon, again[0]); len(given) != 0 {
 		t.Errorf("given up: %v, though the target had no room a while ago", given)
 	}
 }
@@ -57,15 +57,15 @@
 // TestInputsAreKeptWhileAnEarlierDaemonsResultsMayBeThere has a daemon that has just started to batch for a pool.
 func TestInputsAreKeptWhileAnEarlierDaemonsResultsMayBeThere(t *testing.T) {
 	b := batcher(testTarget("t1", "p", "z"))
-	add(t, b, reader("a", 2), reader("b", 7))
+	add(t, b, soleReaderJob("a", 2), soleReaderJob("b", 7))
 	first := next(b, start)[0]
-	if given := b.fetched(start.Add(first.Expected/2), first); len(given) != 0 {
+	if given := b.releaseInputs(start.Add(first.Expected/2), first); len(given) != 0 {
 		t.Errorf("given up: %v, though there may be no room for the results", given)
 	}
 	later := start.Add(batchSpec.ResultLifetime)
 	b.CallDone(later, first, results(first))
 	second := next(b, later)[0]
-	if given := b.fetched(later, second); len(given) != 1 {
+	if given := b.releaseInputs(later, second); len(given) != 1 {
 		t.Errorf("given up: %v, though all that an earlier daemon had made is gone", given)
 	}
 }
@@ -73,15 +73,15 @@
 // TestInputsOfPiecesThatWereQueuedAgainAreKept has an overdue call, so that two targets read the same inputs.
 func TestInputsOfPiecesThatWereQueuedAgainAreKept(t *testing.T) {
 	b := batcher(testTarget("t1", "p", "z"), testTarget("t2", "p", "z"))
-	b.began = start.Add(-batchSpec.ResultLifetime)
-	add(t, b, reader("a", 2))
+	b.startedAt = start.Add(-batchSpec.ResultLifetime)
+	add(t, b, soleReaderJob("a", 2))
 	first := next(b, start)[0]
 	late := start.Add(10 * first.Expected)
 	second := next(b, late)
 	if len(second) != 1 {
 		t.Fatal("an overdue call was not made elsewhere")
 	}
-	if given := b.fetched(late, second[0]); len(given) != 0 {
+	if given := b.releaseInputs(late, second[0]); len(given) != 0 {
 		t.Errorf("given up: %v", given)
 	}
 	if ends := b.CallFailed(late, first, false); len(ends) != 0 {
@@ -104,10 +104,10 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			b := batcher(testTarget("t1", "p", "z"), testTarget("t2", "p", "z"))
-			b.began = start.Add(-batchSpec.ResultLifetime)
-			add(t, b, reader("a", 2))
+			b.startedAt = start.Add(-batchSpec.ResultLifetime)
+			add(t, b, soleReaderJob("a", 2))
 			c := next(b, start)[0]
-			b.fetched(start, c)
+			b.releaseInputs(start, c)
 			if late := next(b, start.Add(10*c.Expected)); len(late) != 0 {
 				t.Fatal("an overdue piece was sent again without its inputs")
 			}
--- a/relay/batchlimits.go
+++ b/relay/batchlimits.go
@@ -4,38 +4,38 @@
 
 // setTargetLimits sets the rate limits and backoffs that targets asked for, and the fraction of the limits that this
 // batcher may use.
-func (b *Batcher) setTargetLimits(terms []targetLimits, liveShare float64) {
+func (b *Batcher) setTargetLimits(limits []targetLimits, liveShare float64) {
 	b.liveShare = liveShare
 	for _, t := range b.targets {
-		t.limited = false
+		t.hasLimit = false
 	}
-	for _, said := range terms {
-		if t := b.targets[said.id]; t != nil {
-			t.limit, t.limited = said.limit, said.limit != noLimit
-			t.restUntil = said.backoffUntil
+	for _, reported := range limits {
+		if t := b.targets[reported.id]; t != nil {
+			t.limit, t.hasLimit = reported.limit, reported.limit != noLimit
+			t.backoffUntil = reported.backoffUntil
 		}
 	}
 }
 
-// isOut reports whether a target gets no call for now.
-func (b *Batcher) isOut(now time.Time, t *batchTarget) bool {
-	return now.Before(t.outTo) || now.Before(t.restUntil) || b.allowedIn(now, t) > 0
+// isSkipped reports whether a target gets no call for now.
+func (b *Batcher) isSkipped(now time.Time, t *batchTarget) bool {
+	return now.Before(t.skippedUntil) || now.Before(t.backoffUntil) || b.limitWait(now, t) > 0
 }
 
 func (b *Batcher) rate(t *batchTarget) float64 { return limitRate(t.limit, b.liveShare) }
 
-// allowedIn returns the time until the rate limit of a target allows a call.
-func (b *Batcher) allowedIn(now time.Time, t *batchTarget) time.Duration {
-	if !t.limited {
+// limitWait returns the time until the rate limit of a target allows a call.
+func (b *Batcher) limitWait(now time.Time, t *batchTarget) time.Duration {
+	if !t.hasLimit {
 		return 0
 	}
-	return t.allowed.wait(now, b.rate(t))
+	return t.bucket.wait(now, b.rate(t))
 }
 
 // countSend counts a call against the rate limit of its target.
 func (b *Batcher) countSend(now time.Time, t *batchTarget) {
-	if t.limited {
-		t.allowed.take(now, b.rate(t))
+	if t.hasLimit {
+		t.bucket.take(now, b.rate(t))
 	}
 }
 
@@ -45,16 +45,16 @@
 	switch {
 	case t == nil:
 		return true
-	case t.spec.Leaving || now.Before(t.restUntil):
+	case t.spec.Leaving || now.Before(t.backoffUntil):
 		return false
 	}
-	return !t.limited || t.allowed.take(now, b.rate(t))
+	return !t.hasLimit || t.bucket.take(now, b.rate(t))
 }
 
-// paceWithin returns the slowdown of a target, or that of its rate limit if that is slower.
-func (b *Batcher) paceWithin(t *batchTarget) float64 {
-	if !t.limited {
-		return t.pace
+// limitedSlowdown returns the slowdown of a target, or that of its rate limit if that is slower.
+func (b *Batcher) limitedSlowdown(t *batchTarget) float64 {
+	if !t.hasLimit {
+		return t.slowdown
 	}
-	return max(t.pace, float64(time.Second)/b.rate(t)/b.fullCall(0))
+	return max(t.slowdown, float64(time.Second)/b.rate(t)/b.fullCall(0))
 }
--- a/relay/batchqueue.go
+++ b/relay/batchqueue.go
@@ -8,103 +8,103 @@
 	"emberlead/proto"
 )
 
-// share returns the target time that a piece costs in a full call, or the share of the result storage that its result
-// occupies if that is more.
-func (b *Batcher) share(bytes int) float64 {
+// effectivePieceCost returns the target time that a piece costs in a full call, or the share of the result storage that
+// its result occupies if that is more.
+func (b *Batcher) effectivePieceCost(bytes int) float64 {
 	work := b.model.callCost()/float64(max(1, b.spec.MaxPieces)) + b.model.pieceCost(bytes)
 	if b.spec.MaxResultBytes == 0 {
 		return work
 	}
-	return max(work, b.hold*float64(bytes)/float64(b.spec.MaxResultBytes))
+	return max(work, b.meanHoldTime*float64(bytes)/float64(b.spec.MaxResultBytes))
 }
 
-// WaitTime estimates the time until a job at the given position in the queue would start, from the work ahead of it and
-// the targets in service. A target in backoff counts from the end of that: a pool whose targets each refused one call
-// is not out of service.
-func (b *Batcher) WaitTime(now, turn time.Time) time.Duration {
-	free := b.capacity(now)
+// EstimateWait estimates the time until a job at the given position in the queue would start, from the work ahead of it
+// and the targets in service. A target in backoff counts from the end of that: a pool whose targets each refused one
+// call is not out of service.
+func (b *Batcher) EstimateWait(now, position time.Time) time.Duration {
+	free := b.availability(now)
 	if len(free) == 0 {
 		return time.Minute
 	}
 	work := 0.0
 	for _, j := range b.jobs {
-		if j.left() > 0 && !j.done && (!j.late || turn.Sub(now) >= allTurns) && !j.order.After(turn) {
-			work += float64(j.left()) * b.share(j.Params.ResultBytes)
+		if j.pendingCount() > 0 && !j.done && (!j.late || position.Sub(now) >= queueEnd) && !j.sortTime.After(position) {
+			work += float64(j.pendingCount()) * b.effectivePieceCost(j.Params.ResultBytes)
 		}
 	}
-	return free.taken(work)
+	return free.timeFor(work)
 }
 
-// freeTarget holds when a target can start a call, in nanoseconds from now, and how slow the target is.
-type freeTarget struct{ in, pace float64 }
+// targetAvailability holds when a target can start a call, in nanoseconds from now, and how slow the target is.
+type targetAvailability struct{ delay, slowdown float64 }
 
-// capacity holds when the targets in service can start a call, earliest first.
-type capacity []freeTarget
+// availability holds when the targets in service can start a call, earliest first.
+type availability []targetAvailability
 
-func (b *Batcher) capacity(now time.Time) capacity {
-	free := make(capacity, 0, len(b.targets))
+func (b *Batcher) availability(now time.Time) availability {
+	free := make(availability, 0, len(b.targets))
 	for _, t := range b.targets {
 		if !t.spec.Leaving {
-			free = append(free, freeTarget{b.freeIn(now, t), b.paceWithin(t)})
+			free = append(free, targetAvailability{b.idleIn(now, t), b.limitedSlowdown(t)})
 		}
 	}
-	slices.SortFunc(free, func(x, y freeTarget) int { return cmp.Compare(x.in, y.in) })
+	slices.SortFunc(free, func(x, y targetAvailability) int { return cmp.Compare(x.delay, y.delay) })
 	return free
 }
 
-func (b *Batcher) freeIn(now time.Time, t *batchTarget) float64 {
-	in := max(0, float64(t.outTo.Sub(now)), float64(t.restUntil.Sub(now)), float64(b.allowedIn(now, t)))
+func (b *Batcher) idleIn(now time.Time, t *batchTarget) float64 {
+	delay := max(0, float64(t.skippedUntil.Sub(now)), float64(t.backoffUntil.Sub(now)), float64(b.limitWait(now, t)))
 	if t.call != nil {
-		in = max(in, float64(t.call.StartedAt.Add(t.call.Expected).Sub(now)))
+		delay = max(delay, float64(t.call.StartedAt.Add(t.call.Expected).Sub(now)))
 	}
-	return in
+	return delay
 }
 
-// taken returns the time after which the targets have done an amount of work, each starting when it is free.
-func (c capacity) taken(work float64) time.Duration {
-	at, speed := c[0].in, 0.0
+// timeFor returns the time after which the targets have done an amount of work, each starting when it is free.
+func (c availability) timeFor(work float64) time.Duration {
+	at, speed := c[0].delay, 0.0
 	for i, f := range c {
-		speed += 1 / f.pace
-		if i+1 == len(c) || (c[i+1].in-at)*speed >= work {
+		speed += 1 / f.slowdown
+		if i+1 == len(c) || (c[i+1].delay-at)*speed >= work {
 			break
 		}
-		work -= (c[i+1].in - at) * speed
-		at = c[i+1].in
+		work -= (c[i+1].delay - at) * speed
+		at = c[i+1].delay
 	}
 	return time.Duration(at + work/speed)
 }
 
-// QueueTime estimates how long a job like this one would wait in the queue if it were added now.
-func (b *Batcher) QueueTime(now time.Time, j *Job) time.Duration {
-	return b.WaitTime(now, now.Add(j.order.Sub(j.since)))
+// EstimateWaitFor estimates how long a job like this one would wait in the queue if it were added now.
+func (b *Batcher) EstimateWaitFor(now time.Time, j *Job) time.Duration {
+	return b.EstimateWait(now, now.Add(j.sortTime.Sub(j.queuedAt)))
 }
 
-// length returns the time of a call with the pieces of a job and a typical number of others.
-func (b *Batcher) length(j *Job) float64 {
+// callTime returns the time of a call with the pieces of a job and a typical number of others.
+func (b *Batcher) callTime(j *Job) float64 {
 	n := float64(min(j.Params.Pieces, b.spec.MaxPieces))
 	own := b.model.callCost() + n*b.model.pieceCost(j.Params.ResultBytes)
 	return (own + b.fullCall(j.Params.ResultBytes)) / 2
 }
 
-// canBeLate reports whether a job that will miss its due time is still made well before its deadline, even if as much
+// mayBeLate reports whether a job that will miss its due time is still made well before its deadline, even if as much
 // work as is ahead of it now is added.
-func (b *Batcher) canBeLate(now time.Time, j *Job) bool {
-	ahead := b.WaitTime(now, now.Add(allTurns))
-	return time.Duration(lateMargin*float64(ahead)+j.length) < time.Duration(latePart*float64(j.Deadline.Sub(now)))
+func (b *Batcher) mayBeLate(now time.Time, j *Job) bool {
+	ahead := b.EstimateWait(now, now.Add(queueEnd))
+	return time.Duration(lateWorkFactor*float64(ahead)+j.callTime) < time.Duration(lateTimeShare*float64(j.Deadline.Sub(now)))
 }
 
-// sort orders the jobs by urgency. Those that can no longer be in time come last, so that they do not make others late
-// as well.
-func (b *Batcher) sort(now time.Time) {
+// sortJobs orders the jobs by urgency. Those that can no longer be in time come last, so that they do not make others
+// late as well.
+func (b *Batcher) sortJobs(now time.Time) {
 	for _, j := range b.jobs {
-		late := !j.Params.AnswerStarted && now.Add(time.Duration(j.length)).After(j.Due)
-		b.resort = b.resort || late != j.late
+		late := !j.Params.AnswerStarted && now.Add(time.Duration(j.callTime)).After(j.Due)
+		b.needsSort = b.needsSort || late != j.late
 		j.late = late
 	}
-	if !b.resort {
+	if !b.needsSort {
 		return
 	}
-	b.resort = false
+	b.needsSort = false
 	slices.SortStableFunc(b.jobs, func(x, y *Job) int {
 		if x.late != y.late {
 			if x.late {
@@ -112,43 +112,43 @@
 			}
 			return -1
 		}
-		return x.order.Compare(y.order)
+		return x.sortTime.Compare(y.sortTime)
 	})
 }
 
-// giveUp refuses the late jobs that cannot be made before their deadlines, so that their callers learn of it now. It
-// relies on the jobs being sorted, with the late ones last.
-func (b *Batcher) giveUp(now time.Time) []FinishedJob {
-	if now.Sub(b.lastLook) < giveUpEvery {
+// refuseLateJobs refuses the late jobs that cannot be made before their deadlines, so that their callers learn of it
+// now. It relies on the jobs being sorted, with the late ones last.
+func (b *Batcher) refuseLateJobs(now time.Time) []FinishedJob {
+	if now.Sub(b.lastRefuseLate) < refuseLateInterval {
 		return nil
 	}
-	b.lastLook = now
-	free := b.capacity(now)
+	b.lastRefuseLate = now
+	free := b.availability(now)
 	if len(free) == 0 {
 		return nil
 	}
-	var ends []FinishedJob
+	var finished []FinishedJob
 	work := 0.0
 	for _, j := range b.jobs {
-		j.length = b.length(j)
-		if j.done || j.left() == 0 {
+		j.callTime = b.callTime(j)
+		if j.done || j.pendingCount() == 0 {
 			continue
 		}
 		if j.late && j.missing == j.Params.Pieces {
-			if start := free.taken(work); now.Add(start + time.Duration(j.length)).After(j.Deadline) {
-				ends = append(ends, b.end(j, proto.PiecesAnswer{
-					Outcome: proto.PiecesRefused, QueuedFor: now.Sub(j.since), QueueDelay: start, RetryAfter: max(minRetryWait, start), Detail: "more urgent work leaves no time for the stage",
+			if start := free.timeFor(work); now.Add(start + time.Duration(j.callTime)).After(j.Deadline) {
+				finished = append(finished, b.finishJob(j, proto.PiecesAnswer{
+					Outcome: proto.PiecesRefused, QueuedFor: now.Sub(j.queuedAt), QueueDelay: start, RetryAfter: max(minRetryWait, start), Detail: "more urgent work leaves no time for the stage",
 				}))
 				continue
 			}
 		}
-		work += float64(j.left()) * b.share(j.Params.ResultBytes)
+		work += float64(j.pendingCount()) * b.effectivePieceCost(j.Params.ResultBytes)
 	}
-	return ends
+	return finished
 }
 
-func (b *Batcher) expire(now time.Time) []FinishedJob {
-	var ends []FinishedJob
+func (b *Batcher) expireJobs(now time.Time) []FinishedJob {
+	var finished []FinishedJob
 	b.jobs = slices.DeleteFunc(b.jobs, func(j *Job) bool {
 		if j.done {
 			return true
@@ -156,18 +156,18 @@
 		if !now.After(j.Deadline) {
 			return false
 		}
-		ends = append(ends, b.end(j, proto.PiecesAnswer{Outcome: proto.PiecesLate, QueuedFor: now.Sub(j.since), Detail: "the time for the stage was over in the queue"}))
+		finished = append(finished, b.finishJob(j, proto.PiecesAnswer{Outcome: proto.PiecesLate, QueuedFor: now.Sub(j.queuedAt), Detail: "the time for the stage was over in the queue"}))
 		return true
 	})
 	for _, t := range b.targets {
-		t.leaves = slices.DeleteFunc(t.leaves, func(k keptResult) bool {
-			if now.Before(k.until) {
+		t.keptResults = slices.DeleteFunc(t.keptResults, func(k keptResult) bool {
+			if now.Before(k.expiresAt) {
 				return false
 			}
-			t.room -= k.bytes
-			delete(b.kept, k.handle)
+			t.usedBytes -= k.bytes
+			delete(b.resultTargets, k.handle)
 			return true
 		})
 	}
-	return ends
+	return finished
 }
--- a/relay/batchqueue_test.go
+++ b/relay/batchqueue_test.go
@@ -14,7 +14,7 @@
 		return j
 	}
 	const goal = 2 * time.Second
-	step := time.Duration(rankShare * float64(goal))
+	step := time.Duration(rankDelayShare * float64(goal))
 	ranked := func(j *Job, rank int) *Job {
 		j.Params.Rank, j.Params.LatencyGoal = rank, goal
 		return j
@@ -47,9 +47,9 @@
 	next(b, start)
 	late := job("late", 8)
 	late.Due, late.Deadline, late.Params.NoWorkDone = start.Add(time.Second), start.Add(4*time.Second), true
-	late.order = late.Due
+	late.sortTime = late.Due
 	for _, j := range b.jobs {
-		j.order = start
+		j.sortTime = start
 	}
 	refused := b.Add(start, late)
 	if refused == nil || refused.Outcome != proto.PiecesRefused || refused.RetryAfter < minRetryWait {
@@ -101,7 +101,7 @@
 	for i := range 10 {
 		add(t, b, job(fmt.Sprint("urgent", i), 8))
 	}
-	_, ends := b.NextCalls(start.Add(giveUpEvery))
+	_, ends := b.NextCalls(start.Add(refuseLateInterval))
 	if len(ends) != 1 || ends[0].Job != late || ends[0].Answer.Outcome != proto.PiecesRefused || ends[0].Answer.RetryAfter < time.Second {
 		t.Errorf("ends %+v: the late job, and not the stream that its caller has a part of, is given up", ends)
 	}
@@ -143,13 +143,13 @@
 	b.spec.MaxResultBytes = 0
 	asked := job("a", 8)
 	add(t, b, asked)
-	if got := b.QueueTime(start, asked); got == 0 {
+	if got := b.EstimateWaitFor(start, asked); got == 0 {
 		t.Error("no queue although all of the target's next call is taken")
 	}
 	next(b, start)
-	full := b.QueueTime(start, asked)
+	full := b.EstimateWaitFor(start, asked)
 	add(t, b, job("b", 8), job("c", 8))
-	if more := b.QueueTime(start, asked); more <= full {
+	if more := b.EstimateWaitFor(start, asked); more <= full {
 		t.Errorf("a queue of %v with two more calls ahead, %v before", more, full)
 	}
 	late := job("d", 1)
--- a/relay/batchrestart.go
+++ b/relay/batchrestart.go
@@ -1,50 +1,50 @@
 package relay
 
-// endRun discards the results and the call of a target that has restarted: they were lost with the process.
-func (b *Batcher) endRun(t *batchTarget) []FinishedJob {
+// discardRun discards the results and the call of a target that has restarted: they were lost with the process.
+func (b *Batcher) discardRun(t *batchTarget) []FinishedJob {
 	lost := map[string]bool{}
-	for _, k := range t.leaves {
+	for _, k := range t.keptResults {
 		lost[k.handle] = true
 	}
 	b.dropTarget(t.spec.ID, t)
-	var ends []FinishedJob
+	var finished []FinishedJob
 	for _, j := range b.jobs {
 		if !j.done {
-			ends = append(ends, b.loseResults(j, lost)...)
+			finished = append(finished, b.discardResults(j, lost)...)
 		}
 	}
 	if t.call != nil {
-		t.call.void = true
-		ends = append(ends, b.loseCall(t.call)...)
+		t.call.stale = true
+		finished = append(finished, b.discardCall(t.call)...)
 	}
-	return ends
+	return finished
 }
 
-func (b *Batcher) loseResults(j *Job, lost map[string]bool) []FinishedJob {
+func (b *Batcher) discardResults(j *Job, lost map[string]bool) []FinishedJob {
 	found := false
 	for piece, handle := range j.handles {
 		if handle != "" && lost[handle] {
-			j.unset(piece)
+			j.clearResult(piece)
 			found = true
 		}
 	}
 	if found && j.inputsFreed {
-		return []FinishedJob{b.withoutInputs(j)}
+		return []FinishedJob{b.failWithoutInputs(j)}
 	}
 	return nil
 }
 
-// loseCall queues the pieces of a call to a target that has restarted again.
-func (b *Batcher) loseCall(c *Call) []FinishedJob {
-	var ends []FinishedJob
+// discardCall queues the pieces of a call to a target that has restarted again.
+func (b *Batcher) discardCall(c *Call) []FinishedJob {
+	var finished []FinishedJob
 	for _, item := range c.Items {
 		switch j := item.Job; {
 		case j.done:
 		case j.inputsFreed:
-			ends = append(ends, b.withoutInputs(j))
+			finished = append(finished, b.failWithoutInputs(j))
 		default:
-			j.again(item.Piece)
+			j.requeue(item.Piece)
 		}
 	}
-	return ends
+	return finished
 }
--- a/relay/batchroom.go
+++ b/relay/batchroom.go
@@ -5,56 +5,56 @@
 	"time"
 )
 
-// learnRoom records that a target had less room than expected: it holds results unknown to this daemon, such as those
-// made for an earlier owner of the pool. They are freed by that owner or expire.
-func (b *Batcher) learnRoom(now time.Time, t *batchTarget) {
+// recordNoRoom records that a target had less room than expected: it holds results unknown to this daemon, such as
+// those made for an earlier owner of the pool. They are freed by that owner or expire.
+func (b *Batcher) recordNoRoom(now time.Time, t *batchTarget) {
 	if t == nil {
 		return
 	}
-	t.hidden = max(0, b.spec.MaxResultBytes-t.room)
-	t.hiddenAt = now
-	t.outTo = now.Add(roomWait)
+	t.unknownBytes = max(0, b.spec.MaxResultBytes-t.usedBytes)
+	t.unknownSince = now
+	t.skippedUntil = now.Add(noRoomBackoff)
 }
 
-// hiddenNow estimates how many bytes of unknown results a target still holds.
-func (b *Batcher) hiddenNow(now time.Time, t *batchTarget) int64 {
-	if t.hidden == 0 || b.spec.ResultLifetime == 0 {
+// currentUnknownBytes estimates how many bytes of unknown results a target still holds.
+func (b *Batcher) currentUnknownBytes(now time.Time, t *batchTarget) int64 {
+	if t.unknownBytes == 0 || b.spec.ResultLifetime == 0 {
 		return 0
 	}
-	left := 1 - float64(now.Sub(t.hiddenAt))/(hiddenShare*float64(b.spec.ResultLifetime))
-	return int64(max(0, left) * float64(t.hidden))
+	left := 1 - float64(now.Sub(t.unknownSince))/(unknownExpiryShare*float64(b.spec.ResultLifetime))
+	return int64(max(0, left) * float64(t.unknownBytes))
 }
 
-func (b *Batcher) giveBack(t *batchTarget, bytes int) {
+func (b *Batcher) releaseRoom(t *batchTarget, bytes int) {
 	if t != nil {
-		t.room = max(0, t.room-int64(bytes))
+		t.usedBytes = max(0, t.usedBytes-int64(bytes))
 	}
 }
 
-func (b *Batcher) keep(now time.Time, t *batchTarget, handle string, bytes int, since time.Time) {
+func (b *Batcher) recordResult(now time.Time, t *batchTarget, handle string, bytes int, startedAt time.Time) {
 	if t == nil {
 		return
 	}
-	t.leaves = append(t.leaves, keptResult{handle: handle, bytes: int64(bytes), until: now.Add(b.spec.ResultLifetime), since: since})
-	b.kept[handle] = t
+	t.keptResults = append(t.keptResults, keptResult{handle: handle, bytes: int64(bytes), expiresAt: now.Add(b.spec.ResultLifetime), startedAt: startedAt})
+	b.resultTargets[handle] = t
 }
 
-// Freed records that a result was freed at the target that made it.
-func (b *Batcher) Freed(now time.Time, handle string) {
-	t := b.kept[handle]
+// ResultFreed records that a result was freed at the target that made it.
+func (b *Batcher) ResultFreed(now time.Time, handle string) {
+	t := b.resultTargets[handle]
 	if t == nil {
 		return
 	}
-	delete(b.kept, handle)
-	t.leaves = slices.DeleteFunc(t.leaves, func(k keptResult) bool {
+	delete(b.resultTargets, handle)
+	t.keptResults = slices.DeleteFunc(t.keptResults, func(k keptResult) bool {
 		if k.handle == handle {
-			t.room = max(0, t.room-k.bytes)
-			b.hold += holdWeight * (float64(now.Sub(k.since)) - b.hold)
+			t.usedBytes = max(0, t.usedBytes-k.bytes)
+			b.meanHoldTime += holdWeight * (float64(now.Sub(k.startedAt)) - b.meanHoldTime)
 		}
 		return k.handle == handle
 	})
 }
 
 func (b *Batcher) hasRoom(now time.Time, t *batchTarget, j *Job, pieces int) bool {
-	return b.spec.MaxResultBytes == 0 || t.room+b.hiddenNow(now, t)+int64(pieces*j.Params.ResultBytes) <= b.spec.MaxResultBytes
+	return b.spec.MaxResultBytes == 0 || t.usedBytes+b.currentUnknownBytes(now, t)+int64(pieces*j.Params.ResultBytes) <= b.spec.MaxResultBytes
 }
--- a/relay/batchstanding.go
+++ b/relay/batchstanding.go
@@ -21,7 +21,7 @@
 // checkOverdue decides what to do with an overdue call. A call is not abandoned before other calls have made its
 // pieces: the work that its target has done by then would be lost, and its pieces would have to wait again.
 func (b *Batcher) checkOverdue(now time.Time, c *Call) overdueAction {
-	if c.void {
+	if c.stale {
 		return overdueAbandon
 	}
 	needed, alone := false, false
@@ -35,7 +35,7 @@
 			continue
 		}
 		needed = true
-		alone = alone || !b.hasOther(now, c, j)
+		alone = alone || !b.hasAlternative(now, c, j)
 	}
 	switch {
 	case alone && b.mayRepeat(now, c):
@@ -46,28 +46,29 @@
 	return overdueAbandon
 }
 
-// hasOther reports whether another target can make the pieces of a job. One with an overdue call of its own cannot.
-func (b *Batcher) hasOther(now time.Time, c *Call, j *Job) bool {
+// hasAlternative reports whether another target can make the pieces of a job. One with an overdue call of its own
+// cannot.
+func (b *Batcher) hasAlternative(now time.Time, c *Call, j *Job) bool {
 	for id, t := range b.targets {
 		hangs := t.call != nil && t.call.overdue
-		if id != c.Target.ID && !hangs && !t.spec.Leaving && !b.isOut(now, t) && j.Params.AllowedRegions.Allows(t.spec.Region) {
+		if id != c.Target.ID && !hangs && !t.spec.Leaving && !b.isSkipped(now, t) && j.Params.AllowedRegions.Allows(t.spec.Region) {
 			return true
 		}
 	}
 	return false
 }
 
-// atWork reports whether each piece is in a call in progress, so that a failure elsewhere does not end its job.
-func (b *Batcher) atWork(j *Job, pieces ...int) bool {
+// allInCalls reports whether each piece is in a call in progress, so that a failure elsewhere does not end its job.
+func (b *Batcher) allInCalls(j *Job, pieces ...int) bool {
 	for _, piece := range pieces {
-		if !b.inCall(CallItem{j, piece}) {
+		if !b.isInCall(CallItem{j, piece}) {
 			return false
 		}
 	}
 	return true
 }
 
-func (b *Batcher) inCall(item CallItem) bool {
+func (b *Batcher) isInCall(item CallItem) bool {
 	for _, t := range b.targets {
 		if t.call != nil && slices.Contains(t.call.Items, item) {
 			return true
@@ -76,9 +77,9 @@
 	return false
 }
 
-// unattended reports whether a piece without a result is neither queued nor in a call in progress.
-func (b *Batcher) unattended(j *Job, pieces []int) bool {
+// anyUnassigned reports whether a piece without a result is neither queued nor in a call in progress.
+func (b *Batcher) anyUnassigned(j *Job, pieces []int) bool {
 	return slices.ContainsFunc(pieces, func(piece int) bool {
-		return j.handles[piece] == "" && !slices.Contains(j.todo, piece) && !b.inCall(CallItem{j, piece})
+		return j.handles[piece] == "" && !slices.Contains(j.pending, piece) && !b.isInCall(CallItem{j, piece})
 	})
 }
--- a/relay/cache.go
+++ b/relay/cache.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// cacheShare is the fraction of the memory of an engine that holds cached prompt parts; running requests use the
-	// rest.
+	// cacheShare is the fraction of the memory of an engine that holds cached prompt parts; running requests use
+	// the rest.
 	cacheShare = 0.6
 	// defaultCacheTokens is the assumed memory of an engine, in tokens, until the configuration states it.
 	defaultCacheTokens = 200_000
@@ -22,8 +22,8 @@
 }
 
 type cachedPart struct {
-	tokens int
-	used   time.Time
+	tokens   int
+	lastUsed time.Time
 }
 
 // missingTokens returns how many tokens of the shared parts of a prompt an engine has to process: a cached part is only
@@ -53,17 +53,17 @@
 			c.parts[part.ID] = kept
 			c.tokens += part.Tokens
 		}
-		kept.used = now
+		kept.lastUsed = now
 	}
 	for c.tokens > most && len(c.parts) > len(shared) {
-		c.dropOldest()
+		c.evictOldest()
 	}
 }
 
-func (c *promptCache) dropOldest() {
+func (c *promptCache) evictOldest() {
 	oldest := ""
 	for id, part := range c.parts {
-		if oldest == "" || part.used.Before(c.parts[oldest].used) {
+		if oldest == "" || part.lastUsed.Before(c.parts[oldest].lastUsed) {
 			oldest = id
 		}
 	}
--- a/relay/counts.go
+++ b/relay/counts.go
@@ -11,9 +11,9 @@
 
 // Bounds of the histogram of latencies, in microseconds.
 const (
-	latencyLeast  = 1
-	latencyMost   = int64(time.Minute / time.Microsecond)
-	latencyDigits = 2
+	minLatencyMicros = 1
+	maxLatencyMicros = int64(time.Minute / time.Microsecond)
+	latencyDigits    = 2
 )
 
 // Counts holds totals of requests since the start.
@@ -56,10 +56,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.latency == nil {
-		c.latency = hdrhistogram.New(latencyLeast, latencyMost, latencyDigits)
+		c.latency = hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencyDigits)
 	}
 	// Recording cannot fail, as the value is clamped to the bounds of the histogram.
-	_ = c.latency.RecordValue(min(latencyMost, max(latencyLeast, took.Microseconds())))
+	_ = c.latency.RecordValue(min(maxLatencyMicros, max(minLatencyMicros, took.Microseconds())))
 }
 
 func (c *Counts) recordRefused(status int) {
--- a/relay/endwatch.go
+++ b/relay/endwatch.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// endOpen is how long a failed attempt is remembered in case its target turns out to have ended: the entry of a
-	// target that falls silent is removed after about four seconds, and that is known here a second or two later.
-	endOpen = 6 * time.Second
-	// endTold is how long the end of a run is remembered. Its last attempts fail within the scheduling delay of a busy
-	// daemon.
-	endTold = 30 * time.Second
-	// endChecks is how often a target that closed the connection of an attempt is probed, with a pause of endPause
+	// openAttemptTTL is how long a failed attempt is remembered in case its target turns out to have ended: the entry
+	// of a target that falls silent is removed after about four seconds, and that is known here a second or two later.
+	openAttemptTTL = 6 * time.Second
+	// endedRunTTL is how long the end of a run is remembered. Its last attempts fail within the scheduling delay of a
+	// busy daemon.
+	endedRunTTL = 30 * time.Second
+	// maxProbes is how often a target that closed the connection of an attempt is probed, with a pause of probePause
 	// between: a process that ends may close its connections somewhat before its listener.
-	endChecks = 2
-	endPause  = 100 * time.Millisecond
-	// endCheckWait is the timeout of one probe. A running target accepts connections within milliseconds.
-	endCheckWait = 300 * time.Millisecond
+	maxProbes  = 2
+	probePause = 100 * time.Millisecond
+	// probeTimeout is the timeout of one probe. A running target accepts connections within milliseconds.
+	probeTimeout = 300 * time.Millisecond
 )
 
 // Prober checks whether a process still listens at an address.
@@ -46,22 +46,22 @@
 
 	mu   sync.Mutex
 	runs map[proto.RunName]*watchedRun
-	// watched is the number of runs. It saves successful attempts from taking the lock while there is none.
-	watched atomic.Int64
+	// runCount is the number of runs. It saves successful attempts from taking the lock while there is none.
+	runCount atomic.Int64
 }
 
 // watchedRun is a run of a target at which attempts failed, or that ended.
 type watchedRun struct {
-	open     []openAttempt
-	ended    bool
-	endedAt  time.Time
-	checking bool
+	openAttempts []openAttempt
+	ended        bool
+	endedAt      time.Time
+	probing      bool
 }
 
 // openAttempt is a request that the target may have been working on when the run ended.
 type openAttempt struct {
-	request proto.RequestDigest
-	at      time.Time
+	request  proto.RequestDigest
+	failedAt time.Time
 }
 
 // NewCrashDetector returns a detector that reports to crashes.
@@ -79,18 +79,18 @@
 	w.mu.Lock()
 	run := w.run(target.RunName())
 	for _, request := range requests {
-		run.open = append(run.open, openAttempt{request, now})
+		run.openAttempts = append(run.openAttempts, openAttempt{request, now})
 	}
-	var accused []proto.RequestDigest
+	var suspects []proto.RequestDigest
 	if run.ended {
-		accused = run.accuse(now)
+		suspects = run.takeOpenRequests(now)
 	}
-	check := broken && !run.ended && !run.checking
-	run.checking = run.checking || check
+	probe := broken && !run.ended && !run.probing
+	run.probing = run.probing || probe
 	w.mu.Unlock()
-	w.crashes.Ended(target.RunName(), now, accused)
-	if check {
-		go w.check(target)
+	w.crashes.Ended(target.RunName(), now, suspects)
+	if probe {
+		go w.probe(target)
 	}
 }
 
@@ -104,12 +104,12 @@
 	run := w.run(target.RunName())
 	known := run.ended
 	run.ended, run.endedAt = true, now
-	accused := run.accuse(now)
+	suspects := run.takeOpenRequests(now)
 	w.mu.Unlock()
-	if !known || len(accused) > 0 {
-		w.log.Info("a target has ended", "run", target.RunName(), "pool", target.Pool, "address", target.Address, "cause", cause, "requests", len(accused))
+	if !known || len(suspects) > 0 {
+		w.log.Info("a target has ended", "run", target.RunName(), "pool", target.Pool, "address", target.Address, "cause", cause, "requests", len(suspects))
 	}
-	w.crashes.Ended(target.RunName(), now, accused)
+	w.crashes.Ended(target.RunName(), now, suspects)
 }
 
 // run returns the state of a run, and adds it if necessary. The caller holds the lock.
@@ -118,7 +118,7 @@
 	if r == nil {
 		r = &watchedRun{}
 		w.runs[name] = r
-		w.watched.Add(1)
+		w.runCount.Add(1)
 	}
 	return r
 }
@@ -126,7 +126,7 @@
 // RecordAlive records that a run of a target answered. If it was recorded as ended, its address may have refused
 // connections before the process listened there.
 func (w *CrashDetector) RecordAlive(target proto.RelayTarget) {
-	if w == nil || w.watched.Load() == 0 {
+	if w == nil || w.runCount.Load() == 0 {
 		return
 	}
 	w.mu.Lock()
@@ -137,26 +137,26 @@
 	}
 }
 
-// accuse removes and returns the requests that the run was working on, without duplicates.
-func (r *watchedRun) accuse(now time.Time) []proto.RequestDigest {
+// takeOpenRequests removes and returns the requests that the run was working on, without duplicates.
+func (r *watchedRun) takeOpenRequests(now time.Time) []proto.RequestDigest {
 	var requests []proto.RequestDigest
-	for _, a := range r.open {
-		if now.Sub(a.at) <= endOpen {
+	for _, a := range r.openAttempts {
+		if now.Sub(a.failedAt) <= openAttemptTTL {
 			requests = append(requests, a.request)
 		}
 	}
-	r.open = nil
+	r.openAttempts = nil
 	slices.Sort(requests)
 	return slices.Compact(requests)
 }
 
-// check probes a target that closed the connection of an attempt.
-func (w *CrashDetector) check(target proto.RelayTarget) {
-	for n := range endChecks {
+// probe probes a target that closed the connection of an attempt.
+func (w *CrashDetector) probe(target proto.RelayTarget) {
+	for n := range maxProbes {
 		if n > 0 {
-			w.clock.Sleep(endPause)
+			w.clock.Sleep(probePause)
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), endCheckWait)
+		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 		refuses := w.prober.Refuses(ctx, target.Address)
 		cancel()
 		if refuses {
@@ -167,7 +167,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if r := w.runs[target.RunName()]; r != nil {
-		r.checking = false
+		r.probing = false
 	}
 }
 
@@ -180,11 +180,11 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for name, r := range w.runs {
-		r.open = slices.DeleteFunc(r.open, func(a openAttempt) bool { return now.Sub(a.at) > endOpen })
-		over := !r.ended || now.Sub(r.endedAt) > endTold
-		if over && len(r.open) == 0 && !r.checking {
+		r.openAttempts = slices.DeleteFunc(r.openAttempts, func(a openAttempt) bool { return now.Sub(a.failedAt) > openAttemptTTL })
+		over := !r.ended || now.Sub(r.endedAt) > endedRunTTL
+		if over && len(r.openAttempts) == 0 && !r.probing {
 			delete(w.runs, name)
-			w.watched.Add(-1)
+			w.runCount.Add(-1)
 		}
 	}
 }
--- a/relay/endwatch_test.go
+++ b/relay/endwatch_test.go
@@ -14,14 +14,14 @@
 	"emberlead/proto"
 )
 
-// standProber answers probes of a target in order, and then repeats the last answer.
-type standProber struct {
+// stubProber answers probes of a target in order, and then repeats the last answer.
+type stubProber struct {
 	answers []bool
 	tries   atomic.Int64
 	done    chan struct{}
 }
 
-func (p *standProber) Refuses(context.Context, netip.AddrPort) bool {
+func (p *stubProber) Refuses(context.Context, netip.AddrPort) bool {
 	n := int(p.tries.Add(1))
 	defer func() { p.done <- struct{}{} }()
 	return p.answers[min(n, len(p.answers))-1]
@@ -44,7 +44,7 @@
 		{"it refuses others a moment later", true, []bool{false, true}, 2, 0, true},
 		{"it accepts others", true, []bool{false}, 2, 0, false},
 		{"it accepts others, and its entry goes soon", true, []bool{false}, 2, 4 * time.Second, true},
-		{"its entry goes much later", true, []bool{false}, 2, endOpen + time.Second, false},
+		{"its entry goes much later", true, []bool{false}, 2, openAttemptTTL + time.Second, false},
 		{"it is silent, and its entry goes soon", false, []bool{false}, 0, 4 * time.Second, true},
 		{"it is silent, and stays", false, []bool{false}, 0, 0, false},
 	}
@@ -52,7 +52,7 @@
 		t.Run(s.name, func(t *testing.T) {
 			clock := clockwork.NewFakeClockAt(start)
 			c := newTestCrashTracker(clock)
-			prober := &standProber{answers: s.refuses, done: make(chan struct{})}
+			prober := &stubProber{answers: s.refuses, done: make(chan struct{})}
 			w := NewCrashDetector(clock, hclog.NewNullLogger(), prober, c)
 			target := testTarget("t", "p", "z")
 			w.RecordFailure(target, s.broken, 1, 2)
@@ -61,11 +61,11 @@
 					if err := clock.BlockUntilContext(context.Background(), 1); err != nil {
 						t.Fatal(err)
 					}
-					clock.Advance(endPause)
+					clock.Advance(probePause)
 				}
 				<-prober.done
 			}
-			await(t, func() bool { return !w.checks("t") })
+			waitUntil(t, func() bool { return !w.isProbing("t") })
 			if s.goneAfter > 0 {
 				clock.Advance(s.goneAfter)
 				w.Sweep()
@@ -77,7 +77,7 @@
 			if int(prober.tries.Load()) != s.tries {
 				t.Errorf("%d tries to reach it", prober.tries.Load())
 			}
-			clock.Advance(endTold + endOpen)
+			clock.Advance(endedRunTTL + openAttemptTTL)
 			w.Sweep()
 			if len(w.runs) != 0 {
 				t.Error("the run is remembered for ever")
@@ -86,14 +86,14 @@
 	}
 }
 
-// checks reports whether a run is being probed.
-func (w *CrashDetector) checks(name proto.RunName) bool {
+// isProbing reports whether a run is being probed.
+func (w *CrashDetector) isProbing(name proto.RunName) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.runs[name] != nil && w.runs[name].checking
+	return w.runs[name] != nil && w.runs[name].probing
 }
 
-func await(t *testing.T, done func() bool) {
+func waitUntil(t *testing.T, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if done() {
@@ -107,7 +107,7 @@
 func TestAttemptsThatFailAfterTheEndIsKnownCountAtOnce(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(start)
 	c := newTestCrashTracker(clock)
-	w := NewCrashDetector(clock, hclog.NewNullLogger(), &standProber{}, c)
+	w := NewCrashDetector(clock, hclog.NewNullLogger(), &stubProber{}, c)
 	target := testTarget("t", "p", "z")
 	w.RecordEnd(target, "its entry is gone")
 	w.RecordFailure(target, true, 1, 1)
@@ -127,7 +127,7 @@
 func TestATargetThatAnswersHasNotEnded(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(start)
 	c := newTestCrashTracker(clock)
-	w := NewCrashDetector(clock, hclog.NewNullLogger(), &standProber{}, c)
+	w := NewCrashDetector(clock, hclog.NewNullLogger(), &stubProber{}, c)
 	target := testTarget("t", "p", "z")
 	w.RecordEnd(target, "its address refuses connections")
 	w.RecordAlive(target)
@@ -135,10 +135,10 @@
 	if c.Suspects(1) {
 		t.Error("a failure at a target that answered since counts as one at its end")
 	}
-	clock.Advance(endTold + endOpen)
+	clock.Advance(endedRunTTL + openAttemptTTL)
 	w.Sweep()
 	w.RecordAlive(target)
-	if n := w.watched.Load(); n != 0 {
+	if n := w.runCount.Load(); n != 0 {
 		t.Errorf("%d runs are watched", n)
 	}
 }
@@ -208,7 +208,7 @@
 		t.Run(s.name, func(t *testing.T) {
 			clock := clockwork.NewFakeClockAt(start)
 			c := newTestCrashTracker(clock)
-			w := NewCrashDetector(clock, hclog.NewNullLogger(), &standProber{answers: []bool{false}, done: make(chan struct{}, endChecks)}, c)
+			w := NewCrashDetector(clock, hclog.NewNullLogger(), &stubProber{answers: []bool{false}, done: make(chan struct{}, maxProbes)}, c)
 			fleet := fleetWith(putChange(1, testTarget("t", "p", "z")))
 			target := fleet.Pick(start, "p", TargetCriteria{Zone: "z"})
 			ctx, cancel := context.WithCancelCause(context.Background())
@@ -225,7 +225,7 @@
 				cancel(s.cause)
 			}
 			a.recordOutcome(&s.end)
-			if known := w.ended("t"); known != (s.known || len(s.before) > 0 && s.before[0].Removed) {
+			if known := w.hasEnded("t"); known != (s.known || len(s.before) > 0 && s.before[0].Removed) {
 				t.Errorf("known to have ended: %v", known)
 			}
 			change([]FleetChange{{ID: "t", Version: rev(3), Removed: true}})
@@ -237,8 +237,8 @@
 	}
 }
 
-// ended reports whether a run is known to have ended.
-func (w *CrashDetector) ended(name proto.RunName) bool {
+// hasEnded reports whether a run is known to have ended.
+func (w *CrashDetector) hasEnded(name proto.RunName) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.runs[name] != nil && w.runs[name].ended
--- a/relay/enginemodel.go
+++ b/relay/enginemodel.go
@@ -9,20 +9,20 @@
 
 // Parameters of the model of engines.
 const (
-	// engineLearn is the fraction of a prediction error that the estimates adopt at once. The time to the first event
-	// of a request varies by half with the other load, so about forty requests are averaged, which a pool of a dozen
-	// engines gets within two seconds.
-	engineLearn = 0.05
-	// engineOdd is the factor from which an observation is an outlier, such as an engine that stalled.
-	engineOdd = 3
-	// engineSpread is the factor by which an estimate may differ from its prior, either way: engines of one generation
-	// differ by a factor of about three.
-	engineSpread = 10
-	// enginePace is the weight of one request in the slowdown of an engine relative to its pool. Requests are noisy, so
-	// an engine that is three times as slow as the others shows as twice as slow after about ten requests.
-	enginePace = 0.08
-	// paceLeast and paceMost bound the slowdown of an engine, so that a few outliers do not exclude it.
-	paceLeast, paceMost = 0.7, 6.0
+	// engineLearningRate is the fraction of a prediction error that the estimates adopt at once. The time to the first
+	// event of a request varies by half with the other load, so about forty requests are averaged, which a pool of a
+	// dozen engines gets within two seconds.
+	engineLearningRate = 0.05
+	// engineOutlierFactor is the factor from which an observation is an outlier, such as an engine that stalled.
+	engineOutlierFactor = 3
+	// maxEngineDeviation is the factor by which an estimate may differ from its prior, either way: engines of one
+	// generation differ by a factor of about three.
+	maxEngineDeviation = 10
+	// slowdownWeight is the weight of one request in the slowdown of an engine relative to its pool. Requests are
+	// noisy, so an engine that is three times as slow as the others shows as twice as slow after about ten requests.
+	slowdownWeight = 0.08
+	// minSlowdown and maxSlowdown bound the slowdown of an engine, so that a few outliers do not exclude it.
+	minSlowdown, maxSlowdown = 0.7, 6.0
 )
 
 // Priors for engines, which the configuration does not state: typical values for models with 7 to 70 billion weights.
@@ -36,19 +36,20 @@
 type engineWork uint8
 
 const (
-	// workStart is the fixed time of a request: the transfer to the engine, fetching its inputs, and the first steps.
-	workStart engineWork = iota
-	// workToken is a prompt token to process, including those of prompts ahead of it.
-	workToken
-	// workStream is another request running on the engine.
-	workStream
+	// workPerRequest is the fixed time of a request: the transfer to the engine, fetching its inputs, and the first
+	// steps.
+	workPerRequest engineWork = iota
+	// workPerToken is a prompt token to process, including those of prompts ahead of it.
+	workPerToken
+	// workPerStream is another request running on the engine.
+	workPerStream
 )
 
 func priorOf(w engineWork) float64 {
 	switch w {
-	case workToken:
+	case workPerToken:
 		return float64(priorToken)
-	case workStream:
+	case workPerStream:
 		return float64(priorStream)
 	}
 	return float64(priorStart)
@@ -56,22 +57,22 @@
 
 // engineModel estimates the speed of the engines of one pool from the times to the first events of requests, in
 // nanoseconds. The daemon that places requests for all others observes every request; the others adopt its estimates.
-type engineModel struct{ times linear[engineWork] }
+type engineModel struct{ times additiveModel[engineWork] }
 
 func newEngineModel() engineModel {
-	return engineModel{linear[engineWork]{prior: priorOf, learn: engineLearn, odd: engineOdd, spread: engineSpread}}
+	return engineModel{additiveModel[engineWork]{prior: priorOf, learningRate: engineLearningRate, outlierFactor: engineOutlierFactor, maxDeviation: maxEngineDeviation}}
 }
 
 // rates returns the time that each prompt token and each concurrent stream adds to the first event at the typical speed
 // of the pool, in milliseconds.
 func (m *engineModel) rates() (token, stream float64) {
 	const millisecond = float64(time.Millisecond)
-	return m.times.of(workToken) / millisecond, m.times.of(workStream) / millisecond
+	return m.times.estimate(workPerToken) / millisecond, m.times.estimate(workPerStream) / millisecond
 }
 
 func (m *engineModel) estimates() proto.EngineTimes {
 	return proto.EngineTimes{
-		PerRequest: time.Duration(m.times.of(workStart)), PerPromptToken: time.Duration(m.times.of(workToken)), PerConcurrentRequest: time.Duration(m.times.of(workStream)),
+		PerRequest: time.Duration(m.times.estimate(workPerRequest)), PerPromptToken: time.Duration(m.times.estimate(workPerToken)), PerConcurrentRequest: time.Duration(m.times.estimate(workPerStream)),
 	}
 }
 
@@ -80,15 +81,15 @@
 	if t.PerPromptToken == 0 {
 		return
 	}
-	m.times.set(workStart, float64(t.PerRequest))
-	m.times.set(workToken, float64(t.PerPromptToken))
-	m.times.set(workStream, float64(t.PerConcurrentRequest))
+	m.times.set(workPerRequest, float64(t.PerRequest))
+	m.times.set(workPerToken, float64(t.PerPromptToken))
+	m.times.set(workPerStream, float64(t.PerConcurrentRequest))
 }
 
 // unreadPrompt is a prompt that was sent to an engine and, as far as is known, not yet processed.
 type unreadPrompt struct {
-	own, tokens int
-	began       time.Time
+	ownTokens, tokens int
+	startedAt         time.Time
 	// cold is set if the engine was cold, so that the time does not predict its later speed.
 	cold bool
 	// work is the work ahead of the first event.
@@ -103,13 +104,13 @@
 	}
 	read := w.OwnTokens + missing
 	t.unreadTokens += read
-	work := map[engineWork]float64{workStart: 1, workToken: float64(t.unreadTokens), workStream: float64(t.active)}
-	t.unreadPrompts = append(t.unreadPrompts, unreadPrompt{own: w.OwnTokens, tokens: read, began: now, cold: now.Before(t.coldUntil), work: work})
+	work := map[engineWork]float64{workPerRequest: 1, workPerToken: float64(t.unreadTokens), workPerStream: float64(t.active)}
+	t.unreadPrompts = append(t.unreadPrompts, unreadPrompt{ownTokens: w.OwnTokens, tokens: read, startedAt: now, cold: now.Before(t.coldUntil), work: work})
 }
 
 // finishPrompt removes the oldest unprocessed prompt of the same size, and learns from its time if it succeeded.
 func (t *Target) finishPrompt(now time.Time, w TargetCriteria, learn bool) {
-	i := slices.IndexFunc(t.unreadPrompts, func(r unreadPrompt) bool { return r.own == w.OwnTokens })
+	i := slices.IndexFunc(t.unreadPrompts, func(r unreadPrompt) bool { return r.ownTokens == w.OwnTokens })
 	if i < 0 {
 		return
 	}
@@ -123,14 +124,14 @@
 		return
 	}
 	model := &t.pool.model
-	took := float64(now.Sub(r.began))
+	took := float64(now.Sub(r.startedAt))
 	ratio := took / model.times.sum(r.work)
-	t.slowdown = min(paceMost, max(paceLeast, t.slowdown+enginePace*(ratio-t.slowdown)))
-	model.times.observe(r.work, took/(t.slowdown/t.pool.usualPace()))
+	t.slowdown = min(maxSlowdown, max(minSlowdown, t.slowdown+slowdownWeight*(ratio-t.slowdown)))
+	model.times.observe(r.work, took/(t.slowdown/t.pool.medianSlowdown()))
 }
 
-// usualPace returns the median slowdown of the targets of the pool.
-func (p *targetPool) usualPace() float64 {
+// medianSlowdown returns the median slowdown of the targets of the pool.
+func (p *targetPool) medianSlowdown() float64 {
 	if len(p.list) == 0 {
 		return 1
 	}
--- a/relay/fetches.go
+++ b/relay/fetches.go
@@ -11,33 +11,34 @@
 const (
 	// initialKeepTime is the initial time allowed: a few megabytes take milliseconds over any link of a platform.
 	initialKeepTime = 150 * time.Millisecond
-	// fetchLeast and fetchMost bound the time: the transfer of a request takes at least the one, and no target works
+	// minKeepTime and maxKeepTime bound the time: the transfer of a request takes at least the one, and no target works
 	// for longer than the other.
-	fetchLeast = 40 * time.Millisecond
-	fetchMost  = 4 * time.Second
-	// fetchShrink is the factor applied to the time after a target had its inputs, and fetchGrow the one applied when
-	// they were released too early, which makes the request repeat its stages. At most one request in about 70 does.
-	fetchShrink = 0.99
-	fetchGrow   = 2
+	minKeepTime = 40 * time.Millisecond
+	maxKeepTime = 4 * time.Second
+	// keepTimeDecay is the factor applied to the time after a target had its inputs, and keepTimeGrowth the one applied
+	// when they were released too early, which makes the request repeat its stages. At most one request in about 70
+	// does.
+	keepTimeDecay  = 0.99
+	keepTimeGrowth = 2
 )
 
 // fetchTimes estimates for each pool how long after a request was sent its target has fetched the inputs.
 type fetchTimes struct {
-	mu    sync.Mutex
-	waits map[string]time.Duration
-	// grown is when the time of a pool was last increased.
-	grown map[string]time.Time
+	mu        sync.Mutex
+	keepTimes map[string]time.Duration
+	// raisedAt is when the time of a pool was last increased.
+	raisedAt map[string]time.Time
 }
 
 // keepTime returns how long to keep the inputs of a request that was just sent.
 func (f *fetchTimes) keepTime(pool string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.of(pool)
+	return f.current(pool)
 }
 
-func (f *fetchTimes) of(pool string) time.Duration {
-	if wait, ok := f.waits[pool]; ok {
+func (f *fetchTimes) current(pool string) time.Duration {
+	if wait, ok := f.keepTimes[pool]; ok {
 		return wait
 	}
 	return initialKeepTime
@@ -50,18 +51,18 @@
 func (f *fetchTimes) observe(now, sent time.Time, pool string, fetched bool) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.waits == nil {
-		f.waits, f.grown = map[string]time.Duration{}, map[string]time.Time{}
+	if f.keepTimes == nil {
+		f.keepTimes, f.raisedAt = map[string]time.Duration{}, map[string]time.Time{}
 	}
-	factor := fetchShrink
+	factor := keepTimeDecay
 	if !fetched {
-		if sent.Before(f.grown[pool]) {
-			return f.of(pool)
+		if sent.Before(f.raisedAt[pool]) {
+			return f.current(pool)
 		}
-		factor = fetchGrow
-		f.grown[pool] = now
+		factor = keepTimeGrowth
+		f.raisedAt[pool] = now
 	}
-	keep := max(fetchLeast, min(fetchMost, time.Duration(factor*float64(f.of(pool)))))
-	f.waits[pool] = keep
+	keep := max(minKeepTime, min(maxKeepTime, time.Duration(factor*float64(f.current(pool)))))
+	f.keepTimes[pool] = keep
 	return keep
 }
--- a/relay/fetches_test.go
+++ b/relay/fetches_test.go
@@ -21,9 +21,9 @@
 	}{
 		{"nothing known", 0, 0, initialKeepTime, initialKeepTime},
 		{"always fetched", 70, 0, initialKeepTime / 3, initialKeepTime * 6 / 10},
-		{"fetched for ever", 10_000, 0, fetchLeast, fetchLeast},
+		{"fetched for ever", 10_000, 0, minKeepTime, minKeepTime},
 		{"too early once", 0, 1, 2 * initialKeepTime, 2 * initialKeepTime},
-		{"too early again and again", 0, 100, fetchMost, fetchMost},
+		{"too early again and again", 0, 100, maxKeepTime, maxKeepTime},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -67,8 +67,8 @@
 	}
 }
 
-// sentFlow returns a request whose stage is done and that was just sent to a target.
-func sentFlow(t *testing.T, clock clockwork.Clock) *flow {
+// newSentFlow returns a request whose stage is done and that was just sent to a target.
+func newSentFlow(t *testing.T, clock clockwork.Clock) *flow {
 	t.Helper()
 	f := newStagedFlow(&recordingPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}}, 1)
 	if fail, _ := f.runStages(context.Background()); fail != nil {
@@ -82,7 +82,7 @@
 // TestInputsAreFreedOnceTheyAreFetched has a target that does not respond while it works.
 func TestInputsAreFreedOnceTheyAreFetched(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(start)
-	f := sentFlow(t, clock)
+	f := newSentFlow(t, clock)
 	clock.Advance(initialKeepTime - time.Nanosecond)
 	if f.inputsFreed() {
 		t.Fatal("freed before the target could have fetched them")
@@ -110,7 +110,7 @@
 // made again for the next one.
 func TestResultsThatAreMadeAnewAreNotFreedByAnEarlierAttempt(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(start)
-	f := sentFlow(t, clock)
+	f := newSentFlow(t, clock)
 	before := f.stageResults
 	if fail, _ := f.runStages(context.Background()); fail != nil {
 		t.Fatal(fail.reason)
--- a/relay/frees.go
+++ b/relay/frees.go
@@ -13,14 +13,14 @@
 
 // freeQueue collects results to free, by the target that holds them.
 type freeQueue struct {
-	pieces *PieceScheduler
-	mu     sync.Mutex
-	due    map[netip.AddrPort]*freeing
+	pieces  *PieceScheduler
+	mu      sync.Mutex
+	pending map[netip.AddrPort]*freeBatch
 }
 
-// freeing is the next batch of results to free at one target. The worker counts their storage until the target has
+// freeBatch is the next batch of results to free at one target. The worker counts their storage until the target has
 // freed them.
-type freeing struct {
+type freeBatch struct {
 	worker  *worker
 	handles []string
 }
@@ -29,68 +29,68 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, h := range handles {
-		maker, err := f.pieces.dialect.HandleAddress(h)
+		address, err := f.pieces.dialect.HandleAddress(h)
 		if err != nil {
 			f.pieces.log.Warn("a result cannot be freed", "handle", h, "error", err)
 			continue
 		}
-		next := f.due[maker]
-		if next == nil {
-			next = &freeing{worker: w}
-			f.due[maker] = next
-			f.pieces.clock.AfterFunc(f.gather(maker), func() { f.flush(maker) })
+		batch := f.pending[address]
+		if batch == nil {
+			batch = &freeBatch{worker: w}
+			f.pending[address] = batch
+			f.pieces.clock.AfterFunc(f.collectFor(address), func() { f.flush(address) })
 		}
-		next.handles = append(next.handles, h)
+		batch.handles = append(batch.handles, h)
 	}
 }
 
-// gather returns how long results to free at a target are collected.
-func (f *freeQueue) gather(maker netip.AddrPort) time.Duration {
-	limited, _ := f.pieces.fleet.signalsAt(maker)
+// collectFor returns how long results to free at a target are collected.
+func (f *freeQueue) collectFor(address netip.AddrPort) time.Duration {
+	limited, _ := f.pieces.fleet.signalsAt(address)
 	if limited {
 		return limitedFreeInterval
 	}
 	return freeInterval
 }
 
-func (f *freeQueue) flush(maker netip.AddrPort) {
-	if _, restUntil := f.pieces.fleet.signalsAt(maker); f.pieces.clock.Now().Before(restUntil) {
-		f.pieces.clock.AfterFunc(f.pieces.clock.Until(restUntil), func() { f.flush(maker) })
+func (f *freeQueue) flush(address netip.AddrPort) {
+	if _, backoffUntil := f.pieces.fleet.signalsAt(address); f.pieces.clock.Now().Before(backoffUntil) {
+		f.pieces.clock.AfterFunc(f.pieces.clock.Until(backoffUntil), func() { f.flush(address) })
 		return
 	}
 	f.mu.Lock()
-	next := f.due[maker]
-	delete(f.due, maker)
+	batch := f.pending[address]
+	delete(f.pending, address)
 	f.mu.Unlock()
 	// AfterFunc may run in the clock's goroutine, which must not wait for a target.
-	go f.send(maker, next)
+	go f.send(address, batch)
 }
 
-func (f *freeQueue) send(maker netip.AddrPort, next *freeing) {
-	err := f.call(maker, next.handles)
+func (f *freeQueue) send(address netip.AddrPort, batch *freeBatch) {
+	err := f.call(address, batch.handles)
 	if err != nil {
 		// The results expire at the target, and their storage is counted until then.
-		f.pieces.log.Info("results were not freed", "maker", maker, "results", len(next.handles), "error", err)
+		f.pieces.log.Info("results were not freed", "maker", address, "results", len(batch.handles), "error", err)
 		return
 	}
-	if next.worker != nil {
-		next.worker.freed(next.handles)
+	if batch.worker != nil {
+		batch.worker.resultsFreed(batch.handles)
 	}
 }
 
-func (f *freeQueue) call(maker netip.AddrPort, handles []string) error {
-	ctx, cancel := context.WithTimeout(context.Background(), freeWait)
+func (f *freeQueue) call(address netip.AddrPort, handles []string) error {
+	ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
 	defer cancel()
 	out, err := f.pieces.dialect.BuildFreeRequest(handles)
 	if err != nil {
 		return err
 	}
-	in, err := f.pieces.sender.Send(ctx, maker, &out)
+	in, err := f.pieces.sender.Send(ctx, address, &out)
 	if err != nil {
 		return err
 	}
 	defer in.Body.Close()
-	if _, err := io.Copy(io.Discard, io.LimitReader(in.Body, piecesMost)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(in.Body, maxResponseBytes)); err != nil {
 		return &Error{Op: "free results", Kind: proto.KindUnknown, Err: err}
 	}
 	if in.Status != http.StatusOK {
@@ -99,12 +99,12 @@
 	return nil
 }
 
-func (w *worker) freed(handles []string) {
+func (w *worker) resultsFreed(handles []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.pieces.clock.Now()
 	for _, h := range handles {
-		w.batcher.Freed(now, h)
+		w.batcher.ResultFreed(now, h)
 	}
-	w.turn()
+	w.schedule()
 }
--- a/relay/groups.go
+++ b/relay/groups.go
@@ -9,8 +9,8 @@
 	"emberlead/state"
 )
 
-// divideEvery is how often the engines are divided into groups: the averages change over seconds.
-const divideEvery = 250 * time.Millisecond
+// regroupInterval is how often the engines are divided into groups: the averages change over seconds.
+const regroupInterval = 250 * time.Millisecond
 
 // promptStats holds the average prompt length of one route over the last seconds.
 type promptStats struct {
@@ -21,7 +21,7 @@
 	gap time.Duration
 }
 
-func (r *promptStats) mean(now time.Time) float64 {
+func (r *promptStats) meanTokens(now time.Time) float64 {
 	n := r.requests.Value(now, promptHalfLife)
 	if n == 0 {
 		return 0
@@ -45,19 +45,19 @@
 	r.gap = w.MaxPause
 	p.allPrompts.tokens.Add(now, promptHalfLife, float64(w.OwnTokens))
 	p.allPrompts.requests.Add(now, promptHalfLife, 1)
-	if now.Sub(p.dividedAt) >= divideEvery || p.sortedVersion != p.listVersion {
+	if now.Sub(p.dividedAt) >= regroupInterval || p.sortedVersion != p.listVersion {
 		p.dividedAt = now
-		p.divide(now)
+		p.assignLongPromptEngines(now)
 	}
 }
 
 func (p *targetPool) hasLongPrompts(now time.Time, route string) bool {
 	r := p.prompts[route]
-	return r == nil || r.mean(now) >= longPromptRatio*p.allPrompts.mean(now)
+	return r == nil || r.meanTokens(now) >= longPromptRatio*p.allPrompts.meanTokens(now)
 }
 
-// divide assigns engines to long prompts, in proportion to their share of the tokens.
-func (p *targetPool) divide(now time.Time) {
+// assignLongPromptEngines assigns engines to long prompts, in proportion to their share of the tokens.
+func (p *targetPool) assignLongPromptEngines(now time.Time) {
 	long, sum := 0.0, 0.0
 	for name, r := range p.prompts {
 		tokens := r.tokens.Value(now, promptHalfLife)
--- a/relay/job.go
+++ b/relay/job.go
@@ -13,51 +13,51 @@
 	// Due is when the stage should end for the answer to be in time, and Deadline is when its result becomes useless.
 	Due, Deadline time.Time
 
-	since time.Time
-	order time.Time
-	// todo holds the queued pieces, and missing is the number of pieces without a result.
-	todo    []int
-	missing int
-	tries   int
-	handles []string
-	zone    string
-	done    bool
-	exclude string
-	// length is the time of a call with the pieces of the job and a typical number of others, in nanoseconds.
-	length float64
+	queuedAt time.Time
+	sortTime time.Time
+	// pending holds the queued pieces, and missing is the number of pieces without a result.
+	pending     []int
+	missing     int
+	failures    int
+	handles     []string
+	resultZone  string
+	done        bool
+	avoidTarget string
+	// callTime is the time of a call with the pieces of the job and a typical number of others, in nanoseconds.
+	callTime float64
 	// inputsFreed is set once the inputs were released, after which no piece can be made again.
 	inputsFreed bool
 	// late is set if the results can no longer be in time.
 	late bool
-	// alone is set if so many calls with its pieces failed that the next one holds no other job.
-	alone bool
+	// separate is set if so many calls with its pieces failed that the next one holds no other job.
+	separate bool
 }
 
-func (j *Job) left() int { return len(j.todo) }
+func (j *Job) pendingCount() int { return len(j.pending) }
 
-// set stores the result of a piece and reports whether it was missing.
-func (j *Job) set(piece int, handle string) bool {
+// setResult stores the result of a piece and reports whether it was missing.
+func (j *Job) setResult(piece int, handle string) bool {
 	if j.handles[piece] != "" {
 		return false
 	}
 	j.handles[piece] = handle
 	j.missing--
-	j.todo = slices.DeleteFunc(j.todo, func(p int) bool { return p == piece })
+	j.pending = slices.DeleteFunc(j.pending, func(p int) bool { return p == piece })
 	return true
 }
 
-// unset removes a lost result and queues its piece again.
-func (j *Job) unset(piece int) {
+// clearResult removes a lost result and queues its piece again.
+func (j *Job) clearResult(piece int) {
 	j.handles[piece] = ""
 	j.missing++
-	j.again(piece)
+	j.requeue(piece)
 }
 
-// again queues the given pieces unless they have a result or are queued already.
-func (j *Job) again(pieces ...int) {
+// requeue queues the given pieces unless they have a result or are queued already.
+func (j *Job) requeue(pieces ...int) {
 	for _, piece := range pieces {
-		if j.handles[piece] == "" && !slices.Contains(j.todo, piece) {
-			j.todo = append(j.todo, piece)
+		if j.handles[piece] == "" && !slices.Contains(j.pending, piece) {
+			j.pending = append(j.pending, piece)
 		}
 	}
 }
@@ -74,8 +74,8 @@
 
 	// overdue is set once the pieces were queued again because the call takes much longer than expected.
 	overdue bool
-	// void is set if the target has restarted since the call started, so that its results are lost.
-	void bool
+	// stale is set if the target has restarted since the call started, so that its results are lost.
+	stale bool
 }
 
 // CallItem is one piece of a job.
--- a/relay/linear_test.go
+++ b/relay/linear_test.go
@@ -9,29 +9,29 @@
 	"emberlead/proto"
 )
 
-// near reports whether got differs from want by less than a fraction of want.
-func near(got, want, part float64) bool { return math.Abs(got-want) < part*want }
+// withinFraction reports whether got differs from want by less than a fraction of want.
+func withinFraction(got, want, part float64) bool { return math.Abs(got-want) < part*want }
 
-// simulated is a pool whose calls take known times with noise.
-type simulated struct {
+// simulatedPool is a pool whose calls take known times with noise.
+type simulatedPool struct {
 	call  float64
 	piece map[int]float64
 	noise *rand.Rand
 }
 
-func (s *simulated) took(amounts map[int]float64) float64 {
+func (s *simulatedPool) callTime(amounts map[int]float64) float64 {
 	sum := s.call
 	for bytes, n := range amounts {
-		if bytes != theCall {
+		if bytes != fixedCallCost {
 			sum += n * s.piece[bytes]
 		}
 	}
 	return sum * (0.9 + 0.2*s.noise.Float64())
 }
 
-// mix returns the contents of a random call of a busy pool.
-func mix(noise *rand.Rand) map[int]float64 {
-	return map[int]float64{theCall: 1, 8_000: float64(noise.IntN(5)), 60_000: 1 + float64(noise.IntN(6))}
+// randomCall returns the contents of a random call of a busy pool.
+func randomCall(noise *rand.Rand) map[int]float64 {
+	return map[int]float64{fixedCallCost: 1, 8_000: float64(noise.IntN(5)), 60_000: 1 + float64(noise.IntN(6))}
 }
 
 func TestWhatCallsTakeIsLearntWithinTwoSeconds(t *testing.T) {
@@ -49,17 +49,17 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			noise := rand.New(rand.NewPCG(1, 2))
-			truth := simulated{call: s.call, piece: map[int]float64{8_000: s.small, 60_000: s.big}, noise: noise}
+			truth := simulatedPool{call: s.call, piece: map[int]float64{8_000: s.small, 60_000: s.big}, noise: noise}
 			m := newCallModel(proto.BatchSpec{CallCost: 200 * time.Millisecond, PieceCost: 20 * time.Millisecond})
 			// Five targets make about four calls each in two seconds.
 			for range 20 {
-				amounts := mix(noise)
-				m.times.observe(amounts, truth.took(amounts))
+				amounts := randomCall(noise)
+				m.times.observe(amounts, truth.callTime(amounts))
 			}
 			off := 0.0
 			for range 100 {
-				amounts := mix(noise)
-				off += math.Abs(m.times.sum(amounts)-truth.took(amounts)) / truth.took(amounts) / 100
+				amounts := randomCall(noise)
+				off += math.Abs(m.times.sum(amounts)-truth.callTime(amounts)) / truth.callTime(amounts) / 100
 			}
 			if off > 0.15 {
 				t.Errorf("calls are expected %.0f%% off on average", 100*off)
@@ -70,7 +70,7 @@
 
 func TestOutliersMoveWhatIsLearntLittle(t *testing.T) {
 	m := newCallModel(proto.BatchSpec{CallCost: 200 * time.Millisecond, PieceCost: 20 * time.Millisecond})
-	amounts := map[int]float64{theCall: 1, 60_000: 8}
+	amounts := map[int]float64{fixedCallCost: 1, 60_000: 8}
 	usual := m.times.sum(amounts)
 	m.times.observe(amounts, 1000*usual)
 	if got := m.times.sum(amounts); got > 1.25*usual {
@@ -79,7 +79,7 @@
 	for range 1000 {
 		m.times.observe(amounts, 1000*usual)
 	}
-	if got := m.times.sum(amounts); got > callSpread*usual*1.01 {
+	if got := m.times.sum(amounts); got > maxCallDeviation*usual*1.01 {
 		t.Errorf("after many such calls %.2f times as long", got/usual)
 	}
 	m.times.observe(map[int]float64{}, 5)
@@ -93,25 +93,25 @@
 	spec := proto.BatchSpec{CallCost: 200 * time.Millisecond, PieceCost: 20 * time.Millisecond}
 	m := newCallModel(spec)
 	for range 50 {
-		m.times.observe(map[int]float64{theCall: 1, 1: 4}, float64(time.Second))
+		m.times.observe(map[int]float64{fixedCallCost: 1, 1: 4}, float64(time.Second))
 	}
 	learnt := m.callCost()
 	spec.MaxPieces = 12
-	m.respec(spec)
+	m.updateSpec(spec)
 	if m.callCost() != learnt {
 		t.Error("what was learnt is gone, though only the size of calls changed")
 	}
 	spec.CallCost = 400 * time.Millisecond
-	m.respec(spec)
+	m.updateSpec(spec)
 	if m.callCost() != float64(spec.CallCost) {
 		t.Errorf("a call takes %v", time.Duration(m.callCost()))
 	}
 }
 
-// engineTruth returns the simulated time to the first event of a request at an engine.
-func engineTruth(start, token time.Duration, noise *rand.Rand) func(map[engineWork]float64) float64 {
+// simulatedFirstEvent returns the simulated time to the first event of a request at an engine.
+func simulatedFirstEvent(start, token time.Duration, noise *rand.Rand) func(map[engineWork]float64) float64 {
 	return func(work map[engineWork]float64) float64 {
-		plain := float64(start) + work[workToken]*float64(token)
+		plain := float64(start) + work[workPerToken]*float64(token)
 		return plain * (0.7 + 0.6*noise.Float64())
 	}
 }
@@ -128,17 +128,17 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			noise := rand.New(rand.NewPCG(3, 4))
-			truth := engineTruth(s.start, s.token, noise)
+			truth := simulatedFirstEvent(s.start, s.token, noise)
 			m := newEngineModel()
 			// Two seconds of forty requests a second.
 			for range 80 {
-				work := map[engineWork]float64{workStart: 1, workToken: 300 + 6000*noise.Float64(), workStream: float64(noise.IntN(10))}
+				work := map[engineWork]float64{workPerRequest: 1, workPerToken: 300 + 6000*noise.Float64(), workPerStream: float64(noise.IntN(10))}
 				m.times.observe(work, truth(work))
 			}
 			for _, tokens := range []float64{500, 3000, 9000} {
-				work := map[engineWork]float64{workStart: 1, workToken: tokens, workStream: 5}
+				work := map[engineWork]float64{workPerRequest: 1, workPerToken: tokens, workPerStream: 5}
 				want := float64(s.start) + tokens*float64(s.token)
-				if got := m.times.sum(work); !near(got, want, 0.35) {
+				if got := m.times.sum(work); !withinFraction(got, want, 0.35) {
 					t.Errorf("%v tokens: expected %v, it is %v", tokens, time.Duration(got), time.Duration(want))
 				}
 			}
--- a/relay/piececall.go
+++ b/relay/piececall.go
@@ -9,17 +9,17 @@
 	"emberlead/proto"
 )
 
-// errBusy means that the target had no free slot for a call. errCallGivenUp means that the call was abandoned because
+// errBusy means that the target had no free slot for a call. errCallAbandoned means that the call was abandoned because
 // it took too long and other calls made its pieces.
 var (
-	errBusy        = errors.New("the target has no free slot")
-	errCallGivenUp = errors.New("the call took too long, and its pieces are made elsewhere")
+	errBusy          = errors.New("the target has no free slot")
+	errCallAbandoned = errors.New("the call took too long, and its pieces are made elsewhere")
 )
 
-// callsBeside is the maximum number of concurrent calls to one target for the same pieces.
-const callsBeside = 2
+// maxConcurrentCalls is the maximum number of concurrent calls to one target for the same pieces.
+const maxConcurrentCalls = 2
 
-type callEnd struct {
+type callResult struct {
 	results []ItemResult
 	err     error
 }
@@ -32,45 +32,45 @@
 	p := w.pieces
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	ends := make(chan callEnd, callsBeside)
-	begin := func() {
-		results, err := p.call(ctx, c)
-		ends <- callEnd{results, err}
+	done := make(chan callResult, maxConcurrentCalls)
+	start := func() {
+		results, err := p.sendCall(ctx, c)
+		done <- callResult{results, err}
 	}
-	open := 1
-	go begin()
-	overdue := p.clock.NewTimer(callSlack * max(c.Expected, c.BaseTime))
+	running := 1
+	go start()
+	overdue := p.clock.NewTimer(overdueCheckFactor * max(c.Expected, c.BaseTime))
 	defer overdue.Stop()
 	for {
 		select {
-		case end := <-ends:
-			open--
-			if end.err == nil || open == 0 {
-				return end.results, end.err
+		case result := <-done:
+			running--
+			if result.err == nil || running == 0 {
+				return result.results, result.err
 			}
 		case <-overdue.Chan():
-			switch standing := w.standing(c); {
-			case standing == overdueAbandon:
-				return nil, errCallGivenUp
-			case standing == overdueRepeat && open < callsBeside:
+			switch action := w.checkOverdue(c); {
+			case action == overdueAbandon:
+				return nil, errCallAbandoned
+			case action == overdueRepeat && running < maxConcurrentCalls:
 				p.log.Warn("a call for pieces takes long and is made again beside", "pool", w.pool, "shard", w.index, "target", c.Target.ID, "pieces", len(c.Items),
 					"took", formatDuration(p.clock.Now().Sub(c.StartedAt)), "expected", formatDuration(c.Expected), "reason", "no other target may make them")
-				open++
-				go begin()
+				running++
+				go start()
 			}
 			overdue.Reset(max(c.Expected, c.BaseTime, minStartTimeout))
 		}
 	}
 }
 
-func (w *worker) standing(c *Call) overdueAction {
+func (w *worker) checkOverdue(c *Call) overdueAction {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.batcher.checkOverdue(w.pieces.clock.Now(), c)
 }
 
-// call sends a call once and reads its response.
-func (p *PieceScheduler) call(ctx context.Context, c *Call) ([]ItemResult, error) {
+// sendCall sends a call once and reads its response.
+func (p *PieceScheduler) sendCall(ctx context.Context, c *Call) ([]ItemResult, error) {
 	out, err := p.dialect.BuildPiecesRequest(c, p.clock.Now())
 	if err != nil {
 		return nil, err
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	defer in.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(in.Body, piecesMost))
+	body, err := io.ReadAll(io.LimitReader(in.Body, maxResponseBytes))
 	if err != nil {
 		return nil, &Error{Op: "read pieces", Kind: proto.KindUnknown, Err: err}
 	}
--- a/relay/piececall_test.go
+++ b/relay/piececall_test.go
@@ -15,8 +15,8 @@
 	"emberlead/proto"
 )
 
-// busyBeside answers its first call after a time and refuses others meanwhile, as a target with one slot does.
-func busyBeside(first racer) racer {
+// busyAfterFirst answers its first call after a time and refuses others meanwhile, as a target with one slot does.
+func busyAfterFirst(first racer) racer {
 	var calls atomic.Int64
 	return func(ctx context.Context) (*TargetResponse, error) {
 		if calls.Add(1) > 1 {
@@ -48,14 +48,14 @@
 		most  time.Duration
 		asked int
 	}{
-		{"the only target is late", []racer{busyBeside(made(long))}, proto.AllowedRegions{}, false, long, 0},
-		{"the other one leaves", []racer{busyBeside(made(long)), made(0)}, proto.AllowedRegions{}, true, long, 0},
-		{"the other one is away from the regions of the request", []racer{busyBeside(made(long)), made(0)}, proto.AllowRegions([]string{"north"}), false, long, 0},
-		{"the other one breaks off", []racer{busyBeside(made(long)), failsAfter(raceTypicalLatency)}, proto.AllowedRegions{}, false, long, 0},
+		{"the only target is late", []racer{busyAfterFirst(made(long))}, proto.AllowedRegions{}, false, long, 0},
+		{"the other one leaves", []racer{busyAfterFirst(made(long)), made(0)}, proto.AllowedRegions{}, true, long, 0},
+		{"the other one is away from the regions of the request", []racer{busyAfterFirst(made(long)), made(0)}, proto.AllowRegions([]string{"north"}), false, long, 0},
+		{"the other one breaks off", []racer{busyAfterFirst(made(long)), failsAfter(raceTypicalLatency)}, proto.AllowedRegions{}, false, long, 0},
 		{"the only target's connection has fallen silent", []racer{respondsInTurn(hangs, made(raceTypicalLatency))}, proto.AllowedRegions{}, false, long / 2, 2},
-		{"the only target at home is late", []racer{made(0), busyBeside(made(long))}, south, false, long, 0},
+		{"the only target at home is late", []racer{made(0), busyAfterFirst(made(long))}, south, false, long, 0},
 		{"another makes them", []racer{hangs, made(raceTypicalLatency)}, proto.AllowedRegions{}, false, long / 2, 1},
-		{"another has hung as well", []racer{busyBeside(made(long)), hangs}, proto.AllowedRegions{}, false, long, 0},
+		{"another has hung as well", []racer{busyAfterFirst(made(long)), hangs}, proto.AllowedRegions{}, false, long, 0},
 		{"all connections have fallen silent", []racer{respondsInTurn(hangs, made(raceTypicalLatency)), respondsInTurn(hangs, made(raceTypicalLatency))}, proto.AllowedRegions{}, false, long / 2, 2},
 	}
 	for _, s := range scenarios {
@@ -74,7 +74,7 @@
 				now := clock.Now()
 				w := p.workerFor(shard{pool: "p"})
 				ask := proto.PiecesAsk{Pool: "p", RequestID: "r", Pieces: 2, ResultBytes: 10, AllowedRegions: s.homes}
-				answers, refused := w.add(&Job{Params: ask, Due: now.Add(time.Hour), Deadline: now.Add(time.Hour)})
+				answers, refused := w.addJob(&Job{Params: ask, Due: now.Add(time.Hour), Deadline: now.Add(time.Hour)})
 				if refused != nil {
 					t.Fatal(refused.Detail)
 				}
--- a/relay/pieces.go
+++ b/relay/pieces.go
@@ -16,22 +16,24 @@
 )
 
 const (
-	// silenceCheck is how often a daemon that waits for the answer of another one checks that the other is alive.
-	silenceCheck = 150 * time.Millisecond
+	// silenceCheckInterval is how often a daemon that waits for the answer of another one checks that the other is
+	// alive.
+	silenceCheckInterval = 150 * time.Millisecond
 	// freeInterval is how long results to be freed are collected, since one call for each would cost more than the
 	// storage that it releases.
 	freeInterval = 20 * time.Millisecond
 	// limitedFreeInterval is the same for targets with a rate limit, which calls that free results must not use up.
 	limitedFreeInterval = time.Second
-	// expireEvery is how often a worker checks its jobs for expired ones.
-	expireEvery = 50 * time.Millisecond
-	// callSlack is how long a call may take before it is checked whether its results are still needed, as a multiple of
-	// its expected time or of the configured time of an empty call, whichever is longer. Slow targets stay below it.
-	callSlack = 6
-	// freeWait is the timeout of a call that frees results.
-	freeWait = time.Second
-	// piecesMost is the maximum size of the response to a call, in bytes.
-	piecesMost = 1 << 20
+	// expireInterval is how often a worker checks its jobs for expired ones.
+	expireInterval = 50 * time.Millisecond
+	// overdueCheckFactor is how long a call may take before it is checked whether its results are still needed, as a
+	// multiple of its expected time or of the configured time of an empty call, whichever is longer. Slow targets stay
+	// below it.
+	overdueCheckFactor = 6
+	// freeTimeout is the timeout of a call that frees results.
+	freeTimeout = time.Second
+	// maxResponseBytes is the maximum size of the response to a call, in bytes.
+	maxResponseBytes = 1 << 20
 	// batchTaskPrefix is the prefix of the names of batching tasks.
 	batchTaskPrefix = "batch/"
 )
@@ -54,24 +56,24 @@
 	queueTimes queueTimes
 	fetchTimes fetchTimes
 
-	crashes *CrashTracker
-	ends    *CrashDetector
+	crashes       *CrashTracker
+	crashDetector *CrashDetector
 
-	calls, items, failed atomic.Int64
+	callCount, pieceCount, failedCalls atomic.Int64
 }
 
 // PieceSchedulerOption configures a PieceScheduler.
 type PieceSchedulerOption func(*PieceScheduler)
 
 // WithCrashDetection refuses the requests that crashes blocks, and reports failed calls to the crash detector.
-func WithCrashDetection(crashes *CrashTracker, ends *CrashDetector) PieceSchedulerOption {
-	return func(p *PieceScheduler) { p.crashes, p.ends = crashes, ends }
+func WithCrashDetection(crashes *CrashTracker, crashDetector *CrashDetector) PieceSchedulerOption {
+	return func(p *PieceScheduler) { p.crashes, p.crashDetector = crashes, crashDetector }
 }
 
 // NewPieceScheduler returns a scheduler without jobs.
 func NewPieceScheduler(self proto.VM, clock clockwork.Clock, log hclog.Logger, dialect Dialect, sender Sender, peers Peers, fleet *Fleet, tables *Tables, options ...PieceSchedulerOption) *PieceScheduler {
 	p := &PieceScheduler{self: self, clock: clock, log: log, dialect: dialect, sender: newNoticeSender(sender, dialect, fleet, clock, log), peers: peers, fleet: fleet, tables: tables, workers: map[shard]*worker{}}
-	p.freeQueue = &freeQueue{pieces: p, due: map[netip.AddrPort]*freeing{}}
+	p.freeQueue = &freeQueue{pieces: p, pending: map[netip.AddrPort]*freeBatch{}}
 	for _, option := range options {
 		option(p)
 	}
@@ -79,9 +81,9 @@
 }
 
 // Run makes all pieces of a stage, on the daemon that batches for the pool or, if that one is silent, on another.
-func (p *PieceScheduler) Run(ctx context.Context, ask proto.PiecesAsk, due, end time.Time) proto.PiecesAnswer {
+func (p *PieceScheduler) Run(ctx context.Context, ask proto.PiecesAsk, due, deadline time.Time) proto.PiecesAnswer {
 	ask.Shard = p.chooseShard(ask.Pool, ask.RequestID, ask.Rank)
-	answer := p.run(ctx, ask, due, end)
+	answer := p.run(ctx, ask, due, deadline)
 	answer.Shard = ask.Shard
 	if answer.Outcome == proto.PiecesDone || answer.Outcome == proto.PiecesRefused {
 		p.queueTimes.record(p.clock.Now(), queueKey{shard{ask.Pool, ask.Shard}, ask.Rank}, answer.QueueDelay)
@@ -89,8 +91,8 @@
 	return answer
 }
 
-// QueueTime returns the last known queueing time of a job of the given rank in a pool: that of its shortest shard,
-// since each job goes to the shorter of two shards.
+// EstimateWaitFor returns the last known queueing time of a job of the given rank in a pool: that of its shortest
+// shard, since each job goes to the shorter of two shards.
 func (p *PieceScheduler) QueueTime(pool string, rank int) time.Duration {
 	now := p.clock.Now()
 	least := p.queueTimes.estimate(now, queueKey{shard{pool, 0}, rank})
@@ -100,15 +102,15 @@
 	return least
 }
 
-func (p *PieceScheduler) run(ctx context.Context, ask proto.PiecesAsk, due, end time.Time) proto.PiecesAnswer {
+func (p *PieceScheduler) run(ctx context.Context, ask proto.PiecesAsk, due, deadline time.Time) proto.PiecesAnswer {
 	skip := map[proto.VM]bool{}
 	for ask.Attempt = 0; ctx.Err() == nil; ask.Attempt++ {
 		owner := p.peers.Owner(shard{ask.Pool, ask.Shard}.taskName(), skip)
 		if owner == p.self || owner == "" {
-			return p.RunLocally(ctx, ask, due, end)
+			return p.RunLocally(ctx, ask, due, deadline)
 		}
 		now := p.clock.Now()
-		ask.DueIn, ask.TimeLeft = due.Sub(now), end.Sub(now)
+		ask.DueIn, ask.TimeLeft = due.Sub(now), deadline.Sub(now)
 		answer, err := p.runRemotely(ctx, owner, ask)
 		if err == nil && answer.Outcome != proto.PiecesElsewhere {
 			return answer
@@ -138,7 +140,7 @@
 		}
 		answers <- remoteAnswer{answer, err}
 	}()
-	ticker := p.clock.NewTicker(silenceCheck)
+	ticker := p.clock.NewTicker(silenceCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -157,16 +159,16 @@
 }
 
 // RunLocally batches the pieces on this daemon and waits for their results.
-func (p *PieceScheduler) RunLocally(ctx context.Context, ask proto.PiecesAsk, due, end time.Time) proto.PiecesAnswer {
+func (p *PieceScheduler) RunLocally(ctx context.Context, ask proto.PiecesAsk, due, deadline time.Time) proto.PiecesAnswer {
 	w := p.workerFor(shard{ask.Pool, ask.Shard})
 	if w == nil {
 		return proto.PiecesAnswer{Outcome: proto.PiecesElsewhere, Detail: "the configuration in force here has no such pool of stages"}
 	}
-	if p.refuses(ask.Digest) {
+	if p.isBlocked(ask.Digest) {
 		return proto.PiecesAnswer{Outcome: proto.PiecesFailed, Detail: "targets ended that worked on the request"}
 	}
-	j := &Job{Params: ask, Due: due, Deadline: end}
-	answers, refused := w.add(j)
+	j := &Job{Params: ask, Due: due, Deadline: deadline}
+	answers, refused := w.addJob(j)
 	if refused != nil {
 		p.log.Info("pieces refused", "request", ask.RequestID, "stage", ask.Stage, "pool", ask.Pool, "pieces", ask.Pieces, "due", formatDuration(due.Sub(p.clock.Now())), "wait", formatDuration(refused.RetryAfter), "detail", refused.Detail)
 		return *refused
@@ -180,8 +182,8 @@
 	}
 }
 
-// refuses reports whether a request must not be worked on because targets that did have ended.
-func (p *PieceScheduler) refuses(request proto.RequestDigest) bool {
+// isBlocked reports whether a request must not be worked on because targets that did have ended.
+func (p *PieceScheduler) isBlocked(request proto.RequestDigest) bool {
 	_, refused := p.crashes.Blocks(request)
 	return refused
 }
@@ -208,7 +210,7 @@
 		p.freeQueue.enqueue(nil, d.Handles)
 		return
 	}
-	w.drop(d)
+	w.handleDrop(d)
 }
 
 // TargetsChanged updates the targets of the batchers of a pool.
@@ -218,7 +220,7 @@
 	p.mu.Unlock()
 	for _, w := range workers {
 		if w.pool == pool {
-			w.retarget()
+			w.updateTargets()
 		}
 	}
 }
@@ -231,7 +233,7 @@
 	pools := p.tables.Current().Routing().Pools
 	for _, w := range workers {
 		if spec := pools[w.pool]; spec != nil && spec.Batch != nil {
-			w.respec(*spec.Batch)
+			w.updateSpec(*spec.Batch)
 		}
 	}
 }
@@ -245,26 +247,26 @@
 
 // Counts returns the totals.
 func (p *PieceScheduler) Counts() PieceCounts {
-	return PieceCounts{Calls: p.calls.Load(), Pieces: p.items.Load(), Failed: p.failed.Load()}
+	return PieceCounts{Calls: p.callCount.Load(), Pieces: p.pieceCount.Load(), Failed: p.failedCalls.Load()}
 }
 
-func (p *PieceScheduler) workerFor(of shard) *worker {
+func (p *PieceScheduler) workerFor(key shard) *worker {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if w := p.workers[of]; w != nil {
+	if w := p.workers[key]; w != nil {
 		return w
 	}
 	table := p.tables.Current()
 	if table == nil {
 		return nil
 	}
-	spec := table.Routing().Pools[of.pool]
+	spec := table.Routing().Pools[key.pool]
 	if spec == nil || spec.Batch == nil {
 		return nil
 	}
-	w := &worker{pieces: p, shard: of, batcher: NewBatcher(*spec.Batch, WithRefusals(p.refuses)), waiting: map[*Job]chan proto.PiecesAnswer{}}
+	w := &worker{pieces: p, shard: key, batcher: NewBatcher(*spec.Batch, WithBlockedRequests(p.isBlocked)), waiters: map[*Job]chan proto.PiecesAnswer{}}
 	w.batcher.SetTargets(w.targets())
-	w.terms = p.fleet.poolLimits(p.clock.Now(), of.pool)
-	p.workers[of] = w
+	w.limits = p.fleet.poolLimits(p.clock.Now(), key.pool)
+	p.workers[key] = w
 	return w
 }
--- a/relay/queues.go
+++ b/relay/queues.go
@@ -16,8 +16,8 @@
 }
 
 type queueReport struct {
-	wait time.Duration
-	at   time.Time
+	delay      time.Duration
+	receivedAt time.Time
 }
 
 // queueTimes holds the last report on the queue of each pool, from whichever daemon batches for it.
@@ -40,9 +40,9 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	h := q.reports[key]
-	age := now.Sub(h.at)
+	age := now.Sub(h.receivedAt)
 	if age >= queueReportLifetime {
 		return 0
 	}
-	return time.Duration(float64(h.wait) * (1 - float64(age)/float64(queueReportLifetime)))
+	return time.Duration(float64(h.delay) * (1 - float64(age)/float64(queueReportLifetime)))
 }
--- a/relay/restart_test.go
+++ b/relay/restart_test.go
@@ -30,11 +30,11 @@
 // TestANewRunKnowsNothingOfTheLast gives a target a history in every respect and restarts it under the same id.
 func TestANewRunKnowsNothingOfTheLast(t *testing.T) {
 	f := fleetWith(putChange(1, targetRun("a", firstRunStart)))
-	old := f.Pick(start, "p", engineWant)
-	f.FinishAttempt(start, old, engineWant, false, VerdictFailure, Load{})
-	old = f.PickByID(start, "p", "a", engineWant)
+	old := f.Pick(start, "p", engineCriteria)
+	f.FinishAttempt(start, old, engineCriteria, false, VerdictFailure, Load{})
+	old = f.PickByID(start, "p", "a", engineCriteria)
 	old.otherLoad, old.otherLoadAt, old.slowdown = 3, start, 2.5
-	if old.cache.missingTokens(engineWant.SharedParts) != 0 || old.active == 0 || !old.health.ejected(start) {
+	if old.cache.missingTokens(engineCriteria.SharedParts) != 0 || old.active == 0 || !old.health.ejected(start) {
 		t.Fatal("the first run has no past")
 	}
 	notes := f.ApplyChanges(start, []FleetChange{putChange(2, targetRun("a", secondRunStart))})
@@ -50,7 +50,7 @@
 	if next == old || f.AcceptsWork(old) {
 		t.Fatal("the last run is still listed")
 	}
-	if next.cache.missingTokens(engineWant.SharedParts) == 0 {
+	if next.cache.missingTokens(engineCriteria.SharedParts) == 0 {
 		t.Error("the new run is thought to keep prompts")
 	}
 	if next.active != 0 || next.unreadTokens != 0 || next.pauseWeight != 0 || next.otherLoad != 0 || next.slowdown != 1 {
@@ -60,13 +60,13 @@
 		t.Error("the new run is left out for what the last one did")
 	}
 	// The attempt at the previous run ends now, which must not count for the new one.
-	f.FinishAttempt(start, old, engineWant, false, VerdictFailure, Load{Known: true, Running: 9, Slots: 4})
+	f.FinishAttempt(start, old, engineCriteria, false, VerdictFailure, Load{Known: true, Running: 9, Slots: 4})
 	if next.active != 0 || next.otherLoad != 0 || next.health.ejected(start) {
 		t.Error("the end of an attempt at the last run counts for the new one")
 	}
 }
 
-var engineWant = TargetCriteria{Engine: true, Route: "r", SharedParts: []proto.PromptPart{{ID: "a", Tokens: 5000}}, OwnTokens: 100, Zone: "z"}
+var engineCriteria = TargetCriteria{Engine: true, Route: "r", SharedParts: []proto.PromptPart{{ID: "a", Tokens: 5000}}, OwnTokens: 100, Zone: "z"}
 
 func TestATargetThatStartsAgainAndAgainIsChosenLess(t *testing.T) {
 	f := fleetWith(putChange(1, targetRun("often", firstRunStart)), putChange(2, targetRun("never", firstRunStart)))
--- a/relay/worker.go
+++ b/relay/worker.go
@@ -14,27 +14,27 @@
 	shard
 	pieces *PieceScheduler
 
-	mu      sync.Mutex
-	batcher *Batcher
-	waiting map[*Job]chan proto.PiecesAnswer
-	armed   bool
-	// terms holds the rate limits and backoffs that targets of the pool asked for.
-	terms []targetLimits
+	mu       sync.Mutex
+	batcher  *Batcher
+	waiters  map[*Job]chan proto.PiecesAnswer
+	timerSet bool
+	// limits holds the rate limits and backoffs that targets of the pool asked for.
+	limits []targetLimits
 }
 
-func (w *worker) add(j *Job) (chan proto.PiecesAnswer, *proto.PiecesAnswer) {
+func (w *worker) addJob(j *Job) (chan proto.PiecesAnswer, *proto.PiecesAnswer) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if refused := w.batcher.Add(w.pieces.clock.Now(), j); refused != nil {
 		return nil, refused
 	}
 	answers := make(chan proto.PiecesAnswer, 1)
-	w.waiting[j] = answers
-	w.turn()
+	w.waiters[j] = answers
+	w.schedule()
 	return answers, nil
 }
 
-func (w *worker) drop(d proto.PiecesDrop) {
+func (w *worker) handleDrop(d proto.PiecesDrop) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	handles := d.Handles
@@ -42,7 +42,7 @@
 		handles = append(handles, w.batcher.Withdraw(d.RequestID, d.Stage)...)
 	}
 	w.pieces.freeQueue.enqueue(w, handles)
-	w.turn()
+	w.schedule()
 }
 
 // targets returns the targets of the shard that may get work.
@@ -51,33 +51,33 @@
 	return targetsInShard(w.pieces.fleet.Usable(w.pieces.clock.Now(), w.pool), w.index, shards)
 }
 
-func (w *worker) retarget() {
-	targets, terms := w.targets(), w.pieces.fleet.poolLimits(w.pieces.clock.Now(), w.pool)
+func (w *worker) updateTargets() {
+	targets, limits := w.targets(), w.pieces.fleet.poolLimits(w.pieces.clock.Now(), w.pool)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.settle(w.batcher.SetTargets(targets))
-	w.terms = terms
-	w.turn()
+	w.deliver(w.batcher.SetTargets(targets))
+	w.limits = limits
+	w.schedule()
 }
 
-func (w *worker) respec(spec proto.BatchSpec) {
+func (w *worker) updateSpec(spec proto.BatchSpec) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.batcher.SetSpec(spec)
-	w.turn()
+	w.schedule()
 }
 
-// turn sends the calls that are due. The caller holds the lock.
-func (w *worker) turn() {
-	w.batcher.setTargetLimits(w.terms, w.liveShare())
-	calls, ends := w.batcher.NextCalls(w.pieces.clock.Now())
-	w.settle(ends)
+// schedule sends the calls that are due. The caller holds the lock.
+func (w *worker) schedule() {
+	w.batcher.setTargetLimits(w.limits, w.liveShare())
+	calls, finished := w.batcher.NextCalls(w.pieces.clock.Now())
+	w.deliver(finished)
 	for _, c := range calls {
-		go w.send(c)
+		go w.runCall(c)
 	}
-	if w.batcher.Busy() && !w.armed {
-		w.armed = true
-		w.pieces.clock.AfterFunc(expireEvery, w.due)
+	if w.batcher.Busy() && !w.timerSet {
+		w.timerSet = true
+		w.pieces.clock.AfterFunc(expireInterval, w.onTimer)
 	}
 }
 
@@ -87,7 +87,7 @@
 
 // liveShare returns the fraction of the rate limits that this daemon may use.
 func (w *worker) liveShare() float64 {
-	if len(w.terms) == 0 {
+	if len(w.limits) == 0 {
 		return 1
 	}
 	share := w.pieces.peers.Share()
@@ -97,27 +97,27 @@
 	return share.liveShare()
 }
 
-func (w *worker) due() {
+func (w *worker) onTimer() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.armed = false
-	w.turn()
+	w.timerSet = false
+	w.schedule()
 }
 
-func (w *worker) settle(ends []FinishedJob) {
-	for _, e := range ends {
-		if answers := w.waiting[e.Job]; answers != nil {
-			e.Answer.QueueDelay = w.batcher.QueueTime(w.pieces.clock.Now(), e.Job)
+func (w *worker) deliver(finished []FinishedJob) {
+	for _, e := range finished {
+		if answers := w.waiters[e.Job]; answers != nil {
+			e.Answer.QueueDelay = w.batcher.EstimateWaitFor(w.pieces.clock.Now(), e.Job)
 			answers <- e.Answer
-			delete(w.waiting, e.Job)
+			delete(w.waiters, e.Job)
 		}
 		if e.Answer.Outcome != proto.PiecesDone {
-			w.pieces.freeQueue.enqueue(w, e.Job.results())
+			w.pieces.freeQueue.enqueue(w, e.Job.resultHandles())
 		}
 	}
 }
 
-func (j *Job) results() []string {
+func (j *Job) resultHandles() []string {
 	var made []string
 	for _, h := range j.handles {
 		if h != "" {
@@ -127,18 +127,18 @@
 	return made
 }
 
-func (w *worker) send(c *Call) {
+func (w *worker) runCall(c *Call) {
 	p := w.pieces
-	p.calls.Add(1)
-	p.items.Add(int64(len(c.Items)))
+	p.callCount.Add(1)
+	p.pieceCount.Add(int64(len(c.Items)))
 	// AfterFunc may run in the clock's goroutine, which must not wait for a lock.
-	fetched := p.clock.AfterFunc(p.fetchTimes.keepTime(w.pool), func() { go w.freeFetched(c) })
+	fetched := p.clock.AfterFunc(p.fetchTimes.keepTime(w.pool), func() { go w.releaseFetchedInputs(c) })
 	results, err := w.call(c)
 	fetched.Stop()
 	now := p.clock.Now()
 	if err != nil {
-		p.failed.Add(1)
-		w.noteFailed(c, err)
+		p.failedCalls.Add(1)
+		w.reportFailure(c, err)
 		p.log.Warn("a call for pieces failed", "pool", w.pool, "shard", w.index, "target", c.Target.ID, "address", c.Target.Address, "pieces", len(c.Items), "took", formatDuration(now.Sub(c.StartedAt)), "error", err)
 	} else {
 		p.log.Info("pieces made", "pool", w.pool, "shard", w.index, "target", c.Target.ID, "pieces", len(c.Items), "took", formatDuration(now.Sub(c.StartedAt)), "expected", formatDuration(c.Expected))
@@ -146,27 +146,27 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err != nil {
-		w.settle(w.batcher.CallFailed(now, c, errors.Is(err, errBusy)))
+		w.deliver(w.batcher.CallFailed(now, c, errors.Is(err, errBusy)))
 	} else {
-		w.learnFetch(c, results)
-		ends, unused := w.batcher.CallDone(now, c, results)
-		w.settle(ends)
+		w.recordFetch(c, results)
+		finished, unused := w.batcher.CallDone(now, c, results)
+		w.deliver(finished)
 		p.freeQueue.enqueue(w, unused)
 	}
-	w.turn()
+	w.schedule()
 }
 
-// noteFailed reports that a target may have ended while it worked on a call.
-func (w *worker) noteFailed(c *Call, err error) {
+// reportFailure reports that a target may have ended while it worked on a call.
+func (w *worker) reportFailure(c *Call, err error) {
 	p := w.pieces
-	silent := errors.Is(err, errCallGivenUp)
+	silent := errors.Is(err, errCallAbandoned)
 	if errors.Is(err, errBusy) || !silent && !p.fleet.InService(c.Target) {
 		return
 	}
 	var sendErr *SendError
 	if errors.As(err, &sendErr) && !sendErr.Written {
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			p.ends.RecordEnd(c.Target, err.Error())
+			p.crashDetector.RecordEnd(c.Target, err.Error())
 		}
 		return
 	}
@@ -175,30 +175,30 @@
 		requests = append(requests, item.Job.Params.Digest)
 	}
 	slices.Sort(requests)
-	p.ends.RecordFailure(c.Target, !silent, slices.Compact(requests)...)
+	p.crashDetector.RecordFailure(c.Target, !silent, slices.Compact(requests)...)
 }
 
-// freeFetched releases the inputs of a call that its target has fetched by now.
-func (w *worker) freeFetched(c *Call) {
+// releaseFetchedInputs releases the inputs of a call that its target has fetched by now.
+func (w *worker) releaseFetchedInputs(c *Call) {
 	w.mu.Lock()
-	given := w.batcher.fetched(w.pieces.clock.Now(), c)
+	released := w.batcher.releaseInputs(w.pieces.clock.Now(), c)
 	w.mu.Unlock()
-	for of, handles := range given {
-		w.pieces.Free(of.pool, of.index, handles)
+	for source, handles := range released {
+		w.pieces.Free(source.pool, source.index, handles)
 	}
 }
 
-// learnFetch records whether the target of a call had fetched the inputs that were released during the call.
-func (w *worker) learnFetch(c *Call, results []ItemResult) {
-	gave, fetched := false, true
+// recordFetch records whether the target of a call had fetched the inputs that were released during the call.
+func (w *worker) recordFetch(c *Call, results []ItemResult) {
+	released, fetched := false, true
 	for n, item := range c.Items {
 		if !item.Job.inputsFreed {
 			continue
 		}
-		gave = true
+		released = true
 		fetched = fetched && results[n].Outcome != proto.PiecesLost
 	}
-	if !gave {
+	if !released {
 		return
 	}
 	keep := w.pieces.fetchTimes.observe(w.pieces.clock.Now(), c.StartedAt, w.pool, fetched)
