--- a/relay/batch_test.go
+++ b/relay/batch_test.go
@@ -52,7 +52,7 @@
 	return made
 }
 
-func TestACallIsFilledFromSeveralRequests(t *testing.T) {
+func TestBatcherFillsCallFromSeveralRequests(t *testing.T) {
 	b := batcher(testTarget("t1", "p", "z"))
 	add(t, b, job("a", 3), job("b", 2), job("c", 4), job("d", 3))
 	calls := next(b, start)
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestAJobLargerThanACallIsDivided(t *testing.T) {
+func TestBatcherSplitsLargeJob(t *testing.T) {
 	b := batcher(testTarget("t1", "p", "z"), testTarget("t2", "p", "z"))
 	b.spec.MaxResultBytes = 0
 	add(t, b, job("a", 10))
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestRoomIsCountedUntilResultsAreFreed(t *testing.T) {
+func TestBatcherCountsRoomUntilResultsAreFreed(t *testing.T) {
 	b := batcher(testTarget("t1", "p", "z"))
 	add(t, b, job("a", 8), job("b", 4), job("c", 1))
 	first := next(b, start)[0]
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestResultsThatNobodyFreesGoByThemselves(t *testing.T) {
+func TestBatcherExpiresResults(t *testing.T) {
 	b := batcher(testTarget("t1", "p", "z"))
 	add(t, b, job("a", 8), job("b", 8))
 	first := next(b, start)[0]
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestATargetWithLessRoomThanCountedIsLeftAlone(t *testing.T) {
+func TestBatcherSkipsTargetWithoutRoom(t *testing.T) {
 	b := batcher(testTarget("t1", "p", "z"))
 	add(t, b, job("a", 2))
 	c := next(b, start)[0]
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestAJobIsNotBegunWithAPartOfItsResults(t *testing.T) {
+func TestBatcherStartsJobOnlyWithRoomForAllPieces(t *testing.T) {
 	b := batcher(testTarget("t1", "p", "z"))
 	add(t, b, job("a", 8), job("b", 6), job("c", 4))
 	first := next(b, start)[0]
@@ -164,7 +164,7 @@
 	}
 }
 
-func TestAJobThatNeedsMuchRoomBeginsWithAPart(t *testing.T) {
+func TestBatcherSplitsJobThatNeedsMuchRoom(t *testing.T) {
 	b := batcher(testTarget("t1", "p", "z"))
 	add(t, b, job("a", 5), job("b", 8))
 	first := next(b, start)[0]
@@ -175,7 +175,7 @@
 	}
 }
 
-func TestFailedCallsAreSentElsewhereAndThenGivenUp(t *testing.T) {
+func TestBatcherRetriesFailedCallsOnOtherTargets(t *testing.T) {
 	b := batcher(testTarget("t1", "p", "z"), testTarget("t2", "p", "z"))
 	add(t, b, job("a", 4))
 	now := start
@@ -203,7 +203,7 @@
 	}
 }
 
-func TestABusyTargetIsNoFailure(t *testing.T) {
+func TestBatcherDoesNotCountBusyTargetAsFailure(t *testing.T) {
 	b := batcher(testTarget("t1", "p", "z"))
 	add(t, b, job("a", 4))
 	now := start
@@ -219,7 +219,7 @@
 	}
 }
 
-func TestAnOverdueCallIsMadeElsewhereAndTheFirstResultCounts(t *testing.T) {
+func TestBatcherRepeatsOverdueCallOnOtherTarget(t *testing.T) {
 	b := batcher(testTarget("t1", "p", "z"), testTarget("t2", "p", "z"))
 	add(t, b, job("a", 4))
 	slow := next(b, start)[0]
@@ -238,7 +238,7 @@
 	}
 }
 
-func TestInputsPullAJobIntoTheirZoneForATime(t *testing.T) {
+func TestBatcherPrefersZoneOfInputsForLimitedTime(t *testing.T) {
 	b := batcher(testTarget("far", "p", "y"), testTarget("near", "p", "z"))
 	add(t, b, job("first", 8))
 	busy := next(b, start)[0]
@@ -264,7 +264,7 @@
 	}
 }
 
-func TestWithdrawnJobsMakeNoMoreWork(t *testing.T) {
+func TestBatcherDropsWithdrawnJobs(t *testing.T) {
 	b := batcher(testTarget("t1", "p", "z"))
 	add(t, b, job("a", 2), job("b", 8))
 	c := next(b, start)[0]
@@ -279,9 +279,9 @@
 	}
 }
 
-// TestEveryJobEndsOnceWithItsOwnResults plays random arrivals, failures, targets without room, overdue calls, and
-// targets that come and go.
-func TestEveryJobEndsOnceWithItsOwnResults(t *testing.T) {
+// TestBatcherEndsEveryJobOnceWithItsOwnResults plays random arrivals, failures, targets without room, overdue calls,
+// and targets that come and go.
+func TestBatcherEndsEveryJobOnceWithItsOwnResults(t *testing.T) {
 	for seed := range uint64(300) {
 		runRandomBatches(t, rand.New(rand.NewPCG(seed, 1)))
 	}
--- a/relay/batchends_test.go
+++ b/relay/batchends_test.go
@@ -11,9 +11,9 @@
 	"emberlead/proto"
 )
 
-// TestACallThatFailsTwiceIsMadeJobByJob has a request that crashes each target that makes a piece of it, while its
-// pieces share calls with those of other requests.
-func TestACallThatFailsTwiceIsMadeJobByJob(t *testing.T) {
+// TestBatcherSeparatesJobsAfterRepeatedFailures has a request that crashes each target that makes a piece of it, while
+// its pieces share calls with those of other requests.
+func TestBatcherSeparatesJobsAfterRepeatedFailures(t *testing.T) {
 	crashes := newTestCrashTracker(clockwork.NewFakeClockAt(start))
 	pool := batchSpec
 	pool.MaxPieces = 12
--- a/relay/batchinputs_test.go
+++ b/relay/batchinputs_test.go
@@ -14,7 +14,7 @@
 	return j
 }
 
-func TestInputsOfACallUnderWayAreGivenUpOnce(t *testing.T) {
+func TestBatcherReleasesInputsOfCallOnce(t *testing.T) {
 	b := batcher(testTarget("t1", "p", "z"))
 	b.spec.MaxResultBytes = 0
 	kept := job("kept", 1)
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestInputsAreKeptWhereRoomIsInDoubt(t *testing.T) {
+func TestBatcherKeepsInputsWhileTargetMayLackRoom(t *testing.T) {
 	b := batcher(testTarget("t1", "p", "z"))
 	b.startedAt = start.Add(-batchSpec.ResultLifetime)
 	add(t, b, soleReaderJob("a", 2))
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestInputsAreKeptWhileAnEarlierDaemonsResultsMayBeThere has a daemon that has just started to batch for a pool.
-func TestInputsAreKeptWhileAnEarlierDaemonsResultsMayBeThere(t *testing.T) {
+// TestBatcherKeepsInputsWhileResultsOfEarlierDaemonMayExist has a daemon that has just started to batch for a pool.
+func TestBatcherKeepsInputsWhileResultsOfEarlierDaemonMayExist(t *testing.T) {
 	b := batcher(testTarget("t1", "p", "z"))
 	add(t, b, soleReaderJob("a", 2), soleReaderJob("b", 7))
 	first := next(b, start)[0]
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestInputsOfPiecesThatWereQueuedAgainAreKept has an overdue call, so that two targets read the same inputs.
-func TestInputsOfPiecesThatWereQueuedAgainAreKept(t *testing.T) {
+// TestBatcherKeepsInputsOfRequeuedPieces has an overdue call, so that two targets read the same inputs.
+func TestBatcherKeepsInputsOfRequeuedPieces(t *testing.T) {
 	b := batcher(testTarget("t1", "p", "z"), testTarget("t2", "p", "z"))
 	b.startedAt = start.Add(-batchSpec.ResultLifetime)
 	add(t, b, soleReaderJob("a", 2))
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestAPieceWithoutInputsIsNotMadeAgain has calls fail after their inputs were released.
-func TestAPieceWithoutInputsIsNotMadeAgain(t *testing.T) {
+// TestBatcherDoesNotRepeatPieceWithoutInputs has calls fail after their inputs were released.
+func TestBatcherDoesNotRepeatPieceWithoutInputs(t *testing.T) {
 	scenarios := []struct {
 		name string
 		end  func(b *Batcher, c *Call) []FinishedJob
--- a/relay/batchqueue_test.go
+++ b/relay/batchqueue_test.go
@@ -8,7 +8,7 @@
 	"emberlead/proto"
 )
 
-func TestTurns(t *testing.T) {
+func TestBatcherQueueOrder(t *testing.T) {
 	due := func(j *Job, after time.Duration) *Job {
 		j.Due = start.Add(after)
 		return j
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestWhatCannotBeInTimeIsRefusedBeforeAnythingRan(t *testing.T) {
+func TestBatcherRefusesJobThatCannotBeInTime(t *testing.T) {
 	b := batcher(testTarget("t1", "p", "z"))
 	b.spec.MaxResultBytes = 0
 	add(t, b, job("a", 8), job("b", 8), job("c", 8))
@@ -62,9 +62,9 @@
 	}
 }
 
-// TestAJobThatWillBeLateButSurelyMadeIsTaken accepts a job that will be late but be made before its deadline: if it
+// TestBatcherAcceptsLateJobThatMeetsDeadline accepts a job that will be late but be made before its deadline: if it
 // were refused, a retry would not be served any earlier.
-func TestAJobThatWillBeLateButSurelyMadeIsTaken(t *testing.T) {
+func TestBatcherAcceptsLateJobThatMeetsDeadline(t *testing.T) {
 	b := batcher(testTarget("t1", "p", "z"))
 	b.spec.MaxResultBytes = 0
 	add(t, b, job("a", 8), job("b", 8), job("c", 8))
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestALateJobThatWillNotBeMadeIsGivenUpAtOnce fills the queue with urgent work after a late job was accepted.
-func TestALateJobThatWillNotBeMadeIsGivenUpAtOnce(t *testing.T) {
+// TestBatcherRefusesLateJobThatMissesDeadline fills the queue with urgent work after a late job was accepted.
+func TestBatcherRefusesLateJobThatMissesDeadline(t *testing.T) {
 	b := batcher(testTarget("t1", "p", "z"))
 	b.spec.MaxResultBytes = 0
 	add(t, b, job("busy", 8))
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestTheLastIdleTargetIsLeftToUrgentWork(t *testing.T) {
+func TestBatcherReservesLastIdleTargetForUrgentWork(t *testing.T) {
 	ranked := func(rank, pieces int, due time.Duration) *Job {
 		j := job(fmt.Sprintf("r%d-%d-%v ", rank, pieces, due), pieces)
 		j.Params.Rank, j.Due = rank, start.Add(due)
@@ -138,7 +138,7 @@
 	}
 }
 
-func TestAnswersTellOfTheQueue(t *testing.T) {
+func TestBatcherReportsQueueDelay(t *testing.T) {
 	b := batcher(testTarget("t1", "p", "z"))
 	b.spec.MaxResultBytes = 0
 	asked := job("a", 8)
--- a/relay/endwatch_test.go
+++ b/relay/endwatch_test.go
@@ -27,9 +27,9 @@
 	return p.answers[min(n, len(p.answers))-1]
 }
 
-// TestAnEndIsFoundOutByWhatFollowsAFailedAttempt has one attempt fail and then shows different signs of whether its
+// TestCrashDetectorProbesAfterFailedAttempt has one attempt fail and then shows different signs of whether its
 // target has ended.
-func TestAnEndIsFoundOutByWhatFollowsAFailedAttempt(t *testing.T) {
+func TestCrashDetectorProbesAfterFailedAttempt(t *testing.T) {
 	scenarios := []struct {
 		name   string
 		broken bool
@@ -103,8 +103,8 @@
 	t.Fatal("not within 20 s")
 }
 
-// TestAttemptsThatFailAfterTheEndIsKnownCountAtOnce has two requests fail at a run that is already known to have ended.
-func TestAttemptsThatFailAfterTheEndIsKnownCountAtOnce(t *testing.T) {
+// TestCrashDetectorCountsFailuresAfterKnownEnd has two requests fail at a run that is already known to have ended.
+func TestCrashDetectorCountsFailuresAfterKnownEnd(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(start)
 	c := newTestCrashTracker(clock)
 	w := NewCrashDetector(clock, hclog.NewNullLogger(), &stubProber{}, c)
@@ -123,8 +123,8 @@
 	}
 }
 
-// TestATargetThatAnswersHasNotEnded has a target refuse connections before it listens.
-func TestATargetThatAnswersHasNotEnded(t *testing.T) {
+// TestCrashDetectorClearsEndOfAnsweringTarget has a target refuse connections before it listens.
+func TestCrashDetectorClearsEndOfAnsweringTarget(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(start)
 	c := newTestCrashTracker(clock)
 	w := NewCrashDetector(clock, hclog.NewNullLogger(), &stubProber{}, c)
@@ -143,8 +143,8 @@
 	}
 }
 
-// TestWhichTargetsAreOverWithoutHavingLeft checks which changes of the fleet count as the crash of a target.
-func TestWhichTargetsAreOverWithoutHavingLeft(t *testing.T) {
+// TestFleetChangesThatCountAsCrash checks which changes of the fleet count as the crash of a target.
+func TestFleetChangesThatCountAsCrash(t *testing.T) {
 	leaving := targetRun("a", firstRunStart)
 	leaving.Leaving = true
 	scenarios := []struct {
@@ -172,8 +172,8 @@
 	}
 }
 
-// TestWhatAnAttemptsEndSaysOfTheRequest ends an attempt in each way, and then removes the entry of its target.
-func TestWhatAnAttemptsEndSaysOfTheRequest(t *testing.T) {
+// TestCrashSuspicionByAttemptOutcome ends an attempt in each way, and then removes the entry of its target.
+func TestCrashSuspicionByAttemptOutcome(t *testing.T) {
 	const request = proto.RequestDigest(7)
 	gone := []FleetChange{{ID: "t", Version: rev(2), Removed: true}}
 	leaves := testTarget("t", "p", "z")
--- a/relay/fetches_test.go
+++ b/relay/fetches_test.go
@@ -13,7 +13,7 @@
 	"emberlead/proto"
 )
 
-func TestHowLongInputsAreKeptIsLearnt(t *testing.T) {
+func TestFetchTimesAdjustKeepTime(t *testing.T) {
 	scenarios := []struct {
 		name              string
 		fetched, tooEarly int
@@ -47,11 +47,11 @@
 	}
 }
 
-// TestResultsThatGoWithTheirTargetCountOnce has a third of the targets of a pool end while thirty calls of the next
+// TestFetchTimesCountTargetEndOnce has a third of the targets of a pool end while thirty calls of the next
 // pool read their results. Each call finds its inputs gone, but none of them was released too early. If each counted,
 // inputs would be kept for seconds, and a target of the pool, which has room for the results of two calls, would have
 // no room for full ones.
-func TestResultsThatGoWithTheirTargetCountOnce(t *testing.T) {
+func TestFetchTimesCountTargetEndOnce(t *testing.T) {
 	var f fetchTimes
 	ended := start.Add(time.Second)
 	for i := range 30 {
@@ -79,8 +79,8 @@
 	return f
 }
 
-// TestInputsAreFreedOnceTheyAreFetched has a target that does not respond while it works.
-func TestInputsAreFreedOnceTheyAreFetched(t *testing.T) {
+// TestInputsAreFreedOnceFetched has a target that does not respond while it works.
+func TestInputsAreFreedOnceFetched(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(start)
 	f := newSentFlow(t, clock)
 	clock.Advance(initialKeepTime - time.Nanosecond)
@@ -106,9 +106,9 @@
 	}
 }
 
-// TestResultsThatAreMadeAnewAreNotFreedByAnEarlierAttempt has the keep time of an attempt expire after its inputs were
+// TestEarlierAttemptDoesNotFreeRecreatedInputs has the keep time of an attempt expire after its inputs were
 // made again for the next one.
-func TestResultsThatAreMadeAnewAreNotFreedByAnEarlierAttempt(t *testing.T) {
+func TestEarlierAttemptDoesNotFreeRecreatedInputs(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(start)
 	f := newSentFlow(t, clock)
 	before := f.stageResults
@@ -138,9 +138,9 @@
 	return nil, &SendError{Written: true, Err: errors.New("connection reset")}
 }
 
-// TestARetryWithoutInputsHasItsStagesDoneAnew has a target fail after the inputs were released: another target could
+// TestRetryWithoutInputsRepeatsStages has a target fail after the inputs were released: another target could
 // only report that they are gone.
-func TestARetryWithoutInputsHasItsStagesDoneAnew(t *testing.T) {
+func TestRetryWithoutInputsRepeatsStages(t *testing.T) {
 	for _, freed := range []bool{false, true} {
 		f := newStagedFlow(&recordingPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}}, 1)
 		sender := &failingSender{}
--- a/relay/linear_test.go
+++ b/relay/linear_test.go
@@ -34,7 +34,7 @@
 	return map[int]float64{fixedCallCost: 1, 8_000: float64(noise.IntN(5)), 60_000: 1 + float64(noise.IntN(6))}
 }
 
-func TestWhatCallsTakeIsLearntWithinTwoSeconds(t *testing.T) {
+func TestCallModelLearnsCallTimes(t *testing.T) {
 	const ms = float64(time.Millisecond)
 	scenarios := []struct {
 		name       string
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestOutliersMoveWhatIsLearntLittle(t *testing.T) {
+func TestCallModelIsRobustToOutliers(t *testing.T) {
 	m := newCallModel(proto.BatchSpec{CallCost: 200 * time.Millisecond, PieceCost: 20 * time.Millisecond})
 	amounts := map[int]float64{fixedCallCost: 1, 60_000: 8}
 	usual := m.times.sum(amounts)
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestAChangedDescriptionIsLearntAnew(t *testing.T) {
+func TestCallModelResetsOnChangedSpec(t *testing.T) {
 	spec := proto.BatchSpec{CallCost: 200 * time.Millisecond, PieceCost: 20 * time.Millisecond}
 	m := newCallModel(spec)
 	for range 50 {
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestEnginesAreLearntFromFirstEvents(t *testing.T) {
+func TestEngineModelLearnsFromFirstEvents(t *testing.T) {
 	scenarios := []struct {
 		name         string
 		start, token time.Duration
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestAnEngineThatTurnsSlowIsLeftForOthers(t *testing.T) {
+func TestFleetAvoidsEngineThatBecomesSlow(t *testing.T) {
 	f := engineFleet(6)
 	now := start
 	slow := "e02"
@@ -171,7 +171,7 @@
 	}
 }
 
-func TestAnotherDaemonStartsFromWhatThePlacerLearnt(t *testing.T) {
+func TestFleetAdoptsEngineTimesOfPlacer(t *testing.T) {
 	owner, other := engineFleet(4), engineFleet(4)
 	w := promptCriteria("", 0, 3000)
 	w.SharedParts = nil
@@ -191,9 +191,9 @@
 	}
 }
 
-// TestStreamsOfTightRoutesAreSpared offers an engine whose streams allow short pauses and one whose streams allow long
-// ones.
-func TestStreamsOfTightRoutesAreSpared(t *testing.T) {
+// TestLongPromptAvoidsStreamsWithShortPauses offers an engine whose streams allow short pauses and one whose streams
+// allow long ones.
+func TestLongPromptAvoidsStreamsWithShortPauses(t *testing.T) {
 	f := engineFleet(2)
 	tight, loose := promptCriteria("", 0, 10), promptCriteria("", 0, 10)
 	tight.MaxPause, loose.MaxPause = 100*time.Millisecond, time.Second
--- a/relay/piececall_test.go
+++ b/relay/piececall_test.go
@@ -32,9 +32,9 @@
 	return func(ctx context.Context) (*TargetResponse, error) { return racers[calls.Add(1)-1](ctx) }
 }
 
-// TestACallForPiecesIsNotGivenUpForOneThatCannotBeMade has a call take twenty times its expected time. It must be
+// TestOverdueCallIsNotAbandonedBeforePiecesAreMade has a call take twenty times its expected time. It must be
 // abandoned only once another call has made its pieces.
-func TestACallForPiecesIsNotGivenUpForOneThatCannotBeMade(t *testing.T) {
+func TestOverdueCallIsNotAbandonedBeforePiecesAreMade(t *testing.T) {
 	const long = 5 * time.Second
 	made := func(wait time.Duration) racer { return whole(wait, "{}") }
 	south := proto.AllowRegions([]string{"south"})
--- a/relay/pieces_test.go
+++ b/relay/pieces_test.go
@@ -110,7 +110,7 @@
 	return p.Run(context.Background(), proto.PiecesAsk{Pool: "p", RequestID: "r", Pieces: 2, ResultBytes: 10}, now.Add(time.Hour), now.Add(time.Hour))
 }
 
-func TestPiecesAreMadeHereWhenTheOwnerCannot(t *testing.T) {
+func TestPieceSchedulerRunsLocallyWhenOwnerCannot(t *testing.T) {
 	scenarios := []struct {
 		name   string
 		answer func(context.Context) (proto.Message, error)
@@ -145,8 +145,8 @@
 	}
 }
 
-// TestASilentOwnerIsLeft has an owner that accepts the request and then falls silent.
-func TestASilentOwnerIsLeft(t *testing.T) {
+// TestPieceSchedulerAbandonsSilentOwner has an owner that accepts the request and then falls silent.
+func TestPieceSchedulerAbandonsSilentOwner(t *testing.T) {
 	peers := &scriptedPeers{silent: make(chan struct{}), answer: func(ctx context.Context) (proto.Message, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -164,7 +164,7 @@
 	}
 }
 
-func TestAChangedPoolIsTakenOverByItsBatcher(t *testing.T) {
+func TestPieceSchedulerUpdatesPoolSpec(t *testing.T) {
 	p := newTestPieceScheduler(clockwork.NewRealClock(), &recordingPeers{}, &stubSender{})
 	w := p.workerFor(shard{pool: "p"})
 	changed := batchSpec
--- a/relay/restart_test.go
+++ b/relay/restart_test.go
@@ -27,8 +27,8 @@
 	return all
 }
 
-// TestANewRunKnowsNothingOfTheLast gives a target a history in every respect and restarts it under the same id.
-func TestANewRunKnowsNothingOfTheLast(t *testing.T) {
+// TestRestartedTargetStartsWithoutHistory gives a target a history in every respect and restarts it under the same id.
+func TestRestartedTargetStartsWithoutHistory(t *testing.T) {
 	f := fleetWith(putChange(1, targetRun("a", firstRunStart)))
 	old := f.Pick(start, "p", engineCriteria)
 	f.FinishAttempt(start, old, engineCriteria, false, VerdictFailure, Load{})
@@ -68,7 +68,7 @@
 
 var engineCriteria = TargetCriteria{Engine: true, Route: "r", SharedParts: []proto.PromptPart{{ID: "a", Tokens: 5000}}, OwnTokens: 100, Zone: "z"}
 
-func TestATargetThatStartsAgainAndAgainIsChosenLess(t *testing.T) {
+func TestFrequentlyRestartedTargetIsChosenLess(t *testing.T) {
 	f := fleetWith(putChange(1, targetRun("often", firstRunStart)), putChange(2, targetRun("never", firstRunStart)))
 	version := uint64(3)
 	for i := range 8 {
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestATargetThatStartedAgainOnceIsChosenLikeOthers(t *testing.T) {
+func TestTargetRestartedOnceIsChosenLikeOthers(t *testing.T) {
 	f := fleetWith(putChange(1, targetRun("once", firstRunStart)), putChange(2, targetRun("never", firstRunStart)))
 	f.ApplyChanges(start, []FleetChange{putChange(3, targetRun("once", secondRunStart))})
 	chosen := map[string]int{}
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestStatementsOfAnEarlierRunAreNotTakenIn(t *testing.T) {
+func TestUpdatesOfEarlierRunAreIgnored(t *testing.T) {
 	leaving := targetRun("a", firstRunStart)
 	leaving.Leaving = true
 	scenarios := []struct {
@@ -140,7 +140,7 @@
 	}
 }
 
-func TestATargetThatMovesIsOnlyInItsNewPool(t *testing.T) {
+func TestMovedTargetIsOnlyInNewPool(t *testing.T) {
 	f := fleetWith(putChange(1, targetRun("a", firstRunStart)))
 	moved := targetRun("a", firstRunStart)
 	moved.Pool = "q"
@@ -150,7 +150,7 @@
 	}
 }
 
-func TestAnEntryThatNamesNoTargetIsNotUsedAndTheOthersHold(t *testing.T) {
+func TestUnusableEntryDoesNotAffectOthers(t *testing.T) {
 	unusable := FleetChange{ID: "a", Version: rev(9), Unusable: true}
 	scenarios := []struct {
 		name string
@@ -184,7 +184,7 @@
 	}
 }
 
-func TestTargetsThatDoNotTellTheirStartGoOnAsOneRun(t *testing.T) {
+func TestTargetsWithoutStartTimeCountAsOneRun(t *testing.T) {
 	f := fleetWith(putChange(1, testTarget("a", "p", "z")))
 	before := f.byID["a"]
 	changed := testTarget("a", "p", "z")
@@ -195,8 +195,8 @@
 	}
 }
 
-// TestACallToARunThatEndedIsMadeElsewhere has a target restart during a call, whose answer arrives after that.
-func TestACallToARunThatEndedIsMadeElsewhere(t *testing.T) {
+// TestCallToEndedRunIsRepeated has a target restart during a call, whose answer arrives after that.
+func TestCallToEndedRunIsRepeated(t *testing.T) {
 	b := batcher(targetRun("t1", firstRunStart))
 	add(t, b, job("a", 2))
 	call := next(b, start)[0]
@@ -219,8 +219,8 @@
 	}
 }
 
-// TestACallMayOutliveTheLastTargetOfItsPool removes the only target, as when its entry becomes unusable, during a call.
-func TestACallMayOutliveTheLastTargetOfItsPool(t *testing.T) {
+// TestCallMayOutliveLastTargetOfPool removes the only target, as when its entry becomes unusable, during a call.
+func TestCallMayOutliveLastTargetOfPool(t *testing.T) {
 	b := batcher(targetRun("t1", firstRunStart))
 	add(t, b, job("a", 2))
 	call := next(b, start)[0]
@@ -231,9 +231,9 @@
 	}
 }
 
-// TestResultsOfARunThatEndedAreMadeAgain has a job wait for its last piece when the target that made the others
+// TestResultsOfEndedRunAreMadeAgain has a job wait for its last piece when the target that made the others
 // restarts.
-func TestResultsOfARunThatEndedAreMadeAgain(t *testing.T) {
+func TestResultsOfEndedRunAreMadeAgain(t *testing.T) {
 	b := batcher(targetRun("t1", firstRunStart), targetRun("t2", firstRunStart))
 	j := job("a", 12)
 	add(t, b, j)
