--- a/relay/budget.go
+++ b/relay/budget.go
@@ -32,8 +32,8 @@
 // RetryBudget limits how often requests to one pool go to a further target. Each daemon earns the part from the ratio
 // by its own requests, so that daemons need not know of each other; the slack is divided between them.
 type RetryBudget struct {
-	mu    sync.Mutex
-	terms RetryBudgetConfig
+	mu     sync.Mutex
+	config RetryBudgetConfig
 	// startedAt is the start of the first step. Steps are measured on the monotonic clock, so changes of the wall clock
 	// do not affect them.
 	startedAt     time.Time
@@ -41,11 +41,11 @@
 }
 
 // NewRetryBudget returns a budget without any spent attempts.
-func NewRetryBudget(now time.Time, terms RetryBudgetConfig) *RetryBudget {
-	return &RetryBudget{terms: terms, startedAt: now}
+func NewRetryBudget(now time.Time, config RetryBudgetConfig) *RetryBudget {
+	return &RetryBudget{config: config, startedAt: now}
 }
 
-func (b *RetryBudget) stepLength() time.Duration { return b.terms.Window / budgetSteps }
+func (b *RetryBudget) stepLength() time.Duration { return b.config.Window / budgetSteps }
 
 func (b *RetryBudget) step(now time.Time) int64 { return int64(now.Sub(b.startedAt) / b.stepLength()) }
 
@@ -100,7 +100,7 @@
 	var tightest RetryBudgetState
 	for first := latest - budgetSteps; first <= latest; first++ {
 		s := RetryBudgetState{
-			Allowed: b.terms.Ratio*float64(b.countRequests(first, latest)) + b.terms.Slack*share,
+			Allowed: b.config.Ratio*float64(b.countRequests(first, latest)) + b.config.Slack*share,
 			Spent:   b.spent.between(first-spread, latest),
 		}
 		if first == latest-budgetSteps || s.Allowed-float64(s.Spent) < tightest.Allowed-float64(tightest.Spent) {
--- a/relay/budget_test.go
+++ b/relay/budget_test.go
@@ -8,7 +8,7 @@
 
 var start = time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC)
 
-var budgetTerms = RetryBudgetConfig{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}
+var testBudgetConfig = RetryBudgetConfig{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}
 
 // spendAll takes all attempts that a budget has left.
 func spendAll(b *RetryBudget, at time.Time, share float64) int {
@@ -22,7 +22,7 @@
 }
 
 func TestRetryBudgetDividesSlack(t *testing.T) {
-	b := NewRetryBudget(start, budgetTerms)
+	b := NewRetryBudget(start, testBudgetConfig)
 	if spent := spendAll(b, start, 0.2); spent != 10 {
 		t.Errorf("%d attempts from the slack, want 10", spent)
 	}
@@ -41,7 +41,7 @@
 }
 
 func TestRetryBudgetWithoutShareOfSlack(t *testing.T) {
-	b := NewRetryBudget(start, budgetTerms)
+	b := NewRetryBudget(start, testBudgetConfig)
 	for range 100 {
 		b.RecordRequest(start)
 	}
@@ -53,7 +53,7 @@
 // Guards against a daemon that keeps its allowance when its callers move to other daemons, which earn by the same
 // requests from then on.
 func TestRetryBudgetIgnoresEarlierRequests(t *testing.T) {
-	b := NewRetryBudget(start, budgetTerms)
+	b := NewRetryBudget(start, testBudgetConfig)
 	for range 100 {
 		b.RecordRequest(start)
 	}
@@ -64,7 +64,7 @@
 
 // Guards against attempts that are allowed twice if the clock goes back, as it may between processors.
 func TestRetryBudgetClockGoesBack(t *testing.T) {
-	b := NewRetryBudget(start, budgetTerms)
+	b := NewRetryBudget(start, testBudgetConfig)
 	later := start.Add(20 * time.Second)
 	spendAll(b, later, 1)
 	if state, ok := b.Spend(later.Add(-2*time.Second), 1); ok {
@@ -106,7 +106,7 @@
 
 // budgetSimulation simulates daemons that spend as much as they may.
 type budgetSimulation struct {
-	terms   RetryBudgetConfig
+	config  RetryBudgetConfig
 	random  *rand.Rand
 	at      time.Duration
 	budgets []*RetryBudget
@@ -118,11 +118,11 @@
 func newBudgetSimulation(seed uint64) *budgetSimulation {
 	const daemons = 6
 	h := &budgetSimulation{
-		terms: RetryBudgetConfig{Ratio: 0.2, Slack: 52, Window: 10 * time.Second}, random: rand.New(rand.NewPCG(3, seed)),
+		config: RetryBudgetConfig{Ratio: 0.2, Slack: 52, Window: 10 * time.Second}, random: rand.New(rand.NewPCG(3, seed)),
 		budgets: make([]*RetryBudget, daemons), shareFrom: make([]time.Duration, daemons),
 	}
 	for i := range h.budgets {
-		h.budgets[i] = NewRetryBudget(start, h.terms)
+		h.budgets[i] = NewRetryBudget(start, h.config)
 	}
 	return h
 }
@@ -149,21 +149,21 @@
 func (h *budgetSimulation) restart(part float64) {
 	for i := range h.budgets {
 		if h.random.Float64() < part {
-			h.budgets[i] = NewRetryBudget(start.Add(h.at), h.terms)
-			h.shareFrom[i] = h.at + h.terms.Window + budgetArrivalSpread
+			h.budgets[i] = NewRetryBudget(start.Add(h.at), h.config)
+			h.shareFrom[i] = h.at + h.config.Window + budgetArrivalSpread
 		}
 	}
 }
 
 func (h *budgetSimulation) check(t *testing.T) {
 	t.Helper()
-	window := h.terms.Window
+	window := h.config.Window
 	for end := window; end < budgetSimulationTime; end += 100 * time.Millisecond {
 		most := 0
 		for _, back := range []time.Duration{0, window / 2, window} {
 			most = max(most, within(h.requests, end-back-window, end-back))
 		}
-		if got := within(h.arrivals, end-window, end); float64(got) > h.terms.Ratio*float64(most)+h.terms.Slack {
+		if got := within(h.arrivals, end-window, end); float64(got) > h.config.Ratio*float64(most)+h.config.Slack {
 			t.Fatalf("%d further attempts until %s, with %d requests", got, end, most)
 		}
 	}
@@ -172,10 +172,10 @@
 // Far more attempts are requested than are allowed, at an even rate.
 func TestRetryBudgetIsUsedAtSteadyLoad(t *testing.T) {
 	const daemons, length = 6, 60 * time.Second
-	terms := RetryBudgetConfig{Ratio: 0.2, Slack: 52, Window: 10 * time.Second}
+	config := RetryBudgetConfig{Ratio: 0.2, Slack: 52, Window: 10 * time.Second}
 	budgets := make([]*RetryBudget, daemons)
 	for i := range budgets {
-		budgets[i] = NewRetryBudget(start, terms)
+		budgets[i] = NewRetryBudget(start, config)
 	}
 	requests, spent := 0, 0
 	for at := time.Duration(0); at < length; at += 5 * time.Millisecond {
@@ -186,7 +186,7 @@
 			spent++
 		}
 	}
-	allowed := terms.Ratio*float64(requests) + terms.Slack*float64(length/terms.Window)
+	allowed := config.Ratio*float64(requests) + config.Slack*float64(length/config.Window)
 	if used := float64(spent) / allowed; used < 0.9 {
 		t.Errorf("%d of %.0f allowed attempts were made, %.2f of them", spent, allowed, used)
 	}
--- a/relay/choice.go
+++ b/relay/choice.go
@@ -177,7 +177,7 @@
 	preferred := p.preferredTarget(now, w)
 	longPrompts := p.hasLongPrompts(now, w.Route)
 	p.tokenCost, p.streamCost = p.model.rates()
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	// Start at another target each time, so that targets of equal cost share the work.
 	p.rotation++
 	for i := range p.list {
@@ -194,8 +194,8 @@
 		if cold {
 			c += coldPenalty
 		}
-		if c < least {
-			best, least = t, c
+		if c < lowest {
+			best, lowest = t, c
 		}
 	}
 	return best, atCapacity
--- a/relay/coldsends.go
+++ b/relay/coldsends.go
@@ -37,35 +37,35 @@
 	open int
 }
 
-// left returns how many requests may be sent to a target now; most is the number that it may get within a second.
-func (c *coldSendLimiter) left(now time.Time, id string, most int) int {
+// left returns how many requests may be sent to a target now; quota is the number that it may get within a second.
+func (c *coldSendLimiter) left(now time.Time, id string, quota int) int {
 	t := c.targets[id]
 	if t == nil {
-		return most / 2
+		return quota / 2
 	}
 	t.sent = slices.DeleteFunc(t.sent, func(at time.Time) bool { return now.Sub(at) > coldWindow })
 	if len(t.sent) == 0 && t.open == 0 {
 		delete(c.targets, id)
 	}
-	return most/2 - max(len(t.sent), t.open)
+	return quota/2 - max(len(t.sent), t.open)
 }
 
 // allows reports whether a request of a rank may be sent.
-func (c *coldSendLimiter) allows(now time.Time, id string, most, rank int) bool {
+func (c *coldSendLimiter) allows(now time.Time, id string, quota, rank int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	kept := 0
+	reserved := 0
 	if rank > 0 {
-		kept = int(coldReserve * float64(most/2))
+		reserved = int(coldReserve * float64(quota/2))
 	}
-	return c.left(now, id, most) > kept
+	return c.left(now, id, quota) > reserved
 }
 
 // take counts a request that is sent now, unless none is left.
-func (c *coldSendLimiter) take(now time.Time, id string, most int) bool {
+func (c *coldSendLimiter) take(now time.Time, id string, quota int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.left(now, id, most) <= 0 {
+	if c.left(now, id, quota) <= 0 {
 		c.denied.Add(1)
 		return false
 	}
@@ -100,10 +100,10 @@
 
 // sendableCold returns the cold targets of a pool that this daemon may send a request of a rank to.
 func (p *Placer) sendableCold(now time.Time, pool string, rank int) map[string]bool {
-	ids, most := p.fleet.Cold(now, pool)
+	ids, quota := p.fleet.Cold(now, pool)
 	var may map[string]bool
 	for _, id := range ids {
-		if !p.peers.IsSoleOwner(coldTaskPrefix+id, coldHandoverDelay) || !p.coldLimiter.allows(now, id, most, rank) {
+		if !p.peers.IsSoleOwner(coldTaskPrefix+id, coldHandoverDelay) || !p.coldLimiter.allows(now, id, quota, rank) {
 			continue
 		}
 		if may == nil {
@@ -116,13 +116,13 @@
 
 // countCold counts a request to a cold target, unless other requests have used up the quota.
 func (p *Placer) countCold(now time.Time, placed *Placement) bool {
-	_, most := p.fleet.Cold(now, placed.pool)
-	if most == 0 {
+	_, quota := p.fleet.Cold(now, placed.pool)
+	if quota == 0 {
 		// All targets have become warm meanwhile.
 		return true
 	}
 	placed.Cold = true
-	placed.counted = p.coldLimiter.take(now, placed.Spec.ID, most)
+	placed.counted = p.coldLimiter.take(now, placed.Spec.ID, quota)
 	return placed.counted
 }
 
--- a/relay/coldsends_test.go
+++ b/relay/coldsends_test.go
@@ -19,8 +19,8 @@
 // five.
 var (
 	coldSpec        = proto.ColdSpec{WarmUpTime: 3 * time.Second, RequestsPerSecond: 6.7}
-	coldTerms       = ColdConfig{Factor: 1.5, Slack: 5}
-	coldMaxRequests = coldTerms.maxRequests(coldSpec)
+	testColdConfig  = ColdConfig{Factor: 1.5, Slack: 5}
+	coldMaxRequests = testColdConfig.maxRequests(coldSpec)
 )
 
 // coldPeers simulates daemons that cannot reach each other, and divide the targets as daemons do that count each other.
@@ -49,8 +49,8 @@
 }
 
 // coldFleet returns a fleet of engines, the first of which are cold.
-func coldFleet(engines, cold int) *Fleet {
-	f := NewFleet(func(string) {}, WithColdConfig(coldTerms))
+func newColdFleet(engines, cold int) *Fleet {
+	f := NewFleet(func(string) {}, WithColdConfig(testColdConfig))
 	f.SetColdSpec("p", coldSpec)
 	for i := range engines {
 		t := testTarget(fmt.Sprintf("e%03d", i), "p", "z")
@@ -125,7 +125,7 @@
 	}
 	var placers []*Placer
 	for _, vm := range all {
-		placers = append(placers, NewPlacer(vm, clock, hclog.NewNullLogger(), coldFleet(engineCount, engineCount), &coldPeers{self: vm, all: all}))
+		placers = append(placers, NewPlacer(vm, clock, hclog.NewNullLogger(), newColdFleet(engineCount, engineCount), &coldPeers{self: vm, all: all}))
 	}
 	arrivals := map[string][]time.Time{}
 	var open []*Placement
@@ -157,7 +157,7 @@
 }
 
 func TestWarmTargetsArePreferred(t *testing.T) {
-	p := NewPlacer("vm", clockwork.NewFakeClockAt(start), hclog.NewNullLogger(), coldFleet(4, 2), &coldPeers{self: "vm", all: []proto.VM{"vm"}})
+	p := NewPlacer("vm", clockwork.NewFakeClockAt(start), hclog.NewNullLogger(), newColdFleet(4, 2), &coldPeers{self: "vm", all: []proto.VM{"vm"}})
 	chosen := map[string]int{}
 	for range 12 {
 		chosen[p.Choose(context.Background(), "p", TargetCriteria{Engine: true, Route: "r", OwnTokens: 300}).Spec.ID]++
@@ -176,7 +176,7 @@
 }
 
 func TestColdQuotaReservedForUrgentRequests(t *testing.T) {
-	p := NewPlacer("vm", clockwork.NewFakeClockAt(start), hclog.NewNullLogger(), coldFleet(1, 1), &coldPeers{self: "vm", all: []proto.VM{"vm"}})
+	p := NewPlacer("vm", clockwork.NewFakeClockAt(start), hclog.NewNullLogger(), newColdFleet(1, 1), &coldPeers{self: "vm", all: []proto.VM{"vm"}})
 	count := func(rank int) int {
 		n := 0
 		for p.Choose(context.Background(), "p", TargetCriteria{Engine: true, Route: "r", OwnTokens: 10, Rank: rank}) != nil {
@@ -219,7 +219,7 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			f := coldFleet(1, 1)
+			f := newColdFleet(1, 1)
 			s.change(f)
 			now := start.Add(s.after)
 			_, cold := f.TimeUntilWarm(now, "p")
@@ -236,7 +236,7 @@
 // Of 21 engines 19 fail, and there are more requests than the others may have at a time. The excess must not go to the
 // failing engines.
 func TestPoolAtCapacityAvoidsFailingTargets(t *testing.T) {
-	f := coldFleet(21, 0)
+	f := newColdFleet(21, 0)
 	want := TargetCriteria{Engine: true, Route: "r", OwnTokens: 20}
 	failing := map[string]bool{}
 	for range 19 {
@@ -263,7 +263,7 @@
 // All requests share one long part of their prompts. The target that is preferred for it may have become cold a second
 // ago without any daemon knowing yet.
 func TestWarmTargetsRespectColdLimit(t *testing.T) {
-	f := coldFleet(6, 0)
+	f := newColdFleet(6, 0)
 	var chosen []time.Time
 	first := ""
 	for i := range 60 {
--- a/relay/eras_test.go
+++ b/relay/eras_test.go
@@ -82,17 +82,17 @@
 // The copy is read by a daemon that never knew that a had left.
 func TestNewDaemonLearnsInvalidRestoredEntries(t *testing.T) {
 	for _, lost := range []FleetChange{putIn(1, 20, leavingTarget("a")), removedIn(1, 20, "a")} {
-		knew := fleetWith(putIn(1, 1, testTarget("a", "p", "z")), putIn(1, 2, testTarget("b", "p", "z")), lost)
+		informed := fleetWith(putIn(1, 1, testTarget("a", "p", "z")), putIn(1, 2, testTarget("b", "p", "z")), lost)
 		copied := []FleetChange{putIn(2, 1, testTarget("a", "p", "z")), putIn(2, 2, testTarget("b", "p", "z"))}
-		knew.Replace(start, inEra(2, 10), copied, false)
-		starts := NewFleet(func(string) {})
-		starts.Replace(start, inEra(2, 10), copied, false)
-		starts.MergeInvalid(start, knew.InvalidEntries())
-		if got := usableIDs(starts, "p"); got != "b " || starts.InvalidDigest() != knew.InvalidDigest() {
-			t.Errorf("usable: %q, digests %d and %d", got, starts.InvalidDigest(), knew.InvalidDigest())
+		informed.Replace(start, inEra(2, 10), copied, false)
+		starting := NewFleet(func(string) {})
+		starting.Replace(start, inEra(2, 10), copied, false)
+		starting.MergeInvalid(start, informed.InvalidEntries())
+		if got := usableIDs(starting, "p"); got != "b " || starting.InvalidDigest() != informed.InvalidDigest() {
+			t.Errorf("usable: %q, digests %d and %d", got, starting.InvalidDigest(), informed.InvalidDigest())
 		}
 		late := start.Add(restoredQuarantine)
-		if len(knew.ExpireInvalid(late)) != 1 || knew.MergeInvalid(late, starts.InvalidEntries()) != nil || len(knew.InvalidEntries()) > 0 {
+		if len(informed.ExpireInvalid(late)) != 1 || informed.MergeInvalid(late, starting.InvalidEntries()) != nil || len(informed.InvalidEntries()) > 0 {
 			t.Error("daemons keep telling each other of an entry that stayed")
 		}
 	}
@@ -148,19 +148,19 @@
 // Guards against an evacuation that is revoked by a daemon which reads the restored store only after it was told of the
 // evacuation, and then reports its own view back.
 func TestNewDaemonKeepsEvacuationLostInRestore(t *testing.T) {
-	knew, starts := fleetWith(putIn(1, 1, testTarget("a", "p", "y"))), fleetWith(putIn(2, 1, testTarget("a", "p", "y")))
-	knew.ApplyEvacuations(start, []proto.Evacuation{{Zone: "y", Version: inEra(1, 20)}})
-	knew.ApplyEvacuations(start, knew.EvacuationsFromList(inEra(2, 10), nil))
-	starts.ApplyEvacuations(start, knew.Evacuations())
-	starts.ApplyEvacuations(start, starts.EvacuationsFromList(inEra(2, 15), nil))
-	knew.ApplyEvacuations(start, starts.Evacuations())
-	if len(knew.EvacuatedZones()) != 1 || len(starts.EvacuatedZones()) != 1 {
-		t.Errorf("evacuated: %v and %v", knew.EvacuatedZones(), starts.EvacuatedZones())
+	informed, starting := fleetWith(putIn(1, 1, testTarget("a", "p", "y"))), fleetWith(putIn(2, 1, testTarget("a", "p", "y")))
+	informed.ApplyEvacuations(start, []proto.Evacuation{{Zone: "y", Version: inEra(1, 20)}})
+	informed.ApplyEvacuations(start, informed.EvacuationsFromList(inEra(2, 10), nil))
+	starting.ApplyEvacuations(start, informed.Evacuations())
+	starting.ApplyEvacuations(start, starting.EvacuationsFromList(inEra(2, 15), nil))
+	informed.ApplyEvacuations(start, starting.Evacuations())
+	if len(informed.EvacuatedZones()) != 1 || len(starting.EvacuatedZones()) != 1 {
+		t.Errorf("evacuated: %v and %v", informed.EvacuatedZones(), starting.EvacuatedZones())
 	}
-	knew.ApplyEvacuations(start, knew.ExpiredEvacuations(start.Add(evacuationRewriteWait)))
-	starts.ApplyEvacuations(start, knew.Evacuations())
-	if len(starts.EvacuatedZones()) > 0 || starts.EvacuationsVersion() != knew.EvacuationsVersion() {
-		t.Errorf("evacuated after the wait: %v as of %s", starts.EvacuatedZones(), starts.EvacuationsVersion())
+	informed.ApplyEvacuations(start, informed.ExpiredEvacuations(start.Add(evacuationRewriteWait)))
+	starting.ApplyEvacuations(start, informed.Evacuations())
+	if len(starting.EvacuatedZones()) > 0 || starting.EvacuationsVersion() != informed.EvacuationsVersion() {
+		t.Errorf("evacuated after the wait: %v as of %s", starting.EvacuatedZones(), starting.EvacuationsVersion())
 	}
 }
 
--- a/relay/fleet.go
+++ b/relay/fleet.go
@@ -144,7 +144,7 @@
 	// evacuations that a restored store lacks have been kept in force.
 	evacuationRowVersions map[string]uint64
 	heldSince             map[string]time.Time
-	coldTerms             ColdConfig
+	coldConfig            ColdConfig
 	// signals holds what runs of targets have reported in responses.
 	signals   map[proto.RunName]*targetSignals
 	onNotices func([]proto.TargetNotice)
--- a/relay/fleetcold.go
+++ b/relay/fleetcold.go
@@ -21,7 +21,7 @@
 type ColdConfig struct{ Factor, Slack float64 }
 
 // WithColdConfig sets the bounds for cold targets; without them a cold target gets its throughput.
-func WithColdConfig(terms ColdConfig) FleetOption { return func(f *Fleet) { f.coldTerms = terms } }
+func WithColdConfig(config ColdConfig) FleetOption { return func(f *Fleet) { f.coldConfig = config } }
 
 // maxRequests returns how many requests a cold target of a pool may get within a second; 0 if there is no bound.
 func (t ColdConfig) maxRequests(spec proto.ColdSpec) int {
@@ -38,7 +38,7 @@
 	f.mu.Unlock()
 	p.lock()
 	defer p.mu.Unlock()
-	p.coldSpec, p.coldLimit = spec, f.coldTerms.maxRequests(spec)
+	p.coldSpec, p.coldLimit = spec, f.coldConfig.maxRequests(spec)
 }
 
 // setWarmUp records for how long the target stays cold, or that it is warm if left is not positive. The pool is locked.
@@ -75,8 +75,8 @@
 		return false
 	}
 	// If a cold target may get one request, a warm one may too, or the pool would serve nobody.
-	most := max(1, p.coldLimit-1)
-	return len(t.recentPicks) >= most && now.Sub(t.recentPicks[len(t.recentPicks)-most]) <= coldWindow
+	limit := max(1, p.coldLimit-1)
+	return len(t.recentPicks) >= limit && now.Sub(t.recentPicks[len(t.recentPicks)-limit]) <= coldWindow
 }
 
 // recordChosen records that a target was picked; its pool is locked.
@@ -90,7 +90,7 @@
 
 // Cold returns the cold targets of a pool that may otherwise get work, and how many requests each of them may get
 // within a second from all daemons.
-func (f *Fleet) Cold(now time.Time, pool string) (ids []string, most int) {
+func (f *Fleet) Cold(now time.Time, pool string) (ids []string, quota int) {
 	p := f.pool(pool)
 	if p == nil {
 		return nil, 0
--- a/relay/fleetvoid_test.go
+++ b/relay/fleetvoid_test.go
@@ -9,11 +9,11 @@
 // A target's entry is rewritten without the start of its run. A daemon that knew the run drops the target. One that did
 // not is told, before or after it reads the entry.
 func TestInvalidEntryIsNotUsed(t *testing.T) {
-	spoilt := putChange(4, testTarget("a", "p", "z"))
+	overwritten := putChange(4, testTarget("a", "p", "z"))
 	other := putChange(2, testTarget("b", "p", "z"))
-	knew := fleetWith(putChange(1, targetRun("a", firstRunStart)), other)
-	knew.ApplyChanges(start, []FleetChange{spoilt})
-	if got := usableIDs(knew, "p"); got != "b " {
+	informed := fleetWith(putChange(1, targetRun("a", firstRunStart)), other)
+	informed.ApplyChanges(start, []FleetChange{overwritten})
+	if got := usableIDs(informed, "p"); got != "b " {
 		t.Fatalf("the daemon that knew the run uses %q", got)
 	}
 	scenarios := []struct {
@@ -21,21 +21,21 @@
 		tell     func(f *Fleet)
 	}{
 		{"told after it read the entry", func(f *Fleet) {
-			f.ApplyChanges(start, []FleetChange{other, spoilt})
-			f.MergeInvalid(start, knew.InvalidEntries())
+			f.ApplyChanges(start, []FleetChange{other, overwritten})
+			f.MergeInvalid(start, informed.InvalidEntries())
 		}},
 		{"told before", func(f *Fleet) {
-			f.MergeInvalid(start, knew.InvalidEntries())
-			f.ApplyChanges(start, []FleetChange{other, spoilt})
+			f.MergeInvalid(start, informed.InvalidEntries())
+			f.ApplyChanges(start, []FleetChange{other, overwritten})
 		}},
 		{"told before it read a whole list", func(f *Fleet) {
-			f.MergeInvalid(start, knew.InvalidEntries())
-			f.Replace(start, rev(9), []FleetChange{other, spoilt}, false)
+			f.MergeInvalid(start, informed.InvalidEntries())
+			f.Replace(start, rev(9), []FleetChange{other, overwritten}, false)
 		}},
 		{"reads the same whole list twice", func(f *Fleet) {
-			f.MergeInvalid(start, knew.InvalidEntries())
-			f.Replace(start, rev(9), []FleetChange{other, spoilt}, false)
-			f.Replace(start, rev(10), []FleetChange{other, spoilt}, false)
+			f.MergeInvalid(start, informed.InvalidEntries())
+			f.Replace(start, rev(9), []FleetChange{other, overwritten}, false)
+			f.Replace(start, rev(10), []FleetChange{other, overwritten}, false)
 		}},
 	}
 	for _, s := range scenarios {
@@ -45,7 +45,7 @@
 			if got := usableIDs(f, "p"); got != "b " {
 				t.Errorf("usable: %q", got)
 			}
-			if f.InvalidDigest() != knew.InvalidDigest() || f.InvalidDigest() == 0 {
+			if f.InvalidDigest() != informed.InvalidDigest() || f.InvalidDigest() == 0 {
 				t.Error("the daemons' digests differ")
 			}
 			f.ApplyChanges(start, []FleetChange{putChange(12, targetRun("a", secondRunStart))})
--- a/relay/limits.go
+++ b/relay/limits.go
@@ -54,11 +54,11 @@
 // wait returns how long it takes until a request is allowed; 0 if one is allowed now.
 func (a *tokenBucket) wait(now time.Time, perSecond float64) time.Duration {
 	a.refill(now, perSecond)
-	lacking := 1 - a.bucket.TokensAt(now)
-	if lacking <= 0 {
+	missing := 1 - a.bucket.TokensAt(now)
+	if missing <= 0 {
 		return 0
 	}
-	return max(1, time.Duration(lacking/perSecond*float64(time.Second)))
+	return max(1, time.Duration(missing/perSecond*float64(time.Second)))
 }
 
 // take counts a request, unless none is allowed.
@@ -131,8 +131,8 @@
 		return nil
 	}
 	may := map[string]bool{}
-	for i, in := range p.permitWaits(now, pool, limited) {
-		may[limited[i].Target] = in == 0
+	for i, wait := range p.permitWaits(now, pool, limited) {
+		may[limited[i].Target] = wait == 0
 	}
 	return may
 }
@@ -145,15 +145,15 @@
 	liveShare := share.liveShare()
 	p.permits.mu.Lock()
 	defer p.permits.mu.Unlock()
-	in := make([]time.Duration, len(targets))
+	waits := make([]time.Duration, len(targets))
 	for i := range targets {
 		known, _ := p.permits.lookup(now, targets[i].Run)
-		in[i] = max(0, known.exhaustedUntil.Sub(now))
+		waits[i] = max(0, known.exhaustedUntil.Sub(now))
 		if own {
-			in[i] = known.wait(now, limitRate(targets[i].Limit, liveShare))
+			waits[i] = known.wait(now, limitRate(targets[i].Limit, liveShare))
 		}
 	}
-	return in
+	return waits
 }
 
 // grant grants a permit if this daemon is the owner and the limit has room.
@@ -238,7 +238,7 @@
 
 // limitWait returns how long it takes until a target of a pool that reports a limit may get a request, and false if
 // none reports one.
-func (p *Placer) limitWait(pool string) (in time.Duration, limited bool) {
+func (p *Placer) limitWait(pool string) (wait time.Duration, limited bool) {
 	targets := p.fleet.limited(pool)
 	if len(targets) == 0 {
 		return 0, false
--- a/relay/overload_test.go
+++ b/relay/overload_test.go
@@ -50,16 +50,16 @@
 	first  time.Time
 	tries  int
 	// at is when the request continues: with its caller's next try, or at an engine.
-	at     time.Time
-	begun  bool
-	tokens float64
-	placed *Placement
+	at       time.Time
+	admitted bool
+	tokens   float64
+	placed   *Placement
 }
 
 // modelEngine reads its prompts one by one, the most urgent first.
 type modelEngine struct {
-	gone  bool
-	queue []*modelRequest
+	failed bool
+	queue  []*modelRequest
 }
 
 // overloadSimulation simulates daemons and engines, of which many fail at once.
@@ -79,14 +79,14 @@
 	// refused count requests by route.
 	inTime          map[int]float64
 	served, refused map[string]int
-	asked           map[string]int
-	admits          bool
+	requested       map[string]int
+	useAdmission    bool
 }
 
 func newOverloadSimulation(t *testing.T, engines, daemons int, seed uint64) *overloadSimulation {
 	o := &overloadSimulation{
 		t: t, clock: clockwork.NewFakeClockAt(start), random: rand.New(rand.NewPCG(seed, 1)), engines: map[string]*modelEngine{},
-		inTime: map[int]float64{}, served: map[string]int{}, refused: map[string]int{}, asked: map[string]int{}, admits: true,
+		inTime: map[int]float64{}, served: map[string]int{}, refused: map[string]int{}, requested: map[string]int{}, useAdmission: true,
 	}
 	all := map[proto.VM]*Placer{}
 	for i := range daemons {
@@ -120,7 +120,7 @@
 		for range poisson(o.random, times*k.perSecond*modelTick.Seconds()) {
 			o.next++
 			r := &modelRequest{kind: k, first: now, at: now, digest: proto.RequestDigest(state.Hash(fmt.Sprint(o.next)))}
-			o.asked[k.route]++
+			o.requested[k.route]++
 			o.waiting = append(o.waiting, r)
 		}
 	}
@@ -144,7 +144,7 @@
 		switch {
 		case now.Before(r.at):
 			o.waiting = append(o.waiting, r)
-		case r.begun:
+		case r.admitted:
 			o.place(r)
 		default:
 			o.begin(r)
@@ -163,7 +163,7 @@
 	now := o.clock.Now()
 	p := o.placers[o.random.IntN(len(o.placers))]
 	r.tries++
-	if o.admits {
+	if o.useAdmission {
 		answer, _ := p.Admit(context.Background(), proto.AdmitAsk{
 			Pool: "p", Route: r.kind.route, Digest: r.digest, Seed: o.random.Uint64(), Rank: r.kind.rank, OwnTokens: r.kind.own,
 			Slack: r.first.Add(r.kind.goal).Sub(now) - r.kind.stages - 200*time.Millisecond,
@@ -173,7 +173,7 @@
 			return
 		}
 	}
-	r.begun, r.at = true, now.Add(r.kind.stages)
+	r.admitted, r.at = true, now.Add(r.kind.stages)
 	o.waiting = append(o.waiting, r)
 }
 
@@ -182,7 +182,7 @@
 		o.refused[r.kind.route]++
 		return
 	}
-	r.begun, r.at = false, o.clock.Now().Add(wait)
+	r.admitted, r.at = false, o.clock.Now().Add(wait)
 	o.waiting = append(o.waiting, r)
 }
 
@@ -199,7 +199,7 @@
 			break
 		}
 		e := o.engines[placed.Spec.ID]
-		if e.gone {
+		if e.failed {
 			w.Tried[placed.Spec.ID] = true
 			placed.Finish(VerdictFailure, Load{})
 			continue
@@ -217,7 +217,7 @@
 
 // read lets an engine read for one tick.
 func (o *overloadSimulation) read(e *modelEngine) {
-	if e.gone {
+	if e.failed {
 		return
 	}
 	tokens := modelRate * modelTick.Seconds()
@@ -248,7 +248,7 @@
 func (o *overloadSimulation) fail(count int) {
 	for i := range count {
 		e := o.engines[fmt.Sprintf("e%03d", i)]
-		e.gone = true
+		e.failed = true
 		for _, r := range e.queue {
 			r.placed.Finish(VerdictFailure, Load{})
 			r.at = o.clock.Now()
@@ -348,15 +348,15 @@
 	o.fail(119)
 	o.run(4*time.Second, 1)
 	o.expire(119)
-	o.asked, o.served = map[string]int{}, map[string]int{}
+	o.requested, o.served = map[string]int{}, map[string]int{}
 	o.run(12*time.Second, 1)
 	rates = map[string]float64{}
-	served, asked := 0, 0
+	served, requested := 0, 0
 	for _, k := range liveScores {
-		rates[k.route] = float64(o.served[k.route]) / float64(o.asked[k.route])
-		served, asked = served+o.served[k.route], asked+o.asked[k.route]
+		rates[k.route] = float64(o.served[k.route]) / float64(o.requested[k.route])
+		served, requested = served+o.served[k.route], requested+o.requested[k.route]
 	}
-	return rates, float64(served) / float64(asked)
+	return rates, float64(served) / float64(requested)
 }
 
 // Nearly all requests of the most urgent kind must be served, and each kind at least a quarter as often as all.
--- a/relay/place.go
+++ b/relay/place.go
@@ -138,12 +138,12 @@
 
 // chooseRemotely asks the owner of the pool. It returns false if this daemon has to choose alone.
 func (p *Placer) chooseRemotely(ctx context.Context, owner proto.VM, pool string, w TargetCriteria) (placed *Placement, decided bool) {
-	without := p.fleet.ExcludedTargets(p.clock.Now(), pool)
+	excluded := p.fleet.ExcludedTargets(p.clock.Now(), pool)
 	for id := range w.Tried {
-		without = append(without, id)
+		excluded = append(excluded, id)
 	}
 	a, ok, err := p.ask(ctx, owner, proto.PlaceAsk{
-		Pool: pool, Route: w.Route, SharedParts: w.SharedParts, OwnTokens: w.OwnTokens, Zone: w.Zone, InputBytes: w.InputBytes, Excluded: without, MaxPause: w.MaxPause,
+		Pool: pool, Route: w.Route, SharedParts: w.SharedParts, OwnTokens: w.OwnTokens, Zone: w.Zone, InputBytes: w.InputBytes, Excluded: excluded, MaxPause: w.MaxPause,
 		Cold: slices.Collect(maps.Keys(w.AllowedCold)), AllowedRegions: w.AllowedRegions,
 	})
 	p.recordBusy(pool, a.AdmissionRequired)
@@ -285,11 +285,11 @@
 // HandlePlaceNote records the progress of an attempt that was placed for another daemon.
 func (p *Placer) HandlePlaceNote(n proto.PlaceNote) {
 	p.mu.Lock()
-	l, ok := p.leases[n.Lease]
+	lease, ok := p.leases[n.Lease]
 	switch {
 	case ok && n.PromptRead:
-		l.began = true
-		p.leases[n.Lease] = l
+		lease.began = true
+		p.leases[n.Lease] = lease
 	case !n.Late:
 		delete(p.leases, n.Lease)
 	}
@@ -297,11 +297,11 @@
 	switch {
 	case !ok:
 	case n.Late:
-		p.fleet.ReportSlow(p.clock.Now(), l.target)
+		p.fleet.ReportSlow(p.clock.Now(), lease.target)
 	case n.PromptRead:
-		p.fleet.RecordResponseStart(p.clock.Now(), l.target, l.want)
+		p.fleet.RecordResponseStart(p.clock.Now(), lease.target, lease.want)
 	default:
-		p.fleet.FinishAttempt(p.clock.Now(), l.target, l.want, l.began, HealthVerdict(n.Verdict), Load{})
+		p.fleet.FinishAttempt(p.clock.Now(), lease.target, lease.want, lease.began, HealthVerdict(n.Verdict), Load{})
 	}
 }
 
@@ -312,16 +312,16 @@
 	p.permits.sweep(now)
 	p.sweepAdmissions(now)
 	p.mu.Lock()
-	var over []placementLease
+	var expired []placementLease
 	for id, l := range p.leases {
 		if now.Sub(l.at) > maxLeaseAge {
-			over = append(over, l)
+			expired = append(expired, l)
 			delete(p.leases, id)
 		}
 	}
 	p.mu.Unlock()
-	slices.SortFunc(over, func(a, b placementLease) int { return a.at.Compare(b.at) })
-	for _, l := range over {
+	slices.SortFunc(expired, func(a, b placementLease) int { return a.at.Compare(b.at) })
+	for _, l := range expired {
 		p.fleet.FinishAttempt(now, l.target, l.want, l.began, VerdictNone, Load{})
 	}
 }
--- a/relay/shards.go
+++ b/relay/shards.go
@@ -37,10 +37,10 @@
 		return 0
 	}
 	hash := state.Hash(target)
-	best, most := 0, uint64(0)
+	best, bestScore := 0, uint64(0)
 	for i := range shards {
-		if rank := state.RendezvousScore(hash, state.Hash(strconv.Itoa(i))); rank >= most {
-			best, most = i, rank
+		if rank := state.RendezvousScore(hash, state.Hash(strconv.Itoa(i))); rank >= bestScore {
+			best, bestScore = i, rank
 		}
 	}
 	return best
--- a/relay/signalterms.go
+++ b/relay/signalterms.go
@@ -108,11 +108,11 @@
 		if !t.notice.HasLimit && !t.backsOff(now) {
 			continue
 		}
-		terms := targetLimits{id: t.Spec.ID, limit: noLimit, backoffUntil: t.backoffUntil}
+		limits := targetLimits{id: t.Spec.ID, limit: noLimit, backoffUntil: t.backoffUntil}
 		if t.notice.HasLimit {
-			terms.limit = t.notice.Limit
+			limits.limit = t.notice.Limit
 		}
-		list = append(list, terms)
+		list = append(list, limits)
 	}
 	return list
 }
