--- a/relay/endwatch.go
+++ b/relay/endwatch.go
@@ -133,7 +133,7 @@
 	defer w.mu.Unlock()
 	if r := w.runs[target.RunName()]; r != nil && r.ended {
 		r.ended = false
-		w.log.Info("a target that was held to have ended answers", "run", target.RunName(), "pool", target.Pool, "address", target.Address)
+		w.log.Info("target that was recorded as ended is alive", "run", target.RunName(), "pool", target.Pool, "address", target.Address)
 	}
 }
 
--- a/relay/frees.go
+++ b/relay/frees.go
@@ -31,7 +31,7 @@
 	for _, h := range handles {
 		address, err := f.pieces.dialect.HandleAddress(h)
 		if err != nil {
-			f.pieces.log.Warn("a result cannot be freed", "handle", h, "error", err)
+			f.pieces.log.Warn("cannot determine the target of a result to free", "handle", h, "error", err)
 			continue
 		}
 		batch := f.pending[address]
@@ -70,7 +70,7 @@
 	err := f.call(address, batch.handles)
 	if err != nil {
 		// The results expire at the target, and their storage is counted until then.
-		f.pieces.log.Info("results were not freed", "maker", address, "results", len(batch.handles), "error", err)
+		f.pieces.log.Info("failed to free results", "maker", address, "results", len(batch.handles), "error", err)
 		return
 	}
 	if batch.worker != nil {
--- a/relay/piececall.go
+++ b/relay/piececall.go
@@ -53,7 +53,7 @@
 			case action == overdueAbandon:
 				return nil, errCallAbandoned
 			case action == overdueRepeat && running < maxConcurrentCalls:
-				p.log.Warn("a call for pieces takes long and is made again beside", "pool", w.pool, "shard", w.index, "target", c.Target.ID, "pieces", len(c.Items),
+				p.log.Warn("call for pieces is overdue, repeating it on another connection", "pool", w.pool, "shard", w.index, "target", c.Target.ID, "pieces", len(c.Items),
 					"took", formatDuration(p.clock.Now().Sub(c.StartedAt)), "expected", formatDuration(c.Expected), "reason", "no other target may make them")
 				running++
 				go start()
--- a/relay/pieces.go
+++ b/relay/pieces.go
@@ -116,7 +116,7 @@
 			return answer
 		}
 		if ctx.Err() == nil {
-			p.log.Warn("asking another daemon for pieces", "request", ask.RequestID, "stage", ask.Stage, "pool", ask.Pool, "silent", owner, "error", err)
+			p.log.Warn("daemon did not run the pieces, trying another one", "request", ask.RequestID, "stage", ask.Stage, "pool", ask.Pool, "silent", owner, "error", err)
 		}
 		skip[owner] = true
 	}
