--- a/relay/batch_test.go
+++ b/relay/batch_test.go
@@ -57,7 +57,7 @@
 	add(t, b, job("a", 3), job("b", 2), job("c", 4), job("d", 3))
 	calls := next(b, start)
 	if len(calls) != 1 || pieces(calls[0]) != "a0 a1 a2 b0 b1 d0 d1 d2 " {
-		t.Fatalf("calls %d, first %q: c does not fit whole, d does", len(calls), pieces(calls[0]))
+		t.Fatalf("%d calls, first %q: c does not fit into the call as a whole, d does", len(calls), pieces(calls[0]))
 	}
 	if more := next(b, start); len(more) != 0 {
 		t.Errorf("a second call was sent to a target with one slot")
@@ -77,7 +77,7 @@
 		t.Fatalf("%d calls", len(calls))
 	}
 	if ends, _ := b.CallDone(start, calls[0], results(calls[0])); len(ends) != 0 {
-		t.Error("the job ended with a part of its results")
+		t.Error("the job ended with only some of its results")
 	}
 	if ends, _ := b.CallDone(start, calls[1], results(calls[1])); len(ends) != 1 || len(ends[0].Answer.Handles) != 10 {
 		t.Error("the job did not end with all results")
@@ -118,7 +118,7 @@
 		t.Fatal("a call was sent without room")
 	}
 	if calls := next(b, start.Add(batchSpec.ResultLifetime)); len(calls) != 1 || len(calls[0].Items) != 4 {
-		t.Error("the room of results that ran out was not used")
+		t.Error("the room of expired results was not reused")
 	}
 }
 
@@ -132,10 +132,10 @@
 		t.Fatal("the job ended although a piece can be made again")
 	}
 	if calls := next(b, start.Add(noRoomBackoff)); len(calls) != 0 {
-		t.Error("a call was sent to a target that keeps unknown results")
+		t.Error("a call was sent to a target that holds unknown results")
 	}
 	if calls := next(b, start.Add(batchSpec.ResultLifetime)); len(calls) != 1 || pieces(calls[0]) != "a1 " {
-		t.Errorf("after their time the missing piece is not made")
+		t.Errorf("the missing piece was not made after the unknown results expired")
 	}
 }
 
@@ -150,7 +150,7 @@
 	// There is room for four of the twelve results.
 	calls := next(b, start)
 	if len(calls) != 1 || pieces(calls[0]) != "c0 c1 c2 c3 " {
-		t.Fatalf("%d calls: b would keep four results until there is room for two more", len(calls))
+		t.Fatalf("%d calls, want one for c: b must not start without room for all of its results", len(calls))
 	}
 	ends, _ = b.CallDone(start, calls[0], results(calls[0]))
 	if len(ends) != 1 {
@@ -160,7 +160,7 @@
 		b.ResultFreed(start, h.Handle)
 	}
 	if calls = next(b, start); len(calls) != 1 || pieces(calls[0]) != "b0 b1 b2 b3 b4 b5 " {
-		t.Errorf("b is not made once there is room for it: %d calls", len(calls))
+		t.Errorf("b was not started once there was room for it: %d calls", len(calls))
 	}
 }
 
@@ -197,7 +197,7 @@
 			return
 		}
 		if len(ends) != 0 {
-			t.Fatalf("given up after %d tries", try)
+			t.Fatalf("the job failed after %d tries", try)
 		}
 		now = now.Add(maxCallBackoff)
 	}
@@ -210,10 +210,10 @@
 	for range 2 * maxFailedCalls {
 		calls := next(b, now)
 		if len(calls) != 1 {
-			t.Fatal("no call after the wait")
+			t.Fatal("no call after the backoff")
 		}
 		if ends := b.CallFailed(now, calls[0], true); len(ends) != 0 {
-			t.Fatal("the job was given up since a target was busy")
+			t.Fatal("the job failed because a target was busy")
 		}
 		now = now.Add(minCallBackoff)
 	}
@@ -234,7 +234,7 @@
 	}
 	ends, unused = b.CallDone(now, slow, results(slow))
 	if len(ends) != 0 || len(unused) != 4 {
-		t.Errorf("the late call ended %d jobs, %d results to be freed", len(ends), len(unused))
+		t.Errorf("the overdue call ended %d jobs, %d results unused", len(ends), len(unused))
 	}
 }
 
@@ -260,7 +260,7 @@
 		t.Error("the job did not wait for a target in the zone of its inputs")
 	}
 	if calls = next(b, start.Add(time.Duration(zoneWaitCalls*b.fullCall(1000)))); len(calls) != 1 || pieces(calls[0]) != "here0 here1 " {
-		t.Error("the job waited for longer than it should")
+		t.Error("the job waited too long for a target in the zone of its inputs")
 	}
 }
 
@@ -275,7 +275,7 @@
 		t.Errorf("ends %v, unused %v", ends, unused)
 	}
 	if calls := next(b, start); len(calls) != 0 {
-		t.Errorf("a withdrawn job is worked on: %q", pieces(calls[0]))
+		t.Errorf("a withdrawn job was started: %q", pieces(calls[0]))
 	}
 }
 
--- a/relay/batchinputs_test.go
+++ b/relay/batchinputs_test.go
@@ -22,17 +22,17 @@
 	add(t, b, soleReaderJob("a", 2), kept, soleReaderJob("large", 10))
 	first := next(b, start)[0]
 	if got := fmt.Sprint(b.releaseInputs(start, first)); got != "map[{before 0}:[input of a]]" {
-		t.Errorf("given up: %s; others read one job's inputs, and pieces of the large one wait for another call", got)
+		t.Errorf("released %s, want the inputs of a only: others read those of kept, and large has pieces left for another call", got)
 	}
 	if again := b.releaseInputs(start, first); len(again) != 0 {
-		t.Errorf("given up again: %v", again)
+		t.Errorf("released again: %v", again)
 	}
 	ends, _ := b.CallDone(start, first, results(first))
 	if len(ends) == 0 || !ends[0].Answer.InputsFreed {
-		t.Errorf("ends %+v: the asker is not told that the inputs are freed", ends)
+		t.Errorf("ends %+v do not report that the inputs were freed", ends)
 	}
 	if late := b.releaseInputs(start, first); len(late) != 0 {
-		t.Errorf("given up after the call: %v", late)
+		t.Errorf("released after the call: %v", late)
 	}
 }
 
@@ -47,10 +47,10 @@
 	soon := start.Add(batchSpec.ResultLifetime / 2)
 	again := next(b, soon)
 	if len(again) != 1 {
-		t.Fatal("the piece without room is not made again")
+		t.Fatal("the piece without room was not made again")
 	}
 	if given := b.releaseInputs(soon, again[0]); len(given) != 0 {
-		t.Errorf("given up: %v, though the target had no room a while ago", given)
+		t.Errorf("released %v although the target recently had no room", given)
 	}
 }
 
@@ -60,13 +60,13 @@
 	add(t, b, soleReaderJob("a", 2), soleReaderJob("b", 7))
 	first := next(b, start)[0]
 	if given := b.releaseInputs(start.Add(first.Expected/2), first); len(given) != 0 {
-		t.Errorf("given up: %v, though there may be no room for the results", given)
+		t.Errorf("released %v although there may be no room for the results", given)
 	}
 	later := start.Add(batchSpec.ResultLifetime)
 	b.CallDone(later, first, results(first))
 	second := next(b, later)[0]
 	if given := b.releaseInputs(later, second); len(given) != 1 {
-		t.Errorf("given up: %v, though all that an earlier daemon had made is gone", given)
+		t.Errorf("released %v, want the inputs of one shard: all results made for an earlier daemon have expired", given)
 	}
 }
 
@@ -79,13 +79,13 @@
 	late := start.Add(10 * first.Expected)
 	second := next(b, late)
 	if len(second) != 1 {
-		t.Fatal("an overdue call was not made elsewhere")
+		t.Fatal("an overdue call was not repeated at another target")
 	}
 	if given := b.releaseInputs(late, second[0]); len(given) != 0 {
-		t.Errorf("given up: %v", given)
+		t.Errorf("released: %v", given)
 	}
 	if ends := b.CallFailed(late, first, false); len(ends) != 0 {
-		t.Errorf("ends %+v, though the second call is under way", ends)
+		t.Errorf("ends %+v although the second call is in progress", ends)
 	}
 }
 
@@ -95,8 +95,8 @@
 		name string
 		end  func(b *Batcher, c *Call) []FinishedJob
 	}{
-		{"the call fails", func(b *Batcher, c *Call) []FinishedJob { return b.CallFailed(start, c, false) }},
-		{"there was no room", func(b *Batcher, c *Call) []FinishedJob {
+		{"call fails", func(b *Batcher, c *Call) []FinishedJob { return b.CallFailed(start, c, false) }},
+		{"no room for a result", func(b *Batcher, c *Call) []FinishedJob {
 			ends, _ := b.CallDone(start, c, []ItemResult{{Handle: "h"}, {Outcome: proto.PiecesNoRoom}})
 			return ends
 		}},
@@ -109,11 +109,11 @@
 			c := next(b, start)[0]
 			b.releaseInputs(start, c)
 			if late := next(b, start.Add(10*c.Expected)); len(late) != 0 {
-				t.Fatal("an overdue piece was sent again without its inputs")
+				t.Fatal("an overdue piece was sent again although its inputs were released")
 			}
 			ends := s.end(b, c)
 			if len(ends) != 1 || ends[0].Answer.Outcome != proto.PiecesLost || !ends[0].Answer.InputsFreed {
-				t.Errorf("ends %+v: the request's stages have to be done anew", ends)
+				t.Errorf("ends %+v, want the job lost with its inputs freed, so that the stages of the request are repeated", ends)
 			}
 		})
 	}
--- a/relay/batchqueue_test.go
+++ b/relay/batchqueue_test.go
@@ -24,10 +24,10 @@
 		jobs []*Job
 		want string
 	}{
-		{"the one due first", []*Job{due(job("a", 8), 3*time.Second), due(job("b", 8), 2*time.Second)}, "b"},
-		{"a rank counts for some time", []*Job{ranked(due(job("a", 8), 2*time.Second), 1), due(job("b", 8), 2*time.Second+step/2)}, "b"},
-		{"but not for ever", []*Job{ranked(due(job("a", 8), 2*time.Second), 1), due(job("b", 8), 2*time.Second+2*step)}, "a"},
-		{"one that must be late comes last", []*Job{due(job("a", 8), 100*time.Millisecond), due(job("b", 8), 2*time.Second)}, "b"},
+		{"earliest due time first", []*Job{due(job("a", 8), 3*time.Second), due(job("b", 8), 2*time.Second)}, "b"},
+		{"more urgent rank first if due times are close", []*Job{ranked(due(job("a", 8), 2*time.Second), 1), due(job("b", 8), 2*time.Second+step/2)}, "b"},
+		{"earlier due time first if due times are far apart", []*Job{ranked(due(job("a", 8), 2*time.Second), 1), due(job("b", 8), 2*time.Second+2*step)}, "a"},
+		{"late job last", []*Job{due(job("a", 8), 100*time.Millisecond), due(job("b", 8), 2*time.Second)}, "b"},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -58,7 +58,7 @@
 	begun := job("begun", 8)
 	begun.Due = start.Add(time.Second)
 	if b.Add(start, begun) != nil {
-		t.Error("a request for which work was done already was refused, though its result is still of use")
+		t.Error("refused a job that can meet its deadline, although its request already did work")
 	}
 }
 
@@ -80,7 +80,7 @@
 		b.CallDone(now, first, results(first))
 		first = next(b, now)[0]
 		if got := first.Items[0].Job.Params.RequestID; got != want {
-			t.Errorf("%s is made before %s: what cannot be in time makes others late", got, want)
+			t.Errorf("%s was started before %s: a late job must not delay others", got, want)
 		}
 	}
 }
@@ -96,14 +96,14 @@
 	stream.Due, stream.Deadline, stream.Params.AnswerStarted = start, start.Add(4*time.Second), true
 	add(t, b, late, stream)
 	if _, ends := b.NextCalls(start); len(ends) != 0 {
-		t.Fatalf("given up with an empty queue: %+v", ends[0].Answer)
+		t.Fatalf("refused with an empty queue: %+v", ends[0].Answer)
 	}
 	for i := range 10 {
 		add(t, b, job(fmt.Sprint("urgent", i), 8))
 	}
 	_, ends := b.NextCalls(start.Add(refuseLateInterval))
 	if len(ends) != 1 || ends[0].Job != late || ends[0].Answer.Outcome != proto.PiecesRefused || ends[0].Answer.RetryAfter < time.Second {
-		t.Errorf("ends %+v: the late job, and not the stream that its caller has a part of, is given up", ends)
+		t.Errorf("finished %+v, want only the late job refused: the caller of the stream already has a part of its answer", ends)
 	}
 }
 
@@ -121,7 +121,7 @@
 		{"urgent work", []*Job{ranked(0, 1, time.Minute)}, true},
 		{"work that can wait", []*Job{ranked(1, 1, time.Minute)}, false},
 		{"work that cannot wait", []*Job{ranked(1, 1, 300*time.Millisecond)}, true},
-		{"as much as fills a call", []*Job{ranked(1, 4, time.Minute), ranked(2, 4, time.Minute)}, true},
+		{"enough work to fill a call", []*Job{ranked(1, 4, time.Minute), ranked(2, 4, time.Minute)}, true},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -144,17 +144,17 @@
 	asked := job("a", 8)
 	add(t, b, asked)
 	if got := b.EstimateWaitFor(start, asked); got == 0 {
-		t.Error("no queue although all of the target's next call is taken")
+		t.Error("no queue delay although the next call of the target is full")
 	}
 	next(b, start)
 	full := b.EstimateWaitFor(start, asked)
 	add(t, b, job("b", 8), job("c", 8))
 	if more := b.EstimateWaitFor(start, asked); more <= full {
-		t.Errorf("a queue of %v with two more calls ahead, %v before", more, full)
+		t.Errorf("queue delay %v with two more calls ahead, %v before", more, full)
 	}
 	late := job("d", 1)
 	late.Params.NoWorkDone, late.Due, late.Deadline = true, start.Add(10*time.Millisecond), start.Add(4*time.Second)
 	if refused := b.Add(start, late); refused == nil || refused.QueueDelay == 0 {
-		t.Errorf("a refusal does not tell of the queue: %+v", refused)
+		t.Errorf("refusal without queue delay: %+v", refused)
 	}
 }
--- a/relay/endwatch_test.go
+++ b/relay/endwatch_test.go
@@ -40,13 +40,13 @@
 		goneAfter time.Duration
 		accused   bool
 	}{
-		{"a connection breaks, and the address refuses others", true, []bool{true}, 1, 0, true},
-		{"it refuses others a moment later", true, []bool{false, true}, 2, 0, true},
-		{"it accepts others", true, []bool{false}, 2, 0, false},
-		{"it accepts others, and its entry goes soon", true, []bool{false}, 2, 4 * time.Second, true},
-		{"its entry goes much later", true, []bool{false}, 2, openAttemptTTL + time.Second, false},
-		{"it is silent, and its entry goes soon", false, []bool{false}, 0, 4 * time.Second, true},
-		{"it is silent, and stays", false, []bool{false}, 0, 0, false},
+		{"connection breaks and address refuses connections", true, []bool{true}, 1, 0, true},
+		{"address refuses connections a moment later", true, []bool{false, true}, 2, 0, true},
+		{"address accepts connections", true, []bool{false}, 2, 0, false},
+		{"address accepts connections and entry is removed soon", true, []bool{false}, 2, 4 * time.Second, true},
+		{"entry is removed much later", true, []bool{false}, 2, openAttemptTTL + time.Second, false},
+		{"target is silent and entry is removed soon", false, []bool{false}, 0, 4 * time.Second, true},
+		{"target is silent and entry stays", false, []bool{false}, 0, 0, false},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -75,12 +75,12 @@
 				t.Errorf("suspected: %v", c.Suspects(1))
 			}
 			if int(prober.tries.Load()) != s.tries {
-				t.Errorf("%d tries to reach it", prober.tries.Load())
+				t.Errorf("%d probes", prober.tries.Load())
 			}
 			clock.Advance(endedRunTTL + openAttemptTTL)
 			w.Sweep()
 			if len(w.runs) != 0 {
-				t.Error("the run is remembered for ever")
+				t.Error("the run was not removed")
 			}
 		})
 	}
@@ -100,7 +100,7 @@
 			return
 		}
 	}
-	t.Fatal("not within 20 s")
+	t.Fatal("condition not met within 20 s")
 }
 
 // TestCrashDetectorCountsFailuresAfterKnownEnd has two requests fail at a run that is already known to have ended.
@@ -119,7 +119,7 @@
 	next.StartedAt = start
 	w.RecordFailure(next, false, 3)
 	if c.Suspects(3) {
-		t.Error("a failure at the target's next run counts as one at the last")
+		t.Error("a failure at the next run of the target was counted for the ended one")
 	}
 }
 
@@ -133,7 +133,7 @@
 	w.RecordAlive(target)
 	w.RecordFailure(target, false, 1)
 	if c.Suspects(1) {
-		t.Error("a failure at a target that answered since counts as one at its end")
+		t.Error("a failure at a target that has answered since was counted as a crash")
 	}
 	clock.Advance(endedRunTTL + openAttemptTTL)
 	w.Sweep()
@@ -152,11 +152,11 @@
 		changes []FleetChange
 		crashed bool
 	}{
-		{"its entry goes", []FleetChange{{ID: "a", Version: rev(3), Removed: true}}, true},
-		{"it starts again", []FleetChange{putChange(3, targetRun("a", secondRunStart))}, true},
-		{"it leaves and goes", []FleetChange{putChange(3, leaving), {ID: "a", Version: rev(4), Removed: true}}, false},
-		{"it leaves and starts again", []FleetChange{putChange(3, leaving), putChange(4, targetRun("a", secondRunStart))}, false},
-		{"its entry cannot be used", []FleetChange{{ID: "a", Version: rev(3), Unusable: true}}, false},
+		{"entry is removed", []FleetChange{{ID: "a", Version: rev(3), Removed: true}}, true},
+		{"target restarts", []FleetChange{putChange(3, targetRun("a", secondRunStart))}, true},
+		{"target leaves and entry is removed", []FleetChange{putChange(3, leaving), {ID: "a", Version: rev(4), Removed: true}}, false},
+		{"target leaves and restarts", []FleetChange{putChange(3, leaving), putChange(4, targetRun("a", secondRunStart))}, false},
+		{"entry is unusable", []FleetChange{{ID: "a", Version: rev(3), Unusable: true}}, false},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -190,19 +190,19 @@
 		// known is set if the target is known to have ended before its entry is removed.
 		known bool
 	}{
-		{name: "the connection breaks", end: attemptResult{sent: true}, suspect: true},
-		{name: "it breaks at a target that leaves", before: []FleetChange{putChange(2, leaves)}, end: attemptResult{sent: true}},
-		{name: "it breaks after the entry went", before: gone, end: attemptResult{sent: true}},
+		{name: "connection breaks", end: attemptResult{sent: true}, suspect: true},
+		{name: "connection to leaving target breaks", before: []FleetChange{putChange(2, leaves)}, end: attemptResult{sent: true}},
+		{name: "connection breaks after entry was removed", before: gone, end: attemptResult{sent: true}},
 		{name: "silence", cause: errSuperseded, end: attemptResult{sent: true}, suspect: true},
-		{name: "silence, and the entry went before it was noticed", before: gone, cause: errDeadlineReached, end: attemptResult{sent: true}, suspect: true},
-		{name: "silence of a target that leaves", before: []FleetChange{putChange(2, leaves)}, cause: errSuperseded, end: attemptResult{sent: true}},
-		{name: "the target has started again", cause: errTargetRestarted, end: attemptResult{sent: true}, suspect: true},
-		{name: "the caller left", cause: context.Canceled, end: attemptResult{sent: true}, suspect: true},
-		{name: "a whole answer", answered: true, end: attemptResult{done: true, sent: true}},
-		{name: "an answer that says that the target failed", end: attemptResult{sent: true, response: &bufferedResponse{status: 500}}},
-		{name: "a refusal", end: attemptResult{sent: true, notRun: true}},
+		{name: "silence noticed after entry was removed", before: gone, cause: errDeadlineReached, end: attemptResult{sent: true}, suspect: true},
+		{name: "silence of leaving target", before: []FleetChange{putChange(2, leaves)}, cause: errSuperseded, end: attemptResult{sent: true}},
+		{name: "target has restarted", cause: errTargetRestarted, end: attemptResult{sent: true}, suspect: true},
+		{name: "caller disconnected", cause: context.Canceled, end: attemptResult{sent: true}, suspect: true},
+		{name: "complete answer", answered: true, end: attemptResult{done: true, sent: true}},
+		{name: "error answer", end: attemptResult{sent: true, response: &bufferedResponse{status: 500}}},
+		{name: "target refuses", end: attemptResult{sent: true, notRun: true}},
 		{name: "another target has the address", end: attemptResult{sent: true, notRun: true, misdirected: true}, known: true},
-		{name: "the address refuses connections", end: attemptResult{notRun: true, err: refusedConn}, known: true},
+		{name: "address refuses connections", end: attemptResult{notRun: true, err: refusedConn}, known: true},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -226,7 +226,7 @@
 			}
 			a.recordOutcome(&s.end)
 			if known := w.hasEnded("t"); known != (s.known || len(s.before) > 0 && s.before[0].Removed) {
-				t.Errorf("known to have ended: %v", known)
+				t.Errorf("recorded as ended: %v", known)
 			}
 			change([]FleetChange{{ID: "t", Version: rev(3), Removed: true}})
 			if c.Suspects(request) != s.suspect {
--- a/relay/fetches_test.go
+++ b/relay/fetches_test.go
@@ -21,9 +21,9 @@
 	}{
 		{"nothing known", 0, 0, initialKeepTime, initialKeepTime},
 		{"always fetched", 70, 0, initialKeepTime / 3, initialKeepTime * 6 / 10},
-		{"fetched for ever", 10_000, 0, minKeepTime, minKeepTime},
+		{"fetched many times", 10_000, 0, minKeepTime, minKeepTime},
 		{"too early once", 0, 1, 2 * initialKeepTime, 2 * initialKeepTime},
-		{"too early again and again", 0, 100, maxKeepTime, maxKeepTime},
+		{"too early many times", 0, 100, maxKeepTime, maxKeepTime},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -41,7 +41,7 @@
 				t.Errorf("kept for %v, want %v to %v", got, s.least, s.most)
 			}
 			if got := f.keepTime("another"); got != initialKeepTime {
-				t.Errorf("another pool's are kept for %v", got)
+				t.Errorf("inputs of another pool are kept for %v", got)
 			}
 		})
 	}
@@ -59,11 +59,11 @@
 		f.observe(ended.Add(time.Duration(i)*5*time.Millisecond), sent, "p", false)
 	}
 	if got := f.keepTime("p"); got > 2*initialKeepTime {
-		t.Errorf("inputs are kept for %s after one end, %s before", got, initialKeepTime)
+		t.Errorf("inputs are kept for %s after one target ended, %s before", got, initialKeepTime)
 	}
 	later := ended.Add(time.Second)
 	if f.observe(later, later.Add(-100*time.Millisecond), "p", false); f.keepTime("p") != 4*initialKeepTime {
-		t.Errorf("kept for %s: a request that was sent since does not count", f.keepTime("p"))
+		t.Errorf("kept for %s, want an increase for a request that was sent since", f.keepTime("p"))
 	}
 }
 
@@ -85,7 +85,7 @@
 	f := newSentFlow(t, clock)
 	clock.Advance(initialKeepTime - time.Nanosecond)
 	if f.inputsFreed() {
-		t.Fatal("freed before the target could have fetched them")
+		t.Fatal("inputs were freed before the target could have fetched them")
 	}
 	clock.Advance(time.Nanosecond)
 	for !f.inputsFreed() {
--- a/relay/linear_test.go
+++ b/relay/linear_test.go
@@ -41,7 +41,7 @@
 		call       float64
 		small, big float64
 	}{
-		{"as stated", 200 * ms, 20 * ms, 20 * ms},
+		{"as configured", 200 * ms, 20 * ms, 20 * ms},
 		{"stages differ", 200 * ms, 6 * ms, 25 * ms},
 		{"twice as long", 400 * ms, 40 * ms, 40 * ms},
 		{"half as long", 100 * ms, 10 * ms, 10 * ms},
@@ -62,7 +62,7 @@
 				off += math.Abs(m.times.sum(amounts)-truth.callTime(amounts)) / truth.callTime(amounts) / 100
 			}
 			if off > 0.15 {
-				t.Errorf("calls are expected %.0f%% off on average", 100*off)
+				t.Errorf("predicted call times are off by %.0f%% on average", 100*off)
 			}
 		})
 	}
@@ -74,18 +74,18 @@
 	usual := m.times.sum(amounts)
 	m.times.observe(amounts, 1000*usual)
 	if got := m.times.sum(amounts); got > 1.25*usual {
-		t.Errorf("one call of a thousand times its length: expected %.2f times as long now", got/usual)
+		t.Errorf("one outlier of a thousand times the expected time changed the prediction by a factor of %.2f", got/usual)
 	}
 	for range 1000 {
 		m.times.observe(amounts, 1000*usual)
 	}
 	if got := m.times.sum(amounts); got > maxCallDeviation*usual*1.01 {
-		t.Errorf("after many such calls %.2f times as long", got/usual)
+		t.Errorf("many outliers changed the prediction by a factor of %.2f", got/usual)
 	}
 	m.times.observe(map[int]float64{}, 5)
 	m.times.observe(amounts, 0)
 	if got := m.times.sum(amounts); math.IsNaN(got) || got <= 0 {
-		t.Errorf("expected %v", got)
+		t.Errorf("predicted %v", got)
 	}
 }
 
@@ -99,12 +99,12 @@
 	spec.MaxPieces = 12
 	m.updateSpec(spec)
 	if m.callCost() != learnt {
-		t.Error("what was learnt is gone, though only the size of calls changed")
+		t.Error("estimates were reset although only the maximum call size changed")
 	}
 	spec.CallCost = 400 * time.Millisecond
 	m.updateSpec(spec)
 	if m.callCost() != float64(spec.CallCost) {
-		t.Errorf("a call takes %v", time.Duration(m.callCost()))
+		t.Errorf("fixed call time %v", time.Duration(m.callCost()))
 	}
 }
 
@@ -139,7 +139,7 @@
 				work := map[engineWork]float64{workPerRequest: 1, workPerToken: tokens, workPerStream: 5}
 				want := float64(s.start) + tokens*float64(s.token)
 				if got := m.times.sum(work); !withinFraction(got, want, 0.35) {
-					t.Errorf("%v tokens: expected %v, it is %v", tokens, time.Duration(got), time.Duration(want))
+					t.Errorf("%v tokens: predicted %v, want %v", tokens, time.Duration(got), time.Duration(want))
 				}
 			}
 		})
@@ -187,7 +187,7 @@
 	}
 	other.SetEngineTimes("p", proto.EngineTimes{})
 	if other.EngineTimes("p") != adopted {
-		t.Error("an answer that says nothing replaced what was known")
+		t.Error("empty engine times replaced the estimates")
 	}
 }
 
@@ -203,6 +203,6 @@
 	}
 	long := promptCriteria("", 0, 6000)
 	if got := f.Pick(start, "p", long); got.Spec.ID != "e01" {
-		t.Errorf("a long prompt went beside the streams with short pauses")
+		t.Errorf("a long prompt was placed on the engine whose streams allow short pauses only")
 	}
 }
--- a/relay/piececall_test.go
+++ b/relay/piececall_test.go
@@ -48,15 +48,15 @@
 		most  time.Duration
 		asked int
 	}{
-		{"the only target is late", []racer{busyAfterFirst(made(long))}, proto.AllowedRegions{}, false, long, 0},
-		{"the other one leaves", []racer{busyAfterFirst(made(long)), made(0)}, proto.AllowedRegions{}, true, long, 0},
-		{"the other one is away from the regions of the request", []racer{busyAfterFirst(made(long)), made(0)}, proto.AllowRegions([]string{"north"}), false, long, 0},
-		{"the other one breaks off", []racer{busyAfterFirst(made(long)), failsAfter(raceTypicalLatency)}, proto.AllowedRegions{}, false, long, 0},
-		{"the only target's connection has fallen silent", []racer{respondsInTurn(hangs, made(raceTypicalLatency))}, proto.AllowedRegions{}, false, long / 2, 2},
-		{"the only target at home is late", []racer{made(0), busyAfterFirst(made(long))}, south, false, long, 0},
-		{"another makes them", []racer{hangs, made(raceTypicalLatency)}, proto.AllowedRegions{}, false, long / 2, 1},
-		{"another has hung as well", []racer{busyAfterFirst(made(long)), hangs}, proto.AllowedRegions{}, false, long, 0},
-		{"all connections have fallen silent", []racer{respondsInTurn(hangs, made(raceTypicalLatency)), respondsInTurn(hangs, made(raceTypicalLatency))}, proto.AllowedRegions{}, false, long / 2, 2},
+		{"only target is slow", []racer{busyAfterFirst(made(long))}, proto.AllowedRegions{}, false, long, 0},
+		{"other target is leaving", []racer{busyAfterFirst(made(long)), made(0)}, proto.AllowedRegions{}, true, long, 0},
+		{"other target is outside the allowed regions", []racer{busyAfterFirst(made(long)), made(0)}, proto.AllowRegions([]string{"north"}), false, long, 0},
+		{"other target closes the connection", []racer{busyAfterFirst(made(long)), failsAfter(raceTypicalLatency)}, proto.AllowedRegions{}, false, long, 0},
+		{"connection to only target is dead", []racer{respondsInTurn(hangs, made(raceTypicalLatency))}, proto.AllowedRegions{}, false, long / 2, 2},
+		{"only target in the allowed regions is slow", []racer{made(0), busyAfterFirst(made(long))}, south, false, long, 0},
+		{"other target makes the pieces", []racer{hangs, made(raceTypicalLatency)}, proto.AllowedRegions{}, false, long / 2, 1},
+		{"other target hangs as well", []racer{busyAfterFirst(made(long)), hangs}, proto.AllowedRegions{}, false, long, 0},
+		{"all connections are dead", []racer{respondsInTurn(hangs, made(raceTypicalLatency)), respondsInTurn(hangs, made(raceTypicalLatency))}, proto.AllowedRegions{}, false, long / 2, 2},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
--- a/relay/pieces_test.go
+++ b/relay/pieces_test.go
@@ -116,17 +116,17 @@
 		answer func(context.Context) (proto.Message, error)
 		calls  int
 	}{
-		{"the owner does it", func(context.Context) (proto.Message, error) {
+		{"owner runs the pieces", func(context.Context) (proto.Message, error) {
 			return proto.PiecesAnswer{Outcome: proto.PiecesDone, Handles: []string{"x", "y"}}, nil
 		}, 0},
-		{"the owner refuses, which is its word", func(context.Context) (proto.Message, error) {
+		{"owner refuses the job", func(context.Context) (proto.Message, error) {
 			return proto.PiecesAnswer{Outcome: proto.PiecesRefused}, nil
 		}, 0},
-		{"the owner cannot be reached", func(context.Context) (proto.Message, error) { return nil, errors.New("cut off") }, 1},
-		{"the owner has just started", func(context.Context) (proto.Message, error) {
+		{"owner is unreachable", func(context.Context) (proto.Message, error) { return nil, errors.New("cut off") }, 1},
+		{"owner has no such pool yet", func(context.Context) (proto.Message, error) {
 			return proto.PiecesAnswer{Outcome: proto.PiecesElsewhere}, nil
 		}, 1},
-		{"the owner answers something else", func(context.Context) (proto.Message, error) { return proto.Done{}, nil }, 1},
+		{"owner sends an unexpected message", func(context.Context) (proto.Message, error) { return proto.Done{}, nil }, 1},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -139,7 +139,7 @@
 			sender.mu.Lock()
 			defer sender.mu.Unlock()
 			if sender.calls != s.calls {
-				t.Errorf("%d calls from here, want %d", sender.calls, s.calls)
+				t.Errorf("%d local calls, want %d", sender.calls, s.calls)
 			}
 		})
 	}
@@ -160,7 +160,7 @@
 	peers.mu.Lock()
 	defer peers.mu.Unlock()
 	if len(peers.sent) != 1 {
-		t.Errorf("the silent owner was sent %v, want a word that the work is not needed", peers.sent)
+		t.Errorf("the silent owner was sent %v, want one message that cancels the stage", peers.sent)
 	}
 }
 
@@ -174,6 +174,6 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.batcher.spec.MaxPieces != changed.MaxPieces || w.batcher.model.callCost() != float64(changed.CallCost) {
-		t.Errorf("calls of %d pieces at most that take %v", w.batcher.spec.MaxPieces, time.Duration(w.batcher.model.callCost()))
+		t.Errorf("the batcher makes calls of up to %d pieces with a fixed time of %v", w.batcher.spec.MaxPieces, time.Duration(w.batcher.model.callCost()))
 	}
 }
--- a/relay/restart_test.go
+++ b/relay/restart_test.go
@@ -35,7 +35,7 @@
 	old = f.PickByID(start, "p", "a", engineCriteria)
 	old.otherLoad, old.otherLoadAt, old.slowdown = 3, start, 2.5
 	if old.cache.missingTokens(engineCriteria.SharedParts) != 0 || old.active == 0 || !old.health.ejected(start) {
-		t.Fatal("the first run has no past")
+		t.Fatal("the first run has no history")
 	}
 	notes := f.ApplyChanges(start, []FleetChange{putChange(2, targetRun("a", secondRunStart))})
 	if got := outcomes(notes); got != OutcomeEnded+"; "+outcomeAdded+"; " {
@@ -44,25 +44,25 @@
 	select {
 	case <-old.runCtx.Done():
 	default:
-		t.Error("work at the last run goes on")
+		t.Error("work at the ended run was not canceled")
 	}
 	next := f.byID["a"]
 	if next == old || f.AcceptsWork(old) {
-		t.Fatal("the last run is still listed")
+		t.Fatal("the ended run is still listed")
 	}
 	if next.cache.missingTokens(engineCriteria.SharedParts) == 0 {
-		t.Error("the new run is thought to keep prompts")
+		t.Error("the new run is assumed to have cached prompts")
 	}
 	if next.active != 0 || next.unreadTokens != 0 || next.pauseWeight != 0 || next.otherLoad != 0 || next.slowdown != 1 {
 		t.Errorf("the new run has a load: %d attempts, %d tokens, strain %g, others %g, pace %g", next.active, next.unreadTokens, next.pauseWeight, next.otherLoad, next.slowdown)
 	}
 	if next.health.ejected(start) {
-		t.Error("the new run is left out for what the last one did")
+		t.Error("the new run is ejected for failures of the ended one")
 	}
 	// The attempt at the previous run ends now, which must not count for the new one.
 	f.FinishAttempt(start, old, engineCriteria, false, VerdictFailure, Load{Known: true, Running: 9, Slots: 4})
 	if next.active != 0 || next.otherLoad != 0 || next.health.ejected(start) {
-		t.Error("the end of an attempt at the last run counts for the new one")
+		t.Error("an attempt at the ended run was counted for the new one")
 	}
 }
 
@@ -83,7 +83,7 @@
 	later := start.Add(5 * time.Minute)
 	f.Pick(later, "p", TargetCriteria{Zone: "z"})
 	if got := f.Pick(later, "p", TargetCriteria{Zone: "z"}); got.Spec.ID != "often" {
-		t.Errorf("%s was chosen, though the other has not ended for long and is idle", got.Spec.ID)
+		t.Errorf("%s was chosen although the other target has run for long and is idle", got.Spec.ID)
 	}
 }
 
@@ -107,19 +107,19 @@
 		take    func(f *Fleet) []FleetEvent
 		outcome string
 	}{
-		{"a late write of the last run", func(f *Fleet) []FleetEvent {
+		{"late write of the ended run", func(f *Fleet) []FleetEvent {
 			return f.ApplyChanges(start, []FleetChange{putChange(9, leaving)})
 		}, outcomeStale},
-		{"told by another daemon", func(f *Fleet) []FleetEvent {
+		{"change from another daemon", func(f *Fleet) []FleetEvent {
 			c := putChange(9, leaving)
 			c.FromPeer = true
 			return f.ApplyChanges(start, []FleetChange{c})
 		}, outcomeStale},
-		{"in a whole list", func(f *Fleet) []FleetEvent {
+		{"in a full list", func(f *Fleet) []FleetEvent {
 			notes, _ := f.Replace(start, rev(9), []FleetChange{putChange(9, leaving)}, false)
 			return notes
 		}, outcomeStale},
-		{"an older version of the store", func(f *Fleet) []FleetEvent {
+		{"older store version", func(f *Fleet) []FleetEvent {
 			return f.ApplyChanges(start, []FleetChange{putChange(1, leaving)})
 		}, ""},
 	}
@@ -156,16 +156,16 @@
 		name string
 		take func(f *Fleet)
 	}{
-		{"a change", func(f *Fleet) { f.ApplyChanges(start, []FleetChange{unusable}) }},
-		{"while the store is away", func(f *Fleet) {
+		{"single change", func(f *Fleet) { f.ApplyChanges(start, []FleetChange{unusable}) }},
+		{"while the store is down", func(f *Fleet) {
 			f.MarkStoreDown(start)
 			f.ApplyChanges(start, []FleetChange{unusable})
 		}},
-		{"in a whole list", func(f *Fleet) {
+		{"in a full list", func(f *Fleet) {
 			f.MarkStoreDown(start)
 			f.Replace(start, rev(9), []FleetChange{unusable, putChange(2, targetRun("b", firstRunStart))}, false)
 		}},
-		{"without the start that its target always tells", func(f *Fleet) {
+		{"entry without start time", func(f *Fleet) {
 			f.ApplyChanges(start, []FleetChange{putChange(9, testTarget("a", "p", "z"))})
 		}},
 	}
@@ -178,7 +178,7 @@
 			}
 			f.ApplyChanges(start, []FleetChange{putChange(10, targetRun("a", firstRunStart))})
 			if got := usableIDs(f, "p"); got != "a b " {
-				t.Errorf("usable when the entry is back: %q", got)
+				t.Errorf("usable once the entry is back: %q", got)
 			}
 		})
 	}
@@ -191,7 +191,7 @@
 	changed.Slots = 9
 	f.ApplyChanges(start, []FleetChange{putChange(2, changed)})
 	if f.byID["a"] != before {
-		t.Error("a change of the entry was taken for a new run")
+		t.Error("a changed entry was treated as a new run")
 	}
 }
 
@@ -208,10 +208,10 @@
 		t.Fatalf("calls to the new run: %v", again)
 	}
 	if ends, unused := b.CallDone(start, call, results(call)); len(ends) != 0 || len(unused) != 0 {
-		t.Errorf("the answer of the last run was taken: %d ends, unused %v", len(ends), unused)
+		t.Errorf("the answer of the ended run was accepted: %d jobs ended, unused %v", len(ends), unused)
 	}
 	if ends := b.CallFailed(start, call, false); len(ends) != 0 {
-		t.Errorf("the failure of the last run ended %d jobs", len(ends))
+		t.Errorf("the failure of the ended run ended %d jobs", len(ends))
 	}
 	ends, _ := b.CallDone(start, again[0], results(again[0]))
 	if len(ends) != 1 || ends[0].Answer.Outcome != proto.PiecesDone {
@@ -251,6 +251,6 @@
 		t.Errorf("%d pieces are missing, want all 12", j.missing)
 	}
 	if again := next(b, start); len(again) != 1 || len(again[0].Items) != len(first.Items) {
-		t.Errorf("the lost pieces are not made again: %v", again)
+		t.Errorf("the lost pieces were not made again: %v", again)
 	}
 }
