--- a/relay/budget_test.go
+++ b/relay/budget_test.go
@@ -33,10 +33,10 @@
 		t.Errorf("%d attempts earned by 100 requests, want 20", earned)
 	}
 	if state, ok := b.Spend(start.Add(9*time.Second), 0.2); ok {
-		t.Errorf("the window has not passed, yet more may be spent: %+v", state)
+		t.Errorf("an attempt was allowed before the window had passed: %+v", state)
 	}
 	if state, ok := b.Spend(start.Add(13*time.Second), 0.2); !ok {
-		t.Errorf("nothing may be spent after the window: %+v", state)
+		t.Errorf("no attempt was allowed after the window: %+v", state)
 	}
 }
 
@@ -68,7 +68,7 @@
 	later := start.Add(20 * time.Second)
 	spendAll(b, later, 1)
 	if state, ok := b.Spend(later.Add(-2*time.Second), 1); ok {
-		t.Errorf("an earlier time gave the budget attempts: %+v", state)
+		t.Errorf("an attempt was allowed after the clock went back: %+v", state)
 	}
 }
 
--- a/relay/coldsends_test.go
+++ b/relay/coldsends_test.go
@@ -48,7 +48,7 @@
 	return best == p.self
 }
 
-// coldFleet returns a fleet of engines, the first of which are cold.
+// newColdFleet returns a fleet of engines, the first of which are cold.
 func newColdFleet(engines, cold int) *Fleet {
 	f := NewFleet(func(string) {}, WithColdConfig(testColdConfig))
 	f.SetColdSpec("p", coldSpec)
@@ -107,7 +107,7 @@
 			}
 		}
 		if got := maxWithinWindow(arrivals); got > coldMaxRequests || got == 0 {
-			t.Fatalf("seed %d: %d requests arrived within a second, %d may", seed, got, coldMaxRequests)
+			t.Fatalf("seed %d: %d requests arrived within a second, limit %d", seed, got, coldMaxRequests)
 		}
 	}
 }
@@ -147,12 +147,12 @@
 	}
 	for id, at := range arrivals {
 		if got := maxWithinWindow(at); got > coldMaxRequests {
-			t.Errorf("%s got %d requests within a second, %d may", id, got, coldMaxRequests)
+			t.Errorf("%s got %d requests within a second, limit %d", id, got, coldMaxRequests)
 		}
 	}
 	works := coldSpec.RequestsPerSecond * engineCount * length.Seconds()
 	if float64(served) < 0.9*works {
-		t.Errorf("%d requests were served, the cold engines work through %.0f", served, works)
+		t.Errorf("%d requests were served, throughput of the cold engines %.0f", served, works)
 	}
 }
 
@@ -163,7 +163,7 @@
 		chosen[p.Choose(context.Background(), "p", TargetCriteria{Engine: true, Route: "r", OwnTokens: 300}).Spec.ID]++
 	}
 	if chosen["e000"]+chosen["e001"] > 0 {
-		t.Errorf("cold targets were chosen while warm ones had room: %v", chosen)
+		t.Errorf("cold targets were chosen although warm ones had capacity: %v", chosen)
 	}
 	for range 200 {
 		if placed := p.Choose(context.Background(), "p", TargetCriteria{Engine: true, Route: "r", OwnTokens: 3000}); placed != nil {
@@ -171,7 +171,7 @@
 		}
 	}
 	if n := chosen["e000"]; n == 0 || n > coldMaxRequests/2 {
-		t.Errorf("a cold target got %d requests at once beside busy ones: %v", n, chosen)
+		t.Errorf("a cold target got %d requests at once while others were busy: %v", n, chosen)
 	}
 }
 
@@ -185,7 +185,7 @@
 		return n
 	}
 	if less, urgent := count(2), count(0); less != 5 || urgent != 2 {
-		t.Errorf("%d less urgent requests and %d urgent ones after them were sent, want 5 and 2", less, urgent)
+		t.Errorf("sent %d less urgent requests, then %d urgent ones, want 5 and 2", less, urgent)
 	}
 }
 
@@ -202,16 +202,16 @@
 		after    time.Duration
 		cold     bool
 	}{
-		{"it has just started", func(*Fleet) {}, 0, true},
-		{"its time is over", func(*Fleet) {}, coldSpec.WarmUpTime, false},
-		{"it says that it is warm", func(f *Fleet) { f.ApplyChanges(start, entry(9, 0)) }, 0, false},
-		{"it says that it is cold again", func(f *Fleet) {
+		{"just started", func(*Fleet) {}, 0, true},
+		{"cold period over", func(*Fleet) {}, coldSpec.WarmUpTime, false},
+		{"entry reports warm", func(f *Fleet) { f.ApplyChanges(start, entry(9, 0)) }, 0, false},
+		{"entry reports cold again", func(f *Fleet) {
 			f.ApplyChanges(start, entry(9, 0))
 			f.ApplyChanges(start.Add(time.Second), entry(10, 2*time.Second))
 		}, 2 * time.Second, true},
-		{"the same entry is read again later", func(f *Fleet) { f.ApplyChanges(start.Add(2*time.Second), entry(1, coldSpec.WarmUpTime)) }, coldSpec.WarmUpTime, false},
-		{"the pool has no bound", func(f *Fleet) { f.SetColdSpec("p", proto.ColdSpec{}) }, 0, false},
-		{"its zone is in service again", func(f *Fleet) {
+		{"same entry read again later", func(f *Fleet) { f.ApplyChanges(start.Add(2*time.Second), entry(1, coldSpec.WarmUpTime)) }, coldSpec.WarmUpTime, false},
+		{"pool without cold limit", func(f *Fleet) { f.SetColdSpec("p", proto.ColdSpec{}) }, 0, false},
+		{"zone back in service", func(f *Fleet) {
 			f.ApplyChanges(start, entry(9, 0))
 			f.ApplyEvacuations(start, []proto.Evacuation{{Zone: "z", Version: rev(20)}})
 			f.ApplyEvacuations(start.Add(time.Second), []proto.Evacuation{{Zone: "z", Version: rev(21), Ended: true}})
@@ -227,7 +227,7 @@
 				t.Errorf("cold: %t, used for pieces: %t, want cold %t", cold, usable, s.cold)
 			}
 			if got := f.Pick(now, "p", TargetCriteria{}); (got == nil) != s.cold {
-				t.Errorf("a daemon that may send nothing to a cold target picks %v", got)
+				t.Errorf("daemon without permission to use cold targets picks %v", got)
 			}
 		})
 	}
@@ -252,7 +252,7 @@
 		}
 		sent++
 		if failing[target.Spec.ID] {
-			t.Fatalf("%s fails, and was chosen since the others are crowded", target.Spec.ID)
+			t.Fatalf("failing target %s was picked because the others are at capacity", target.Spec.ID)
 		}
 	}
 	if sent == 0 || !f.AtCapacity(start.Add(10*time.Millisecond), "p") {
@@ -279,7 +279,7 @@
 		f.FinishAttempt(now, target, TargetCriteria{Engine: true}, true, VerdictSuccess, Load{})
 	}
 	if got := maxWithinWindow(chosen); got >= coldMaxRequests {
-		t.Errorf("one target got %d requests within a second, a cold one may get %d", got, coldMaxRequests)
+		t.Errorf("one target got %d requests within a second, limit for a cold one %d", got, coldMaxRequests)
 	}
 }
 
@@ -292,7 +292,7 @@
 		now := start.Add(time.Duration(i) * 2 * coldWindow)
 		target := f.Pick(now, "p", TargetCriteria{})
 		if target == nil {
-			t.Fatalf("request %d gets no target", i)
+			t.Fatalf("no target for request %d", i)
 		}
 		f.FinishAttempt(now, target, TargetCriteria{}, false, VerdictSuccess, Load{})
 	}
--- a/relay/eras_test.go
+++ b/relay/eras_test.go
@@ -44,25 +44,25 @@
 		at     time.Duration
 		usable string
 	}{
-		{"a said that it leaves", []FleetChange{putIn(1, 20, leavingTarget("a"))}, nil, 0, "b "},
-		{"a said that it leaves, and says so again", []FleetChange{putIn(1, 20, leavingTarget("a"))}, []step{{time.Second, putIn(2, 11, leavingTarget("a"))}}, restoredQuarantine, "b "},
-		{"a left and went", []FleetChange{putIn(1, 19, leavingTarget("a")), removedIn(1, 20, "a")}, nil, 0, "b "},
-		{"a went without a word", []FleetChange{removedIn(1, 20, "a")}, nil, 0, "b "},
-		{"a went and goes again", []FleetChange{removedIn(1, 20, "a")}, []step{{time.Second, removedIn(2, 12, "a")}}, restoredQuarantine, "b "},
-		{"a went, and was there again before the restoration was known", []FleetChange{removedIn(1, 20, "a")}, []step{{time.Second, putIn(2, 15, testTarget("a", "p", "z"))}}, time.Second, "a b "},
-		{"a left, and its older entry is written again first", []FleetChange{putIn(1, 19, leavingTarget("a")), removedIn(1, 20, "a")}, []step{{time.Second, putIn(2, 11, testTarget("a", "p", "z"))}}, time.Second, "b "},
-		{"a left, and a later run of it starts", []FleetChange{putIn(1, 19, leavingTarget("a")), removedIn(1, 20, "a")}, []step{{time.Second, putIn(2, 15, born)}}, time.Second, "a b "},
-		{"a left, and its entry stays for long", []FleetChange{removedIn(1, 20, "a")}, nil, restoredQuarantine, "a b "},
-		{"c came, and is not written again", []FleetChange{putIn(1, 15, testTarget("c", "p", "z"))}, nil, lapseGracePeriod, "a b "},
-		{"c came, and is written again", []FleetChange{putIn(1, 15, testTarget("c", "p", "z"))}, []step{{time.Second, putIn(2, 11, testTarget("c", "p", "z"))}}, lapseGracePeriod, "a b c "},
-		{"c came a moment ago", []FleetChange{putIn(1, 15, testTarget("c", "p", "z"))}, nil, lapseGracePeriod - 1, "a b c "},
+		{"a announced that it leaves", []FleetChange{putIn(1, 20, leavingTarget("a"))}, nil, 0, "b "},
+		{"a announced that it leaves, and does so again", []FleetChange{putIn(1, 20, leavingTarget("a"))}, []step{{time.Second, putIn(2, 11, leavingTarget("a"))}}, restoredQuarantine, "b "},
+		{"a left and was removed", []FleetChange{putIn(1, 19, leavingTarget("a")), removedIn(1, 20, "a")}, nil, 0, "b "},
+		{"a was removed without notice", []FleetChange{removedIn(1, 20, "a")}, nil, 0, "b "},
+		{"a was removed, and is removed again", []FleetChange{removedIn(1, 20, "a")}, []step{{time.Second, removedIn(2, 12, "a")}}, restoredQuarantine, "b "},
+		{"a was removed, and was back before the restoration was known", []FleetChange{removedIn(1, 20, "a")}, []step{{time.Second, putIn(2, 15, testTarget("a", "p", "z"))}}, time.Second, "a b "},
+		{"a left, and its older entry is rewritten first", []FleetChange{putIn(1, 19, leavingTarget("a")), removedIn(1, 20, "a")}, []step{{time.Second, putIn(2, 11, testTarget("a", "p", "z"))}}, time.Second, "b "},
+		{"a left, and a later run starts", []FleetChange{putIn(1, 19, leavingTarget("a")), removedIn(1, 20, "a")}, []step{{time.Second, putIn(2, 15, born)}}, time.Second, "a b "},
+		{"a was removed, and its entry stays", []FleetChange{removedIn(1, 20, "a")}, nil, restoredQuarantine, "a b "},
+		{"c was added, and is not rewritten", []FleetChange{putIn(1, 15, testTarget("c", "p", "z"))}, nil, lapseGracePeriod, "a b "},
+		{"c was added, and is rewritten", []FleetChange{putIn(1, 15, testTarget("c", "p", "z"))}, []step{{time.Second, putIn(2, 11, testTarget("c", "p", "z"))}}, lapseGracePeriod, "a b c "},
+		{"c was added a moment ago", []FleetChange{putIn(1, 15, testTarget("c", "p", "z"))}, nil, lapseGracePeriod - 1, "a b c "},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			f := fleetWith(putIn(1, 1, testTarget("a", "p", "z")), putIn(1, 2, testTarget("b", "p", "z")))
 			f.ApplyChanges(start, s.lost)
 			if _, taken := f.Replace(start, inEra(2, 10), copied, false); !taken {
-				t.Fatal("the list of a later era was refused, its version being lower")
+				t.Fatal("the list of a later era was refused because of its lower version")
 			}
 			for _, step := range s.then {
 				f.ApplyChanges(start.Add(step.at), []FleetChange{step.change})
@@ -93,7 +93,7 @@
 		}
 		late := start.Add(restoredQuarantine)
 		if len(informed.ExpireInvalid(late)) != 1 || informed.MergeInvalid(late, starting.InvalidEntries()) != nil || len(informed.InvalidEntries()) > 0 {
-			t.Error("daemons keep telling each other of an entry that stayed")
+			t.Error("daemons keep exchanging an entry that stayed")
 		}
 	}
 }
@@ -117,15 +117,15 @@
 		at       time.Duration
 		want     string
 	}{
-		{"asked since the copy", []proto.Evacuation{asked(1, 20)}, nil, nil, evacuationRewriteWait - 1, "[y]"},
-		{"asked since the copy, and again", []proto.Evacuation{asked(1, 20)}, nil, []step{{time.Second, asked(2, 12)}}, time.Hour, "[y]"},
-		{"asked since the copy, and not again", []proto.Evacuation{asked(1, 20)}, nil, nil, evacuationRewriteWait, "[]"},
-		{"asked and taken back since the copy", []proto.Evacuation{asked(1, 20), over(1, 21)}, nil, nil, 0, "[]"},
-		{"taken back since the copy", []proto.Evacuation{asked(1, 5), over(1, 20)}, []proto.Evacuation{asked(2, 5)}, nil, 0, "[]"},
-		{"taken back since the copy, and again", []proto.Evacuation{asked(1, 5), over(1, 20)}, []proto.Evacuation{asked(2, 5)}, []step{{time.Second, over(2, 12)}}, time.Hour, "[]"},
-		{"taken back since the copy, and asked once more", []proto.Evacuation{asked(1, 5), over(1, 20)}, []proto.Evacuation{asked(2, 5)}, []step{{time.Second, asked(2, 12)}}, time.Hour, "[y]"},
-		{"in the copy as well", []proto.Evacuation{asked(1, 5)}, []proto.Evacuation{asked(2, 5)}, nil, time.Hour, "[y]"},
-		{"not known here before", nil, []proto.Evacuation{asked(2, 5)}, nil, time.Hour, "[y]"},
+		{"requested after the copy", []proto.Evacuation{asked(1, 20)}, nil, nil, evacuationRewriteWait - 1, "[y]"},
+		{"requested after the copy, and again", []proto.Evacuation{asked(1, 20)}, nil, []step{{time.Second, asked(2, 12)}}, time.Hour, "[y]"},
+		{"requested after the copy, and not again", []proto.Evacuation{asked(1, 20)}, nil, nil, evacuationRewriteWait, "[]"},
+		{"requested and revoked after the copy", []proto.Evacuation{asked(1, 20), over(1, 21)}, nil, nil, 0, "[]"},
+		{"revoked after the copy", []proto.Evacuation{asked(1, 5), over(1, 20)}, []proto.Evacuation{asked(2, 5)}, nil, 0, "[]"},
+		{"revoked after the copy, and again", []proto.Evacuation{asked(1, 5), over(1, 20)}, []proto.Evacuation{asked(2, 5)}, []step{{time.Second, over(2, 12)}}, time.Hour, "[]"},
+		{"revoked after the copy, and requested again", []proto.Evacuation{asked(1, 5), over(1, 20)}, []proto.Evacuation{asked(2, 5)}, []step{{time.Second, asked(2, 12)}}, time.Hour, "[y]"},
+		{"also in the copy", []proto.Evacuation{asked(1, 5)}, []proto.Evacuation{asked(2, 5)}, nil, time.Hour, "[y]"},
+		{"unknown before", nil, []proto.Evacuation{asked(2, 5)}, nil, time.Hour, "[y]"},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -160,7 +160,7 @@
 	informed.ApplyEvacuations(start, informed.ExpiredEvacuations(start.Add(evacuationRewriteWait)))
 	starting.ApplyEvacuations(start, informed.Evacuations())
 	if len(starting.EvacuatedZones()) > 0 || starting.EvacuationsVersion() != informed.EvacuationsVersion() {
-		t.Errorf("evacuated after the wait: %v as of %s", starting.EvacuatedZones(), starting.EvacuationsVersion())
+		t.Errorf("evacuated after evacuationRewriteWait: %v as of %s", starting.EvacuatedZones(), starting.EvacuationsVersion())
 	}
 }
 
@@ -348,7 +348,7 @@
 		}
 		for i, f := range w.fleets {
 			if got := usableIDsAt(f, "p", w.now); got != want {
-				t.Fatalf("seed %d: fleet %d uses %q in the end, there are %q", seed, i, got, want)
+				t.Fatalf("seed %d: fleet %d uses %q at the end, want %q", seed, i, got, want)
 			}
 		}
 	}
--- a/relay/fleet_test.go
+++ b/relay/fleet_test.go
@@ -63,13 +63,13 @@
 		t.Errorf("usable after an older entry: %q", got)
 	}
 	if _, taken := f.Replace(start, rev(8), []FleetChange{putChange(5, testTarget("a", "p", "z"))}, false); taken {
-		t.Error("a list from before the newest change was taken")
+		t.Error("a list older than the newest change was applied")
 	}
 	if got := usableIDs(f, "p"); got != "b " {
 		t.Errorf("usable after an older list: %q", got)
 	}
 	if _, taken := f.Replace(start, rev(9), []FleetChange{putChange(9, leaving)}, false); !taken || usableIDs(f, "p") != "" {
-		t.Errorf("a list that lacks b leaves %q", usableIDs(f, "p"))
+		t.Errorf("usable after a list without b: %q", usableIDs(f, "p"))
 	}
 }
 
@@ -100,7 +100,7 @@
 		name  string
 		steps []step
 	}{
-		{"the store is well", []step{{0, gone, "b "}}},
+		{"store is up", []step{{0, gone, "b "}}},
 		{"lapsed and back", []step{
 			{0, away, "a b "},
 			{4 * time.Second, back, "a b "},
@@ -108,21 +108,21 @@
 			{5 * time.Second, again, "a b "},
 			{7 * time.Second, sweep, "a b "},
 		}},
-		{"lapsed and gone for good", []step{
+		{"lapsed and removed", []step{
 			{0, away, "a b "},
 			{4 * time.Second, back, "a b "},
 			{4 * time.Second, gone, "a b "},
 			{5 * time.Second, sweep, "a b "},
 			{4*time.Second + lapseGracePeriod, sweep, "b "},
 		}},
-		{"lapsed by the word of another daemon", []step{
+		{"lapse reported by another daemon", []step{
 			{0, func(f *Fleet, now time.Time) {
 				f.ApplyChanges(now, []FleetChange{{ID: "a", Version: rev(5), Removed: true, FromPeer: true, Lapsed: true}})
 			}, "a b "},
 			{time.Second, sweep, "a b "},
 			{lapseGracePeriod, sweep, "b "},
 		}},
-		{"gone after the return", []step{{0, away, "a b "}, {4 * time.Second, back, "a b "}, {4*time.Second + lapseDetectWindow, gone, "b "}}},
+		{"removed after the store is up", []step{{0, away, "a b "}, {4 * time.Second, back, "a b "}, {4*time.Second + lapseDetectWindow, gone, "b "}}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -144,7 +144,7 @@
 	told.FromPeer, told.Lapsed = true, true
 	ids, before := f.LapsedTargets(f.ApplyChanges(start, []FleetChange{told}))
 	if fmt.Sprint(ids) != "[a]" || before != rev(4) {
-		t.Fatalf("to be asked about are %v after version %s", ids, before)
+		t.Fatalf("targets to check: %v after version %s", ids, before)
 	}
 	if f.MarkSuspected("a"); usableIDs(f, "p") != "b " {
 		t.Errorf("usable %q, though another daemon saw it leave", usableIDs(f, "p"))
@@ -164,7 +164,7 @@
 		t.Errorf("usable %q, notes %v", usableIDs(f, "p"), notes)
 	}
 	if notes := f.MarkSuspected("a"); len(notes) != 0 {
-		t.Errorf("doubted twice: %v", notes)
+		t.Errorf("suspected twice: %v", notes)
 	}
 	for range 4 {
 		if got := f.Pick(start, "p", TargetCriteria{}); got.Spec.ID != "b" {
@@ -177,7 +177,7 @@
 	}
 	f.ApplyChanges(start, []FleetChange{putChange(7, testTarget("a", "p", "z"))})
 	if usableIDs(f, "p") != "a b " {
-		t.Errorf("an entry that is back leaves %q", usableIDs(f, "p"))
+		t.Errorf("usable after the entry is back: %q", usableIDs(f, "p"))
 	}
 }
 
@@ -219,16 +219,16 @@
 	}
 	fail(start, "b")
 	if f.Pick(start, "p", TargetCriteria{}) == nil {
-		t.Error("with all targets failing, none was picked: a bad one is better than none")
+		t.Error("none was picked with all targets failing: an unhealthy one is better than none")
 	}
 	if out := f.ExcludedTargets(start.Add(maxEjection), "p"); len(out) != 0 {
-		t.Errorf("%v are out for ever", out)
+		t.Errorf("%v stay ejected", out)
 	}
 	for i := range 6 {
 		fail(start.Add(time.Duration(i)*time.Millisecond), "a")
 	}
 	if out := f.ExcludedTargets(start.Add(maxEjection-time.Second), "p"); fmt.Sprint(out) != "[a]" {
-		t.Errorf("out after failures in a row: %v", out)
+		t.Errorf("ejected after consecutive failures: %v", out)
 	}
 }
 
@@ -238,7 +238,7 @@
 		t.Errorf("picked %s", got.Spec.ID)
 	}
 	if got := f.Pick(start, "p", TargetCriteria{Tried: map[string]bool{"a": true, "b": true}}); got != nil {
-		t.Errorf("picked %s, which was tried", got.Spec.ID)
+		t.Errorf("picked %s, which was already tried", got.Spec.ID)
 	}
 }
 
@@ -277,7 +277,7 @@
 		t.Errorf("usable %q", usableIDs(f, "p"))
 	}
 	if f.Version() != rev(9) {
-		t.Errorf("version %s: the daemon would ask for the same list again and again", f.Version())
+		t.Errorf("version %s: the daemon would request the same list repeatedly", f.Version())
 	}
 }
 
--- a/relay/fleetnotices_test.go
+++ b/relay/fleetnotices_test.go
@@ -29,24 +29,24 @@
 		change   func(f *Fleet)
 		used     bool
 	}{
-		{"nothing changes", func(*Fleet) {}, false},
-		{"the entry is written again", func(f *Fleet) { f.ApplyChanges(start, []FleetChange{putChange(2, targetStartedAt(1))}) }, false},
-		{"a later answer does not say so", func(f *Fleet) {
+		{"no change", func(*Fleet) {}, false},
+		{"entry rewritten", func(f *Fleet) { f.ApplyChanges(start, []FleetChange{putChange(2, targetStartedAt(1))}) }, false},
+		{"later response without the notice", func(f *Fleet) {
 			f.recordSignal(start.Add(time.Minute), &signal{target: targetStartedAt(1), sent: start.Add(time.Minute)})
 		}, false},
-		{"the store is restored from a copy", func(f *Fleet) {
+		{"store restored from a copy", func(f *Fleet) {
 			f.Replace(start, proto.Revision{Era: 1, Version: 1}, []FleetChange{putIn(1, 1, targetStartedAt(1))}, false)
 		}, false},
-		{"another writer spoils the entry for a while", func(f *Fleet) {
+		{"entry overwritten by another writer for a while", func(f *Fleet) {
 			f.ApplyChanges(start, []FleetChange{{ID: "t", Version: proto.Revision{Version: 2}, Unusable: true}})
 			f.Sweep(start.Add(time.Minute))
 			f.ApplyChanges(start.Add(time.Minute), []FleetChange{putChange(3, targetStartedAt(1))})
 		}, false},
-		{"the entry goes and comes back", func(f *Fleet) {
+		{"entry removed and added again", func(f *Fleet) {
 			f.ApplyChanges(start, []FleetChange{{ID: "t", Version: proto.Revision{Version: 2}, Removed: true}})
 			f.ApplyChanges(start, []FleetChange{putChange(3, targetStartedAt(1))})
 		}, false},
-		{"the target starts again", func(f *Fleet) { f.ApplyChanges(start, []FleetChange{putChange(2, targetStartedAt(2))}) }, true},
+		{"target restarts", func(f *Fleet) { f.ApplyChanges(start, []FleetChange{putChange(2, targetStartedAt(2))}) }, true},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -55,10 +55,10 @@
 			f.recordSignal(start, &signal{Notice: Notice{Leaving: true}, target: targetStartedAt(1), sent: start})
 			s.change(f)
 			if used := f.Pick(start.Add(time.Minute), "p", TargetCriteria{}) != nil; used != s.used {
-				t.Errorf("used: %v", used)
+				t.Errorf("picked: %v", used)
 			}
 			if usable := len(f.Usable(start.Add(time.Minute), "p")) > 0; usable != s.used {
-				t.Errorf("used for calls: %v", usable)
+				t.Errorf("usable for calls: %v", usable)
 			}
 		})
 	}
@@ -71,7 +71,7 @@
 	f.recordSignal(start, &signal{Notice: Notice{Leaving: true}, target: targetStartedAt(1), sent: start})
 	for _, n := range f.ApplyChanges(start, []FleetChange{{ID: "t", Version: proto.Revision{Version: 2}, Removed: true}}) {
 		if n.Crashed() {
-			t.Errorf("counts as crashed: %+v", n)
+			t.Errorf("reported as crashed: %+v", n)
 		}
 	}
 }
@@ -108,7 +108,7 @@
 	f.recordSignal(start, &signal{Notice: Notice{Leaving: true}, target: testTarget("t", "q", "z"), sent: start})
 	f.ApplyChanges(start, []FleetChange{putChange(2, testTarget("t", "p", "z"))})
 	if f.Pick(start, "p", TargetCriteria{}) == nil {
-		t.Error("the target gets no work")
+		t.Error("the target was not picked")
 	}
 }
 
@@ -125,7 +125,7 @@
 		rests    time.Duration
 	}{
 		{"three seconds", 3 * time.Second, 3 * time.Second},
-		{"a part of a second", 100 * time.Millisecond, 100 * time.Millisecond},
+		{"fraction of a second", 100 * time.Millisecond, 100 * time.Millisecond},
 		{"none", 0, 0},
 		{"half an hour", 30 * time.Minute, maxBackoff},
 		{"a year", 365 * 24 * time.Hour, 0},
@@ -136,13 +136,13 @@
 			f := fleetWith(putChange(1, testTarget("t", "p", "z")))
 			reportBackoff(f, "t", s.rest)
 			if s.rests > 0 && f.Pick(start.Add(s.rests-time.Nanosecond), "p", TargetCriteria{}) != nil {
-				t.Error("the target gets work while it rests")
+				t.Error("the target was picked during its backoff")
 			}
 			if s.rests > 0 && f.PickByID(start.Add(s.rests-time.Nanosecond), "p", "t", TargetCriteria{}) != nil {
-				t.Error("the target gets work that another daemon chose it for while it rests")
+				t.Error("the target was picked by ID during its backoff")
 			}
 			if f.Pick(start.Add(s.rests), "p", TargetCriteria{}) == nil {
-				t.Error("the target gets no work after its rest")
+				t.Error("the target was not picked after its backoff")
 			}
 		})
 	}
@@ -154,10 +154,10 @@
 	owner, other := all["vm-0"], all["vm-1"]
 	owner.fleet.recordSignal(start, &signal{Notice: Notice{Backoff: time.Second}, target: testTarget("e00", "p", "y"), sent: start})
 	if owner.Choose(t.Context(), "p", promptCriteria("part", 0, 100)) != nil {
-		t.Error("the daemon that was turned away sends a request")
+		t.Error("the daemon that was asked to back off sends a request")
 	}
 	if other.Choose(t.Context(), "p", promptCriteria("part", 0, 100)) == nil {
-		t.Error("another daemon sends none")
+		t.Error("another daemon sends no request")
 	}
 }
 
@@ -172,11 +172,11 @@
 		wait     time.Duration
 		stages   bool
 	}{
-		{"the only target rests", []Notice{rest}, reasonBackoff, 3 * time.Second, false},
-		{"the only target has a limit that is used up", []Notice{limit}, reasonRateLimited, exhausted, false},
-		{"one rests, one is at its limit", []Notice{rest, limit}, reasonBackoff, 3 * time.Second, false},
-		{"a limit is not used up", []Notice{{Limited: true, Limit: 1000}}, "", 0, true},
-		{"one signals nothing", []Notice{rest, {}}, "", 0, true},
+		{"only target in backoff", []Notice{rest}, reasonBackoff, 3 * time.Second, false},
+		{"limit of only target used up", []Notice{limit}, reasonRateLimited, exhausted, false},
+		{"one in backoff, one at its limit", []Notice{rest, limit}, reasonBackoff, 3 * time.Second, false},
+		{"limit not used up", []Notice{{Limited: true, Limit: 1000}}, "", 0, true},
+		{"one without notice", []Notice{rest, {}}, "", 0, true},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -197,10 +197,10 @@
 				}
 				fail := f.run(ctx)
 				if s.stages != (ctx.Err() != nil) {
-					t.Errorf("stages were begun: %t", ctx.Err() != nil)
+					t.Errorf("stages were started: %t", ctx.Err() != nil)
 				}
 				if !s.stages && (fail == nil || fail.status != 503 || fail.reason != s.reason || fail.wait != s.wait) {
-					t.Errorf("end %+v", fail)
+					t.Errorf("failure %+v", fail)
 				}
 			})
 		})
@@ -217,10 +217,10 @@
 		t.Fatalf("refused: %+v", refused)
 	}
 	if calls, _ := b.NextCalls(start.Add(time.Second - time.Nanosecond)); len(calls) > 0 {
-		t.Error("a call is made while the target rests")
+		t.Error("a call was made during the backoff")
 	}
 	if calls, _ := b.NextCalls(start.Add(time.Second)); len(calls) != 1 {
-		t.Errorf("%d calls are made after the rest", len(calls))
+		t.Errorf("%d calls were made after the backoff", len(calls))
 	}
 }
 
@@ -232,12 +232,12 @@
 		change   func(b *Batcher)
 		want     overdueAction
 	}{
-		{"nothing is said", func(*Batcher) {}, overdueRepeat},
-		{"it leaves", func(b *Batcher) { b.SetTargets(nil) }, overdueWait},
-		{"it rests", func(b *Batcher) {
+		{"no notice", func(*Batcher) {}, overdueRepeat},
+		{"target leaves", func(b *Batcher) { b.SetTargets(nil) }, overdueWait},
+		{"target in backoff", func(b *Batcher) {
 			b.setTargetLimits([]targetLimits{{id: "t", limit: noLimit, backoffUntil: start.Add(time.Hour)}}, 1)
 		}, overdueWait},
-		{"it is at its limit", func(b *Batcher) { b.setTargetLimits([]targetLimits{{id: "t", limit: 1}}, 1) }, overdueWait},
+		{"target at its limit", func(b *Batcher) { b.setTargetLimits([]targetLimits{{id: "t", limit: 1}}, 1) }, overdueWait},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -253,7 +253,7 @@
 			}
 			s.change(b)
 			if got := b.checkOverdue(start.Add(time.Minute), calls[0]); got != s.want {
-				t.Errorf("standing %d, want %d", got, s.want)
+				t.Errorf("action %d, want %d", got, s.want)
 			}
 		})
 	}
@@ -282,6 +282,6 @@
 		{Target: "d", Limit: 2, Age: "300ms", From: "vm-2", Next: "700ms"},
 	}
 	if !slices.Equal(lines, want) {
-		t.Errorf("said %+v, want %+v", lines, want)
+		t.Errorf("got %+v, want %+v", lines, want)
 	}
 }
--- a/relay/fleetvoid_test.go
+++ b/relay/fleetvoid_test.go
@@ -14,25 +14,25 @@
 	informed := fleetWith(putChange(1, targetRun("a", firstRunStart)), other)
 	informed.ApplyChanges(start, []FleetChange{overwritten})
 	if got := usableIDs(informed, "p"); got != "b " {
-		t.Fatalf("the daemon that knew the run uses %q", got)
+		t.Fatalf("usable at the daemon that knew the run: %q", got)
 	}
 	scenarios := []struct {
 		testName string
 		tell     func(f *Fleet)
 	}{
-		{"told after it read the entry", func(f *Fleet) {
+		{"learned after reading the entry", func(f *Fleet) {
 			f.ApplyChanges(start, []FleetChange{other, overwritten})
 			f.MergeInvalid(start, informed.InvalidEntries())
 		}},
-		{"told before", func(f *Fleet) {
+		{"learned before reading the entry", func(f *Fleet) {
 			f.MergeInvalid(start, informed.InvalidEntries())
 			f.ApplyChanges(start, []FleetChange{other, overwritten})
 		}},
-		{"told before it read a whole list", func(f *Fleet) {
+		{"learned before reading a whole list", func(f *Fleet) {
 			f.MergeInvalid(start, informed.InvalidEntries())
 			f.Replace(start, rev(9), []FleetChange{other, overwritten}, false)
 		}},
-		{"reads the same whole list twice", func(f *Fleet) {
+		{"same whole list read twice", func(f *Fleet) {
 			f.MergeInvalid(start, informed.InvalidEntries())
 			f.Replace(start, rev(9), []FleetChange{other, overwritten}, false)
 			f.Replace(start, rev(10), []FleetChange{other, overwritten}, false)
@@ -50,7 +50,7 @@
 			}
 			f.ApplyChanges(start, []FleetChange{putChange(12, targetRun("a", secondRunStart))})
 			if got := usableIDs(f, "p"); got != "a b " || len(f.InvalidEntries()) != 0 {
-				t.Errorf("usable after the target wrote its entry: %q, void %v", got, f.InvalidEntries())
+				t.Errorf("usable after the target wrote its entry: %q, invalid %v", got, f.InvalidEntries())
 			}
 		})
 	}
@@ -61,6 +61,6 @@
 	f.MergeInvalid(start, []proto.InvalidEntry{{ID: "a", Version: rev(4)}, {ID: "c", Version: rev(30)}})
 	f.Replace(start, rev(9), []FleetChange{putChange(2, testTarget("b", "p", "z"))}, false)
 	if void := f.InvalidEntries(); len(void) != 1 || void[0].ID != "c" {
-		t.Errorf("void: %v, want only the one that is newer than the list", void)
+		t.Errorf("invalid: %v, want only the one newer than the list", void)
 	}
 }
--- a/relay/fleetzones_test.go
+++ b/relay/fleetzones_test.go
@@ -23,9 +23,9 @@
 		testName string
 		pick     func(f *Fleet) string
 	}{
-		{"a plain request", func(f *Fleet) string { return f.Pick(start, "p", TargetCriteria{Zone: "y"}).Spec.ID }},
-		{"a prompt whose part is kept there", func(f *Fleet) string { return f.Pick(start, "p", promptCriteria("part", 5000, 10)).Spec.ID }},
-		{"all others fail", func(f *Fleet) string {
+		{"plain request", func(f *Fleet) string { return f.Pick(start, "p", TargetCriteria{Zone: "y"}).Spec.ID }},
+		{"prompt cached in the zone", func(f *Fleet) string { return f.Pick(start, "p", promptCriteria("part", 5000, 10)).Spec.ID }},
+		{"all others failing", func(f *Fleet) string {
 			other := f.Pick(start, "p", TargetCriteria{Zone: "z"})
 			for range 9 {
 				f.FinishAttempt(start, other, TargetCriteria{}, false, VerdictFailure, Load{})
@@ -36,7 +36,7 @@
 			all, _ := newPlacers(clockwork.NewFakeClockAt(start), f, engineFleet(4))
 			return all["vm-1"].Choose(context.Background(), "p", promptCriteria("part", 5000, 10)).Spec.ID
 		}},
-		{"a call for pieces", func(f *Fleet) string { return f.Usable(start, "p")[0].ID }},
+		{"call for pieces", func(f *Fleet) string { return f.Usable(start, "p")[0].ID }},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -56,7 +56,7 @@
 	f := fleetWith(putChange(1, testTarget("a", "p", "y")))
 	f.ApplyEvacuations(start, evacuation(2, false))
 	if got := f.Pick(start, "p", TargetCriteria{}); got != nil || f.PickByID(start, "p", "a", TargetCriteria{}) != nil || len(f.Usable(start, "p")) > 0 {
-		t.Errorf("the evacuated target gets work: %v", got)
+		t.Errorf("the evacuated target was picked: %v", got)
 	}
 }
 
@@ -96,10 +96,10 @@
 		listed   []proto.Evacuation
 		want     string
 	}{
-		{"the row is there", evacuation(5, false), 9, evacuation(5, false), "[y]"},
-		{"the row is gone", evacuation(5, false), 9, nil, "[]"},
-		{"the list is from before the evacuation", evacuation(5, false), 4, nil, "[y]"},
-		{"asked again since", evacuation(5, true), 9, evacuation(7, false), "[y]"},
+		{"row present", evacuation(5, false), 9, evacuation(5, false), "[y]"},
+		{"row missing", evacuation(5, false), 9, nil, "[]"},
+		{"list older than the evacuation", evacuation(5, false), 4, nil, "[y]"},
+		{"requested again", evacuation(5, true), 9, evacuation(7, false), "[y]"},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -126,10 +126,10 @@
 	f.FinishAttempt(start, attempt, TargetCriteria{}, false, VerdictSuccess, Load{})
 	ends, _ := b.CallDone(start, calls[0], []ItemResult{{Handle: "h0"}, {Handle: "h1"}})
 	if len(ends) != 1 || ends[0].Answer.Outcome != proto.PiecesDone || attempt.runCtx.Err() != nil {
-		t.Errorf("ends %+v, the attempt's target %v", ends, attempt.runCtx.Err())
+		t.Errorf("finished jobs %+v, context of the attempt's target %v", ends, attempt.runCtx.Err())
 	}
 	b.Add(start, job("s", 2))
 	if calls, _ := b.NextCalls(start); len(calls) > 0 {
-		t.Error("a call goes to the evacuated zone")
+		t.Error("a call was made to the evacuated zone")
 	}
 }
--- a/relay/limits.go
+++ b/relay/limits.go
@@ -160,7 +160,7 @@
 func (p *Placer) grant(now time.Time, pool string, n *proto.TargetNotice, to proto.VM) proto.PermitAnswer {
 	owner, own := p.permitOwner(pool)
 	if !own {
-		p.log.Info("permits are handed out elsewhere", "pool", pool, "target", n.Target, "asker", to, "by", owner)
+		p.log.Info("permit refused: another daemon grants the permits of this pool", "pool", pool, "target", n.Target, "asker", to, "by", owner)
 		return proto.PermitAnswer{RetryAfter: permitRetryDelay}
 	}
 	share := p.peers.Share()
@@ -169,7 +169,7 @@
 	defer p.permits.mu.Unlock()
 	known, isNew := p.permits.lookup(now, n.Run)
 	if isNew {
-		p.log.Info("permits for a target are handed out here", "pool", pool, "run", n.Run, "limit", n.Limit, "perSecond", perSecond, "live", share.Live, "counted", share.Counted)
+		p.log.Info("this daemon grants the permits for a target", "pool", pool, "run", n.Run, "limit", n.Limit, "perSecond", perSecond, "live", share.Live, "counted", share.Counted)
 	}
 	if !known.take(now, perSecond) {
 		p.permits.denied.Add(1)
@@ -183,7 +183,7 @@
 func (p *Placer) HandlePermitAsk(from proto.VM, ask proto.PermitAsk) proto.PermitAnswer {
 	now := p.clock.Now()
 	if !ask.Notice.Valid() {
-		p.log.Warn("a limit in a message cannot be kept", "target", ask.Notice.Target, "limit", ask.Notice.Limit, "from", from)
+		p.log.Warn("ignoring an invalid limit in a permit request", "target", ask.Notice.Target, "limit", ask.Notice.Limit, "from", from)
 		return proto.PermitAnswer{RetryAfter: permitRetryDelay}
 	}
 	p.fleet.MergeNotices(now, []proto.TargetNotice{ask.Notice}, from)
--- a/relay/limits_bench_test.go
+++ b/relay/limits_bench_test.go
@@ -15,7 +15,7 @@
 		// isolated daemons do not hear from each other, so that each keeps to a part of its own; silent ones do not
 		// answer each other.
 		isolated, silent bool
-	}{{"handed out by one daemon", false, false}, {"equal parts", true, false}, {"one daemon sends alone", false, true}}
+	}{{"granted by one daemon", false, false}, {"equal parts", true, false}, {"single sender", false, true}}
 	for _, way := range ways {
 		for _, daemons := range []int{6, 30, 95} {
 			for _, limit := range []float64{0.3, 1, 5, 50} {
--- a/relay/limits_test.go
+++ b/relay/limits_test.go
@@ -129,7 +129,7 @@
 	case proto.PlaceAsk:
 		return d.sim.daemon(to).placer.HandlePlaceAsk(ask), nil
 	}
-	return nil, fmt.Errorf("not known")
+	return nil, fmt.Errorf("unexpected message")
 }
 
 func (d *limitDaemon) reaches(vm proto.VM) bool { return d.sim.daemon(vm).group == d.group }
@@ -218,7 +218,7 @@
 				testName string
 				spread   int
 				engine   bool
-			}{{"even, engines", daemons, true}, {"even, plain", daemons, false}, {"all at one daemon", 1, false}} {
+			}{{"even load, engines", daemons, true}, {"even load, plain", daemons, false}, {"all load at one daemon", 1, false}} {
 				t.Run(fmt.Sprintf("%d daemons, limit %g, %s", daemons, limit, load.testName), func(t *testing.T) {
 					t.Parallel()
 					w := newLimitSimulation(1, daemons, limit)
@@ -226,7 +226,7 @@
 					from := w.clock.Now()
 					w.run(length, 3*limit+3, load.spread, load.engine)
 					if got, may := w.maxArrivals(from), maxAllowedArrivals(limit); got > may {
-						t.Errorf("%d requests arrived within %s, %d may", got, limitSpan, may)
+						t.Errorf("%d requests arrived within %s, limit %d", got, limitSpan, may)
 					}
 					used := 0
 					for _, at := range w.arrivals {
@@ -235,7 +235,7 @@
 						}
 					}
 					if takes := limit * length.Seconds(); float64(used) < minLimitUse*takes {
-						t.Errorf("%d requests arrived, the target takes %.0f", used, takes)
+						t.Errorf("%d requests arrived, the target accepts %.0f", used, takes)
 					}
 				})
 			}
@@ -257,7 +257,7 @@
 			w.run(time.Duration(1+random.IntN(8))*time.Second, 2*limit+3, daemons, engine)
 		}
 		if got, may := w.maxArrivals(from), maxAllowedArrivals(limit); got > may {
-			t.Errorf("seed %d: %d daemons: %d requests arrived within %s at a target with a limit of %g, %d may", seed, daemons, got, limitSpan, limit, may)
+			t.Errorf("seed %d: %d daemons: %d requests arrived within %s at a target with a limit of %g, want at most %d", seed, daemons, got, limitSpan, limit, may)
 		}
 	}
 }
@@ -287,8 +287,8 @@
 		limited  bool
 	}{
 		{"a limit", Notice{Limited: true, Limit: 2}, false, true},
-		{"a limit that no number of requests reaches", Notice{Limited: true, Limit: 1e300}, false, true},
-		{"a value that cannot be read", Notice{Unreadable: []string{"x"}}, true, false},
+		{"unreachably high limit", Notice{Limited: true, Limit: 1e300}, false, true},
+		{"malformed value", Notice{Unreadable: []string{"x"}}, true, false},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -317,7 +317,7 @@
 	from := len(w.arrivals)
 	w.run(5*time.Second, 5, 1, false)
 	if len(w.arrivals) == from {
-		t.Error("nothing arrived after the zone came back")
+		t.Error("no request arrived after the zone came back")
 	}
 }
 
@@ -330,11 +330,11 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if got := w.liveShare(); got != nonOwnerShare {
-		t.Errorf("%g of the limit is used beside the owner, want %g", got, nonOwnerShare)
+		t.Errorf("fraction %g of the limit is used by a non-owner, want %g", got, nonOwnerShare)
 	}
 	w.pieces.self = "other"
 	if got := w.liveShare(); got != 1 {
-		t.Errorf("%g of the limit is used by the owner", got)
+		t.Errorf("fraction %g of the limit is used by the owner", got)
 	}
 }
 
@@ -355,6 +355,6 @@
 		}
 	}
 	if granted > 2 {
-		t.Errorf("%d permits were handed out within two seconds, the target takes one a second", granted)
+		t.Errorf("%d permits were granted within two seconds, the target accepts one per second", granted)
 	}
 }
--- a/relay/noticescope_test.go
+++ b/relay/noticescope_test.go
@@ -25,11 +25,11 @@
 		limited  bool
 		used     bool
 	}{
-		{"an answer to an earlier request names none", signal{target: targetStartedAt(1), sent: start}, true, true},
-		{"a call that frees results names none", signal{target: targetStartedAt(1), sent: known, partial: true}, true, true},
-		{"an answer to a later request names none", signal{target: targetStartedAt(1), sent: known}, false, true},
-		{"an answer of the run before says that it leaves", signal{Notice: Notice{Leaving: true}, target: targetStartedAt(0), sent: known}, true, true},
-		{"an answer of the run says that it leaves", signal{Notice: Notice{Leaving: true}, target: targetStartedAt(1), sent: start}, true, false},
+		{"response to an earlier request without limit", signal{target: targetStartedAt(1), sent: start}, true, true},
+		{"response to a free call without limit", signal{target: targetStartedAt(1), sent: known, partial: true}, true, true},
+		{"response to a later request without limit", signal{target: targetStartedAt(1), sent: known}, false, true},
+		{"leave notice of the previous run", signal{Notice: Notice{Leaving: true}, target: targetStartedAt(0), sent: known}, true, true},
+		{"leave notice of the run", signal{Notice: Notice{Leaving: true}, target: targetStartedAt(1), sent: start}, true, false},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -40,7 +40,7 @@
 				t.Errorf("limited: %v", got)
 			}
 			if got := f.Pick(known, "p", TargetCriteria{AllowedLimited: map[string]bool{"t": true}}) != nil; got != s.used {
-				t.Errorf("used: %v", got)
+				t.Errorf("picked: %v", got)
 			}
 		})
 	}
@@ -53,11 +53,11 @@
 		w := newLimitSimulation(1, 1, 1)
 		n := proto.TargetNotice{Target: "t", Run: "t", HasLimit: true, Limit: limit, LimitVersion: 9}
 		if news := w.daemons[0].fleet.MergeNotices(start, []proto.TargetNotice{n}, "other"); len(news) > 0 {
-			t.Errorf("a limit of %g was learnt", limit)
+			t.Errorf("a limit of %g was accepted", limit)
 		}
 		for range 2 {
 			if w.daemons[0].placer.HandlePermitAsk("other", proto.PermitAsk{Pool: "p", Notice: n}).Granted {
-				t.Errorf("a permit was handed out at a limit of %g", limit)
+				t.Errorf("a permit was granted at a limit of %g", limit)
 			}
 			w.clock.Advance(time.Minute)
 		}
@@ -73,7 +73,7 @@
 		t.Errorf("chosen for another daemon: %+v", a)
 	}
 	if a := owner.HandlePlaceAsk(proto.PlaceAsk{Pool: "p", Excluded: []string{"e00"}}); a.Target != "" {
-		t.Errorf("chosen for a daemon that the target wants rest from: %+v", a)
+		t.Errorf("chosen for a daemon that excluded the target: %+v", a)
 	}
 }
 
@@ -118,7 +118,7 @@
 		notice   Notice
 		after    time.Duration
 	}{
-		{"nothing said", Notice{}, freeInterval},
+		{"no notice", Notice{}, freeInterval},
 		{"a limit", Notice{Limited: true, Limit: 1}, limitedFreeInterval},
 		{"rest", Notice{Backoff: 3 * time.Second}, 3 * time.Second},
 	}
--- a/relay/outage_test.go
+++ b/relay/outage_test.go
@@ -33,10 +33,10 @@
 				earliest, latest = min(earliest, wait), max(latest, wait)
 			}
 			if earliest < s.least || latest > s.most {
-				t.Errorf("callers come back after %s to %s, want %s to %s", earliest, latest, s.least, s.most)
+				t.Errorf("callers retry after %s to %s, want %s to %s", earliest, latest, s.least, s.most)
 			}
 			if s.wait > time.Second && latest-earliest < (s.most-s.least)/2 {
-				t.Errorf("callers of one moment come back within %s of each other", latest-earliest)
+				t.Errorf("simultaneous callers retry within %s of each other", latest-earliest)
 			}
 		})
 	}
@@ -62,6 +62,6 @@
 	answer := httptest.NewRecorder()
 	s.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/", nil))
 	if answer.Code != http.StatusServiceUnavailable || dialect.back < 1600*time.Millisecond || dialect.back > 2*time.Second {
-		t.Errorf("status %d, come back after %s", answer.Code, dialect.back)
+		t.Errorf("status %d, retry after %s", answer.Code, dialect.back)
 	}
 }
--- a/relay/overload_test.go
+++ b/relay/overload_test.go
@@ -312,12 +312,12 @@
 // time. Three seconds after the new engines came all requests must be served in time again.
 func TestLossOfMostEngines(t *testing.T) {
 	for _, burst := range []float64{1, 1.6} {
-		t.Run(fmt.Sprint("load times ", burst), func(t *testing.T) {
+		t.Run(fmt.Sprint("load factor ", burst), func(t *testing.T) {
 			const engines, lost = 140, 119
 			o := newOverloadSimulation(t, engines, 8, 3)
 			o.run(4*time.Second, 1)
 			if got := o.goodput(2, 4); got < 0.8*offered(1) {
-				t.Fatalf("before the loss %.0f tokens a second are in time of %.0f", got, offered(1))
+				t.Fatalf("before the loss %.0f of %.0f tokens per second are in time", got, offered(1))
 			}
 			o.fail(lost)
 			o.run(4*time.Second, 1)
@@ -327,13 +327,13 @@
 			bound := (engines - lost) * float64(modelRate)
 			for from := 8; from < 16; from += 2 {
 				if got := o.goodput(from, from+2); got < 0.8*min(bound, offered(1)) {
-					t.Errorf("from second %d on %.0f tokens a second are in time, the engines read %.0f", from, got, bound)
+					t.Errorf("from second %d on %.0f tokens per second are in time, the engines read %.0f", from, got, bound)
 				}
 			}
 			o.addEngines(lost)
 			o.run(6*time.Second, 1)
 			if got := o.goodput(19, 22); got < 0.9*offered(1) {
-				t.Errorf("after the return %.0f tokens a second are in time of %.0f", got, offered(1))
+				t.Errorf("after the recovery %.0f of %.0f tokens per second are in time", got, offered(1))
 			}
 		})
 	}
@@ -399,7 +399,7 @@
 	o.run(5*time.Second, 1)
 	for _, p := range o.placers {
 		if p.reportedBusy("p") || len(p.admissions) > 0 && p.admissions["p"].demand != nil {
-			t.Error("requests were admitted in a calm pool")
+			t.Error("requests needed admission in an idle pool")
 		}
 	}
 	if n := o.refused["summary"] + o.refused["recap"] + o.refused["caption"]; n > 0 {
--- a/relay/place.go
+++ b/relay/place.go
@@ -168,7 +168,7 @@
 }
 
 // errLateAnswer means that the owner of a pool has not answered in time.
-var errLateAnswer = errors.New("no answer in time")
+var errLateAnswer = errors.New("owner did not answer in time")
 
 // ask asks the owner of the pool. A late answer is not used, and the owner is told so; otherwise it would count the
 // request at the target until the lease expires.
--- a/relay/place_test.go
+++ b/relay/place_test.go
@@ -97,7 +97,7 @@
 			first = placed.Target.Spec.ID
 		}
 		if got := placed.Target.Spec.ID; got != first {
-			t.Errorf("prompt %d went to %s, its part is kept at %s", i, got, first)
+			t.Errorf("prompt %d went to %s, its part is cached at %s", i, got, first)
 		}
 		placed.RecordResponseStart()
 		placed.Finish(VerdictSuccess, Load{})
@@ -138,12 +138,12 @@
 	}
 	placed := all["vm-1"].Choose(context.Background(), "p", promptCriteria("a", 0, 100))
 	if active() != 1 {
-		t.Fatalf("%d active at the owner", active())
+		t.Fatalf("%d attempts active at the owner", active())
 	}
 	placed.RecordResponseStart()
 	placed.Finish(VerdictSuccess, Load{})
 	if active() != 0 || len(all["vm-0"].leases) != 0 {
-		t.Errorf("%d active after the end", active())
+		t.Errorf("%d attempts active after the end", active())
 	}
 	lost := all["vm-1"].Choose(context.Background(), "p", promptCriteria("b", 0, 100))
 	nets[1].cut = true
@@ -151,7 +151,7 @@
 	clock.Advance(maxLeaseAge + time.Second)
 	all["vm-0"].Sweep()
 	if active() != 0 {
-		t.Errorf("%d active long after a note was lost", active())
+		t.Errorf("%d attempts active long after a note was lost", active())
 	}
 	for _, target := range owner.pools["p"].list {
 		if target.unreadTokens != 0 || len(target.unreadPrompts) != 0 {
@@ -191,7 +191,7 @@
 	}
 	for id := range short {
 		if long[id] > 0 {
-			t.Errorf("%s takes both: long %v, short %v", id, long, short)
+			t.Errorf("%s got both: long %v, short %v", id, long, short)
 		}
 	}
 }
@@ -202,7 +202,7 @@
 		c.record(start.Add(time.Duration(i)*time.Second), []proto.PromptPart{{ID: "root", Tokens: 100}, {ID: fmt.Sprint(i), Tokens: 1000}}, 5000)
 	}
 	if c.tokens > 5000 {
-		t.Errorf("%d tokens are taken to be kept", c.tokens)
+		t.Errorf("%d tokens are assumed to be cached", c.tokens)
 	}
 	if got := c.missingTokens([]proto.PromptPart{{ID: "root", Tokens: 100}, {ID: "49", Tokens: 1000}}); got != 0 {
 		t.Errorf("%d tokens of the newest prompt are missing", got)
@@ -211,7 +211,7 @@
 		t.Errorf("%d tokens of the oldest prompt are missing, want those of its own part", got)
 	}
 	if got := c.missingTokens([]proto.PromptPart{{ID: "other", Tokens: 100}, {ID: "49", Tokens: 1000}}); got != 1100 {
-		t.Errorf("%d tokens are missing: a part is of no use without those before it", got)
+		t.Errorf("%d tokens are missing: a part is useless without those before it", got)
 	}
 }
 
@@ -289,7 +289,7 @@
 		time.Sleep(2 * placementTimeout)
 		synctest.Wait()
 		if n := len(all["vm-0"].leases); n > 0 {
-			t.Errorf("%d requests are counted that were not sent", n)
+			t.Errorf("%d leases of unsent requests remain", n)
 		}
 	})
 }
--- a/relay/ranks_test.go
+++ b/relay/ranks_test.go
@@ -28,16 +28,16 @@
 		priorities [3]*int
 		want       []want
 	}{
-		{"workspaces of one priority leave it to the routes", [3]*int{priority(1), priority(1), priority(1)}, []want{
+		{"equal workspace priorities", [3]*int{priority(1), priority(1), priority(1)}, []want{
 			{"engines", ward, 0, 0}, {"engines", school, 0, 0}, {"engines", ward, 1, 1}, {"engines", ministry, 1, 1}, {"engines", nil, 2, 3},
 		}},
-		{"a workspace's priority goes before the route's", [3]*int{priority(1), priority(0), priority(1)}, []want{
+		{"workspace priority before route priority", [3]*int{priority(1), priority(0), priority(1)}, []want{
 			{"engines", school, 0, 0}, {"engines", school, 1, 1}, {"engines", ward, 0, 3}, {"engines", ministry, 1, 4},
 		}},
-		{"without one of its own it has the route's", [3]*int{nil, nil, nil}, []want{
+		{"workspaces without priority", [3]*int{nil, nil, nil}, []want{
 			{"engines", ward, 0, 0}, {"engines", ward, 1, 1}, {"engines", nil, 2, 2},
 		}},
-		{"another pool's routes do not count", [3]*int{priority(4), priority(4), priority(4)}, []want{
+		{"routes of another pool", [3]*int{priority(4), priority(4), priority(4)}, []want{
 			{"printers", ward, 3, 0}, {"printers", school, 3, 0},
 		}},
 	}
--- a/relay/shards_test.go
+++ b/relay/shards_test.go
@@ -47,7 +47,7 @@
 	}
 	// A shard that no longer exists finishes its work with the targets of another one.
 	if own := targetsInShard(targets, shards, shards); len(own) == 0 {
-		t.Error("a shard that was given up has no target for what waits in it")
+		t.Error("a removed shard has no target for its waiting jobs")
 	}
 }
 
@@ -58,14 +58,14 @@
 	for _, target := range testTargets(targets) {
 		before, after := shardOf(target.ID, shards), shardOf(target.ID, shards+1)
 		if before != after && after != shards {
-			t.Errorf("%s moves from shard %d to %d, which was there before", target.ID, before, after)
+			t.Errorf("%s moves from shard %d to %d, which already existed", target.ID, before, after)
 		}
 		if before != after {
 			moved++
 		}
 	}
 	if moved > 2*targets/shards {
-		t.Errorf("%d of %d targets move to one more shard", moved, targets)
+		t.Errorf("%d of %d targets move to the added shard", moved, targets)
 	}
 }
 
@@ -95,11 +95,11 @@
 	p.queueTimes.record(p.clock.Now(), queueKey{shard{"p", 1}, 0}, time.Minute)
 	for i := range 300 {
 		if request := fmt.Sprint("r", i); p.chooseShard("p", request, 0) == 1 {
-			t.Fatalf("%s goes to the shard with a queue of a minute", request)
+			t.Fatalf("%s goes to the shard with a queue of one minute", request)
 		}
 	}
 	if got := p.QueueTime("p", 0); got != 0 {
-		t.Errorf("a queue of %v, though two of three shards have none", got)
+		t.Errorf("queue delay %v although two of three shards have none", got)
 	}
 }
 
@@ -111,7 +111,7 @@
 		ask := proto.PiecesAsk{Pool: "p", RequestID: fmt.Sprint("r", i), Pieces: 1}
 		answer := p.Run(context.Background(), ask, start.Add(time.Hour), start.Add(time.Hour))
 		if asked := peers.asked[i].Shard; answer.Shard != asked {
-			t.Errorf("%s: shard %d was asked, and the answer is of %d", ask.RequestID, asked, answer.Shard)
+			t.Errorf("%s: shard %d was asked, but shard %d answered", ask.RequestID, asked, answer.Shard)
 		}
 		p.Free("p", answer.Shard, answer.Handles)
 		if drop, ok := peers.sent[i].(proto.PiecesDrop); !ok || drop.Shard != answer.Shard {
