--- a/relay/batch_test.go
+++ b/relay/batch_test.go
@@ -62,9 +62,9 @@
 	if more := next(b, start); len(more) != 0 {
 		t.Errorf("a second call was sent to a target with one slot")
 	}
-	ends, unused := b.CallDone(start.Add(time.Second), calls[0], results(calls[0]))
-	if len(ends) != 3 || len(unused) != 0 {
-		t.Errorf("%d jobs ended, %d results unused", len(ends), len(unused))
+	finished, unused := b.CallDone(start.Add(time.Second), calls[0], results(calls[0]))
+	if len(finished) != 3 || len(unused) != 0 {
+		t.Errorf("%d jobs ended, %d results unused", len(finished), len(unused))
 	}
 }
 
@@ -76,10 +76,10 @@
 	if len(calls) != 2 || len(calls[0].Items)+len(calls[1].Items) != 10 {
 		t.Fatalf("%d calls", len(calls))
 	}
-	if ends, _ := b.CallDone(start, calls[0], results(calls[0])); len(ends) != 0 {
+	if finished, _ := b.CallDone(start, calls[0], results(calls[0])); len(finished) != 0 {
 		t.Error("the job ended with only some of its results")
 	}
-	if ends, _ := b.CallDone(start, calls[1], results(calls[1])); len(ends) != 1 || len(ends[0].Answer.Handles) != 10 {
+	if finished, _ := b.CallDone(start, calls[1], results(calls[1])); len(finished) != 1 || len(finished[0].Answer.Handles) != 10 {
 		t.Error("the job did not end with all results")
 	}
 }
@@ -128,7 +128,7 @@
 	c := next(b, start)[0]
 	made := results(c)
 	made[1] = ItemResult{Outcome: proto.PiecesNoRoom}
-	if ends, _ := b.CallDone(start, c, made); len(ends) != 0 {
+	if finished, _ := b.CallDone(start, c, made); len(finished) != 0 {
 		t.Fatal("the job ended although a piece can be made again")
 	}
 	if calls := next(b, start.Add(noRoomBackoff)); len(calls) != 0 {
@@ -143,8 +143,8 @@
 	b := batcher(testTarget("t1", "p", "z"))
 	add(t, b, job("a", 8), job("b", 6), job("c", 4))
 	first := next(b, start)[0]
-	ends, _ := b.CallDone(start, first, results(first))
-	if pieces(first) != "a0 a1 a2 a3 a4 a5 a6 a7 " || len(ends) != 1 {
+	finished, _ := b.CallDone(start, first, results(first))
+	if pieces(first) != "a0 a1 a2 a3 a4 a5 a6 a7 " || len(finished) != 1 {
 		t.Fatalf("first call %q", pieces(first))
 	}
 	// There is room for four of the twelve results.
@@ -152,8 +152,8 @@
 	if len(calls) != 1 || pieces(calls[0]) != "c0 c1 c2 c3 " {
 		t.Fatalf("%d calls, want one for c: b must not start without room for all of its results", len(calls))
 	}
-	ends, _ = b.CallDone(start, calls[0], results(calls[0]))
-	if len(ends) != 1 {
+	finished, _ = b.CallDone(start, calls[0], results(calls[0]))
+	if len(finished) != 1 {
 		t.Fatal("c did not end")
 	}
 	for _, h := range results(first) {
@@ -189,14 +189,14 @@
 			t.Errorf("try %d went to %s again", try, last)
 		}
 		last = calls[0].Target.ID
-		ends := b.CallFailed(now, calls[0], false)
+		finished := b.CallFailed(now, calls[0], false)
 		if try == maxFailedCalls {
-			if len(ends) != 1 || ends[0].Answer.Outcome != proto.PiecesFailed {
-				t.Fatalf("ends %v", ends)
+			if len(finished) != 1 || finished[0].Answer.Outcome != proto.PiecesFailed {
+				t.Fatalf("ends %v", finished)
 			}
 			return
 		}
-		if len(ends) != 0 {
+		if len(finished) != 0 {
 			t.Fatalf("the job failed after %d tries", try)
 		}
 		now = now.Add(maxCallBackoff)
@@ -212,7 +212,7 @@
 		if len(calls) != 1 {
 			t.Fatal("no call after the backoff")
 		}
-		if ends := b.CallFailed(now, calls[0], true); len(ends) != 0 {
+		if finished := b.CallFailed(now, calls[0], true); len(finished) != 0 {
 			t.Fatal("the job failed because a target was busy")
 		}
 		now = now.Add(minCallBackoff)
@@ -228,13 +228,13 @@
 	if len(calls) != 1 || calls[0].Target.ID == slow.Target.ID || len(calls[0].Items) != 4 {
 		t.Fatalf("calls %v", calls)
 	}
-	ends, unused := b.CallDone(now, calls[0], results(calls[0]))
-	if len(ends) != 1 || len(unused) != 0 {
-		t.Fatalf("ends %v, unused %v", ends, unused)
+	finished, unused := b.CallDone(now, calls[0], results(calls[0]))
+	if len(finished) != 1 || len(unused) != 0 {
+		t.Fatalf("ends %v, unused %v", finished, unused)
 	}
-	ends, unused = b.CallDone(now, slow, results(slow))
-	if len(ends) != 0 || len(unused) != 4 {
-		t.Errorf("the overdue call ended %d jobs, %d results unused", len(ends), len(unused))
+	finished, unused = b.CallDone(now, slow, results(slow))
+	if len(finished) != 0 || len(unused) != 4 {
+		t.Errorf("the overdue call ended %d jobs, %d results unused", len(finished), len(unused))
 	}
 }
 
@@ -270,9 +270,9 @@
 	c := next(b, start)[0]
 	b.Withdraw("a", 0)
 	b.Withdraw("b", 0)
-	ends, unused := b.CallDone(start, c, results(c))
-	if len(ends) != 0 || len(unused) != 2 {
-		t.Errorf("ends %v, unused %v", ends, unused)
+	finished, unused := b.CallDone(start, c, results(c))
+	if len(finished) != 0 || len(unused) != 2 {
+		t.Errorf("ends %v, unused %v", finished, unused)
 	}
 	if calls := next(b, start); len(calls) != 0 {
 		t.Errorf("a withdrawn job was started: %q", pieces(calls[0]))
@@ -292,8 +292,8 @@
 	b := batcher(targets...)
 	open, ended := map[*Job]bool{}, 0
 	var calls []*Call
-	end := func(ends []FinishedJob) {
-		for _, e := range ends {
+	end := func(finished []FinishedJob) {
+		for _, e := range finished {
 			if !open[e.Job] {
 				t.Fatalf("%s ended twice", e.Job.Params.RequestID)
 			}
@@ -316,8 +316,8 @@
 		if r.IntN(20) == 0 {
 			b.SetTargets(targets[:1+r.IntN(len(targets))])
 		}
-		more, ends := b.NextCalls(now)
-		end(ends)
+		more, finished := b.NextCalls(now)
+		end(finished)
 		calls = append(calls, more...)
 		if len(calls) > 0 && r.IntN(3) > 0 {
 			n := r.IntN(len(calls))
@@ -329,8 +329,8 @@
 	b.SetTargets(targets)
 	for range 200 {
 		now = now.Add(100 * time.Millisecond)
-		more, ends := b.NextCalls(now)
-		end(ends)
+		more, finished := b.NextCalls(now)
+		end(finished)
 		for _, c := range append(calls, more...) {
 			end(answer(b, r, now, c))
 		}
@@ -359,16 +359,16 @@
 			made[i] = ItemResult{Outcome: proto.PiecesLost}
 		}
 	}
-	ends, unused := b.CallDone(now, c, made)
+	finished, unused := b.CallDone(now, c, made)
 	for _, h := range unused {
 		b.ResultFreed(now, h)
 	}
-	for _, e := range ends {
+	for _, e := range finished {
 		for _, h := range e.Answer.Handles {
 			b.ResultFreed(now, h)
 		}
 	}
-	return ends
+	return finished
 }
 
 func checkResults(t *testing.T, e FinishedJob) {
--- a/relay/batchends_test.go
+++ b/relay/batchends_test.go
@@ -34,15 +34,15 @@
 		}
 	}
 	fates := map[string]proto.PieceOutcome{}
-	take := func(ends []FinishedJob) {
-		for _, e := range ends {
+	take := func(finished []FinishedJob) {
+		for _, e := range finished {
 			fates[e.Job.Params.RequestID] = e.Answer.Outcome
 		}
 	}
 	now, ended := start, 0
 	for range 40 {
-		calls, ends := b.NextCalls(now)
-		take(ends)
+		calls, finished := b.NextCalls(now)
+		take(finished)
 		now = now.Add(10 * time.Millisecond)
 		for _, c := range calls {
 			var in []proto.RequestDigest
--- a/relay/batchinputs_test.go
+++ b/relay/batchinputs_test.go
@@ -27,9 +27,9 @@
 	if again := b.releaseInputs(start, first); len(again) != 0 {
 		t.Errorf("released again: %v", again)
 	}
-	ends, _ := b.CallDone(start, first, results(first))
-	if len(ends) == 0 || !ends[0].Answer.InputsFreed {
-		t.Errorf("ends %+v do not report that the inputs were freed", ends)
+	finished, _ := b.CallDone(start, first, results(first))
+	if len(finished) == 0 || !finished[0].Answer.InputsFreed {
+		t.Errorf("ends %+v do not report that the inputs were freed", finished)
 	}
 	if late := b.releaseInputs(start, first); len(late) != 0 {
 		t.Errorf("released after the call: %v", late)
@@ -49,8 +49,8 @@
 	if len(again) != 1 {
 		t.Fatal("the piece without room was not made again")
 	}
-	if given := b.releaseInputs(soon, again[0]); len(given) != 0 {
-		t.Errorf("released %v although the target recently had no room", given)
+	if released := b.releaseInputs(soon, again[0]); len(released) != 0 {
+		t.Errorf("released %v although the target recently had no room", released)
 	}
 }
 
@@ -59,14 +59,14 @@
 	b := batcher(testTarget("t1", "p", "z"))
 	add(t, b, soleReaderJob("a", 2), soleReaderJob("b", 7))
 	first := next(b, start)[0]
-	if given := b.releaseInputs(start.Add(first.Expected/2), first); len(given) != 0 {
-		t.Errorf("released %v although there may be no room for the results", given)
+	if released := b.releaseInputs(start.Add(first.Expected/2), first); len(released) != 0 {
+		t.Errorf("released %v although there may be no room for the results", released)
 	}
 	later := start.Add(batchSpec.ResultLifetime)
 	b.CallDone(later, first, results(first))
 	second := next(b, later)[0]
-	if given := b.releaseInputs(later, second); len(given) != 1 {
-		t.Errorf("released %v, want the inputs of one shard: all results made for an earlier daemon have expired", given)
+	if released := b.releaseInputs(later, second); len(released) != 1 {
+		t.Errorf("released %v, want the inputs of one shard: all results made for an earlier daemon have expired", released)
 	}
 }
 
@@ -81,11 +81,11 @@
 	if len(second) != 1 {
 		t.Fatal("an overdue call was not repeated at another target")
 	}
-	if given := b.releaseInputs(late, second[0]); len(given) != 0 {
-		t.Errorf("released: %v", given)
+	if released := b.releaseInputs(late, second[0]); len(released) != 0 {
+		t.Errorf("released: %v", released)
 	}
-	if ends := b.CallFailed(late, first, false); len(ends) != 0 {
-		t.Errorf("ends %+v although the second call is in progress", ends)
+	if finished := b.CallFailed(late, first, false); len(finished) != 0 {
+		t.Errorf("ends %+v although the second call is in progress", finished)
 	}
 }
 
@@ -97,8 +97,8 @@
 	}{
 		{"call fails", func(b *Batcher, c *Call) []FinishedJob { return b.CallFailed(start, c, false) }},
 		{"no room for a result", func(b *Batcher, c *Call) []FinishedJob {
-			ends, _ := b.CallDone(start, c, []ItemResult{{Handle: "h"}, {Outcome: proto.PiecesNoRoom}})
-			return ends
+			finished, _ := b.CallDone(start, c, []ItemResult{{Handle: "h"}, {Outcome: proto.PiecesNoRoom}})
+			return finished
 		}},
 	}
 	for _, s := range scenarios {
@@ -111,9 +111,9 @@
 			if late := next(b, start.Add(10*c.Expected)); len(late) != 0 {
 				t.Fatal("an overdue piece was sent again although its inputs were released")
 			}
-			ends := s.end(b, c)
-			if len(ends) != 1 || ends[0].Answer.Outcome != proto.PiecesLost || !ends[0].Answer.InputsFreed {
-				t.Errorf("ends %+v, want the job lost with its inputs freed, so that the stages of the request are repeated", ends)
+			finished := s.end(b, c)
+			if len(finished) != 1 || finished[0].Answer.Outcome != proto.PiecesLost || !finished[0].Answer.InputsFreed {
+				t.Errorf("ends %+v, want the job lost with its inputs freed, so that the stages of the request are repeated", finished)
 			}
 		})
 	}
--- a/relay/batchqueue_test.go
+++ b/relay/batchqueue_test.go
@@ -95,15 +95,15 @@
 	late.Due, late.Deadline = start, start.Add(4*time.Second)
 	stream.Due, stream.Deadline, stream.Params.AnswerStarted = start, start.Add(4*time.Second), true
 	add(t, b, late, stream)
-	if _, ends := b.NextCalls(start); len(ends) != 0 {
-		t.Fatalf("refused with an empty queue: %+v", ends[0].Answer)
+	if _, finished := b.NextCalls(start); len(finished) != 0 {
+		t.Fatalf("refused with an empty queue: %+v", finished[0].Answer)
 	}
 	for i := range 10 {
 		add(t, b, job(fmt.Sprint("urgent", i), 8))
 	}
-	_, ends := b.NextCalls(start.Add(refuseLateInterval))
-	if len(ends) != 1 || ends[0].Job != late || ends[0].Answer.Outcome != proto.PiecesRefused || ends[0].Answer.RetryAfter < time.Second {
-		t.Errorf("finished %+v, want only the late job refused: the caller of the stream already has a part of its answer", ends)
+	_, finished := b.NextCalls(start.Add(refuseLateInterval))
+	if len(finished) != 1 || finished[0].Job != late || finished[0].Answer.Outcome != proto.PiecesRefused || finished[0].Answer.RetryAfter < time.Second {
+		t.Errorf("finished %+v, want only the late job refused: the caller of the stream already has a part of its answer", finished)
 	}
 }
 
--- a/relay/endwatch_test.go
+++ b/relay/endwatch_test.go
@@ -17,12 +17,12 @@
 // stubProber answers probes of a target in order, and then repeats the last answer.
 type stubProber struct {
 	answers []bool
-	tries   atomic.Int64
+	probes  atomic.Int64
 	done    chan struct{}
 }
 
 func (p *stubProber) Refuses(context.Context, netip.AddrPort) bool {
-	n := int(p.tries.Add(1))
+	n := int(p.probes.Add(1))
 	defer func() { p.done <- struct{}{} }()
 	return p.answers[min(n, len(p.answers))-1]
 }
@@ -33,12 +33,12 @@
 	scenarios := []struct {
 		name   string
 		broken bool
-		// refuses holds the results of the probes of the target, and tries is how many are expected.
+		// refuses holds the results of the probes of the target, and probes is how many are expected.
 		refuses []bool
-		tries   int
-		// goneAfter is when the entry of the target is removed, or 0 if it stays.
-		goneAfter time.Duration
-		accused   bool
+		probes  int
+		// removedAfter is when the entry of the target is removed, or 0 if it stays.
+		removedAfter time.Duration
+		suspected    bool
 	}{
 		{"connection breaks and address refuses connections", true, []bool{true}, 1, 0, true},
 		{"address refuses connections a moment later", true, []bool{false, true}, 2, 0, true},
@@ -56,7 +56,7 @@
 			w := NewCrashDetector(clock, hclog.NewNullLogger(), prober, c)
 			target := testTarget("t", "p", "z")
 			w.RecordFailure(target, s.broken, 1, 2)
-			for try := range s.tries {
+			for try := range s.probes {
 				if try > 0 {
 					if err := clock.BlockUntilContext(context.Background(), 1); err != nil {
 						t.Fatal(err)
@@ -66,16 +66,16 @@
 				<-prober.done
 			}
 			waitUntil(t, func() bool { return !w.isProbing("t") })
-			if s.goneAfter > 0 {
-				clock.Advance(s.goneAfter)
+			if s.removedAfter > 0 {
+				clock.Advance(s.removedAfter)
 				w.Sweep()
 				w.RecordEnd(target, "its entry is gone")
 			}
-			if c.Suspects(1) != s.accused || c.Suspects(2) != s.accused {
+			if c.Suspects(1) != s.suspected || c.Suspects(2) != s.suspected {
 				t.Errorf("suspected: %v", c.Suspects(1))
 			}
-			if int(prober.tries.Load()) != s.tries {
-				t.Errorf("%d probes", prober.tries.Load())
+			if int(prober.probes.Load()) != s.probes {
+				t.Errorf("%d probes", prober.probes.Load())
 			}
 			clock.Advance(endedRunTTL + openAttemptTTL)
 			w.Sweep()
--- a/relay/fetches_test.go
+++ b/relay/fetches_test.go
@@ -17,7 +17,7 @@
 	scenarios := []struct {
 		name              string
 		fetched, tooEarly int
-		least, most       time.Duration
+		minKeep, maxKeep  time.Duration
 	}{
 		{"nothing known", 0, 0, initialKeepTime, initialKeepTime},
 		{"always fetched", 70, 0, initialKeepTime / 3, initialKeepTime * 6 / 10},
@@ -37,8 +37,8 @@
 				now = now.Add(time.Second)
 				f.observe(now, now, "p", false)
 			}
-			if got := f.keepTime("p"); got < s.least || got > s.most {
-				t.Errorf("kept for %v, want %v to %v", got, s.least, s.most)
+			if got := f.keepTime("p"); got < s.minKeep || got > s.maxKeep {
+				t.Errorf("kept for %v, want %v to %v", got, s.minKeep, s.maxKeep)
 			}
 			if got := f.keepTime("another"); got != initialKeepTime {
 				t.Errorf("inputs of another pool are kept for %v", got)
--- a/relay/piececall_test.go
+++ b/relay/piececall_test.go
@@ -42,11 +42,12 @@
 		testName string
 		racers   []racer
 		homes    proto.AllowedRegions
-		// leaves is set if the second target leaves.
-		leaves bool
-		// most is the maximum time until the pieces are made, and asked is the number of calls to the first target.
-		most  time.Duration
-		asked int
+		// leaving is set if the second target is leaving.
+		leaving bool
+		// maxTime is the maximum time until the pieces are made, and firstCalls is the number of calls to the first
+		// target.
+		maxTime    time.Duration
+		firstCalls int
 	}{
 		{"only target is slow", []racer{busyAfterFirst(made(long))}, proto.AllowedRegions{}, false, long, 0},
 		{"other target is leaving", []racer{busyAfterFirst(made(long)), made(0)}, proto.AllowedRegions{}, true, long, 0},
@@ -68,7 +69,7 @@
 				for i, r := range s.racers {
 					sender.racers[raceAddress(i)] = r
 					target := raceTarget(i)
-					target.Leaving = s.leaves && i == 1
+					target.Leaving = s.leaving && i == 1
 					p.fleet.ApplyChanges(clock.Now(), []FleetChange{putChange(uint64(10+i), target)})
 				}
 				now := clock.Now()
@@ -79,11 +80,11 @@
 					t.Fatal(refused.Detail)
 				}
 				answer := <-answers
-				if took := time.Since(now); answer.Outcome != proto.PiecesDone || took > s.most+time.Second/2 {
+				if took := time.Since(now); answer.Outcome != proto.PiecesDone || took > s.maxTime+time.Second/2 {
 					t.Errorf("%s after %s: %s", answer.Outcome, took, answer.Detail)
 				}
-				if n := sender.askedOf(0); s.asked > 0 && n != s.asked {
-					t.Errorf("the first target was called %d times, want %d", n, s.asked)
+				if n := sender.askedOf(0); s.firstCalls > 0 && n != s.firstCalls {
+					t.Errorf("the first target was called %d times, want %d", n, s.firstCalls)
 				}
 				// Calls that hang end with their jobs.
 				time.Sleep(time.Minute)
--- a/relay/restart_test.go
+++ b/relay/restart_test.go
@@ -200,22 +200,22 @@
 	b := batcher(targetRun("t1", firstRunStart))
 	add(t, b, job("a", 2))
 	call := next(b, start)[0]
-	if ends := b.SetTargets([]proto.RelayTarget{targetRun("t1", secondRunStart)}); len(ends) != 0 {
-		t.Fatalf("%d jobs ended", len(ends))
+	if finished := b.SetTargets([]proto.RelayTarget{targetRun("t1", secondRunStart)}); len(finished) != 0 {
+		t.Fatalf("%d jobs ended", len(finished))
 	}
 	again := next(b, start)
 	if len(again) != 1 || pieces(again[0]) != "a0 a1 " || !again[0].Target.StartedAt.Equal(secondRunStart) {
 		t.Fatalf("calls to the new run: %v", again)
 	}
-	if ends, unused := b.CallDone(start, call, results(call)); len(ends) != 0 || len(unused) != 0 {
-		t.Errorf("the answer of the ended run was accepted: %d jobs ended, unused %v", len(ends), unused)
+	if finished, unused := b.CallDone(start, call, results(call)); len(finished) != 0 || len(unused) != 0 {
+		t.Errorf("the answer of the ended run was accepted: %d jobs ended, unused %v", len(finished), unused)
 	}
-	if ends := b.CallFailed(start, call, false); len(ends) != 0 {
-		t.Errorf("the failure of the ended run ended %d jobs", len(ends))
+	if finished := b.CallFailed(start, call, false); len(finished) != 0 {
+		t.Errorf("the failure of the ended run ended %d jobs", len(finished))
 	}
-	ends, _ := b.CallDone(start, again[0], results(again[0]))
-	if len(ends) != 1 || ends[0].Answer.Outcome != proto.PiecesDone {
-		t.Errorf("ends %+v", ends)
+	finished, _ := b.CallDone(start, again[0], results(again[0]))
+	if len(finished) != 1 || finished[0].Answer.Outcome != proto.PiecesDone {
+		t.Errorf("ends %+v", finished)
 	}
 }
 
@@ -225,9 +225,9 @@
 	add(t, b, job("a", 2))
 	call := next(b, start)[0]
 	b.SetTargets(nil)
-	ends, _ := b.CallDone(start.Add(time.Second), call, results(call))
-	if len(ends) != 1 || ends[0].Answer.Outcome != proto.PiecesDone {
-		t.Errorf("ends %+v", ends)
+	finished, _ := b.CallDone(start.Add(time.Second), call, results(call))
+	if len(finished) != 1 || finished[0].Answer.Outcome != proto.PiecesDone {
+		t.Errorf("ends %+v", finished)
 	}
 }
 
