--- a/relay/batchrestart.go
+++ b/relay/batchrestart.go
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// discardCall queues the pieces of a call to a target that has restarted again.
+// discardCall queues again the pieces of a call to a target that has restarted.
 func (b *Batcher) discardCall(c *Call) []FinishedJob {
 	var finished []FinishedJob
 	for _, item := range c.Items {
--- a/relay/counts.go
+++ b/relay/counts.go
@@ -24,7 +24,7 @@
 	latency *hdrhistogram.Histogram
 }
 
-// CountReport is the form of Counts that the metrics endpoint shows.
+// CountReport holds the totals as the metrics endpoint shows them.
 type CountReport struct {
 	Received int64 `json:"asked"`
 	// Delivered counts complete answers, and Late those of them that exceeded the latency goal.
