--- a/relay/batchfill.go
+++ b/relay/batchfill.go
@@ -16,7 +16,7 @@
 		if j.pendingCount() == 0 || j.done || reservesLastTarget && b.canWait(now, j) {
 			continue
 		}
-		t := b.targetFor(now, j)
+		t := b.chooseTarget(now, j)
 		if t == nil {
 			continue
 		}
@@ -54,27 +54,27 @@
 	return j.Params.Rank > 0 && j.Due.Sub(now) >= time.Duration(minSpareCalls*j.callTime)
 }
 
-// targetFor returns an idle target for a job: one in the zone of its inputs, or any target once the job has waited long
-// enough.
-func (b *Batcher) targetFor(now time.Time, j *Job) *batchTarget {
+// chooseTarget returns an idle target for a job: one in the zone of its inputs, or any target once the job has waited
+// long enough.
+func (b *Batcher) chooseTarget(now time.Time, j *Job) *batchTarget {
 	var best *batchTarget
-	least := math.Inf(1)
+	lowestCost := math.Inf(1)
 	for _, t := range b.targets {
 		if t.call != nil || t.spec.Leaving || b.isSkipped(now, t) || !j.Params.AllowedRegions.Allows(t.spec.Region) || !b.hasRoom(now, t, j, b.requiredPieces(j)) {
 			continue
 		}
-		c := t.slowdown
+		cost := t.slowdown
 		if t.spec.ID == j.avoidTarget {
-			c += 10
+			cost += 10
 		}
 		if b.crossesZones(t, j) {
 			if now.Before(j.queuedAt.Add(b.zoneWait(now, j))) {
 				continue
 			}
-			c++
+			cost++
 		}
-		if c < least || c == least && t.spec.ID < best.spec.ID {
-			best, least = t, c
+		if cost < lowestCost || cost == lowestCost && t.spec.ID < best.spec.ID {
+			best, lowestCost = t, cost
 		}
 	}
 	return best
--- a/relay/batchstanding.go
+++ b/relay/batchstanding.go
@@ -24,7 +24,7 @@
 	if c.stale {
 		return overdueAbandon
 	}
-	needed, alone := false, false
+	needed, noAlternative := false, false
 	for _, item := range c.Items {
 		j := item.Job
 		if j.done || j.handles[item.Piece] != "" {
@@ -35,10 +35,10 @@
 			continue
 		}
 		needed = true
-		alone = alone || !b.hasAlternative(now, c, j)
+		noAlternative = noAlternative || !b.hasAlternative(now, c, j)
 	}
 	switch {
-	case alone && b.mayRepeat(now, c):
+	case noAlternative && b.mayRepeat(now, c):
 		return overdueRepeat
 	case needed:
 		return overdueWait
--- a/relay/cache.go
+++ b/relay/cache.go
@@ -42,7 +42,7 @@
 }
 
 // record records that an engine processes the shared parts of a prompt.
-func (c *promptCache) record(now time.Time, shared []proto.PromptPart, most int) {
+func (c *promptCache) record(now time.Time, shared []proto.PromptPart, maxTokens int) {
 	if c.parts == nil {
 		c.parts = map[string]*cachedPart{}
 	}
@@ -55,7 +55,7 @@
 		}
 		kept.lastUsed = now
 	}
-	for c.tokens > most && len(c.parts) > len(shared) {
+	for c.tokens > maxTokens && len(c.parts) > len(shared) {
 		c.evictOldest()
 	}
 }
--- a/relay/callmodel.go
+++ b/relay/callmodel.go
@@ -99,10 +99,10 @@
 	if len(b.targets) == 0 {
 		return 1
 	}
-	paces := make([]float64, 0, len(b.targets))
+	slowdowns := make([]float64, 0, len(b.targets))
 	for _, t := range b.targets {
-		paces = append(paces, t.slowdown)
+		slowdowns = append(slowdowns, t.slowdown)
 	}
-	slices.Sort(paces)
-	return paces[len(paces)/2]
+	slices.Sort(slowdowns)
+	return slowdowns[len(slowdowns)/2]
 }
--- a/relay/enginemodel.go
+++ b/relay/enginemodel.go
@@ -27,9 +27,9 @@
 
 // Priors for engines, which the configuration does not state: typical values for models with 7 to 70 billion weights.
 const (
-	priorStart  = 70 * time.Millisecond
-	priorToken  = 30 * time.Microsecond
-	priorStream = 500 * time.Microsecond
+	priorPerRequest = 70 * time.Millisecond
+	priorPerToken   = 30 * time.Microsecond
+	priorPerStream  = 500 * time.Microsecond
 )
 
 // engineWork is a component of the time to the first event of a request.
@@ -48,11 +48,11 @@
 func priorOf(w engineWork) float64 {
 	switch w {
 	case workPerToken:
-		return float64(priorToken)
+		return float64(priorPerToken)
 	case workPerStream:
-		return float64(priorStream)
+		return float64(priorPerStream)
 	}
-	return float64(priorStart)
+	return float64(priorPerRequest)
 }
 
 // engineModel estimates the speed of the engines of one pool from the times to the first events of requests, in
--- a/relay/groups.go
+++ b/relay/groups.go
@@ -77,9 +77,9 @@
 			share = 0
 		}
 	}
-	first := int(math.Round(share * float64(len(p.list))))
+	longEngines := int(math.Round(share * float64(len(p.list))))
 	for i, t := range p.byHash() {
-		t.longPrompts = i < first
+		t.longPrompts = i < longEngines
 	}
 }
 
--- a/relay/linear.go
+++ b/relay/linear.go
@@ -6,14 +6,15 @@
 type additiveModel[K comparable] struct {
 	// prior returns the initial estimate, which must be positive.
 	prior func(K) float64
-	// learningRate is the fraction of the error of an observation that is adopted at once, odd is the factor from which
-	// an observation is an outlier, and spread is the factor by which an estimate may differ from its prior.
+	// learningRate is the fraction of the error of an observation that is adopted at once, outlierFactor is the factor
+	// from which an observation is an outlier, and maxDeviation is the factor by which an estimate may differ from its
+	// prior.
 	learningRate, outlierFactor, maxDeviation float64
 
 	values map[K]float64
 }
 
-// of returns the estimate for one component.
+// estimate returns the estimate for one component.
 func (l *additiveModel[K]) estimate(key K) float64 {
 	if v, ok := l.values[key]; ok {
 		return v
--- a/relay/linear_test.go
+++ b/relay/linear_test.go
@@ -182,7 +182,7 @@
 	}
 	other.SetEngineTimes("p", owner.EngineTimes("p"))
 	learnt, adopted := owner.EngineTimes("p"), other.EngineTimes("p")
-	if learnt != adopted || learnt.PerPromptToken <= priorToken {
+	if learnt != adopted || learnt.PerPromptToken <= priorPerToken {
 		t.Errorf("learnt %+v, adopted %+v", learnt, adopted)
 	}
 	other.SetEngineTimes("p", proto.EngineTimes{})
--- a/relay/pieces.go
+++ b/relay/pieces.go
@@ -91,15 +91,15 @@
 	return answer
 }
 
-// EstimateWaitFor returns the last known queueing time of a job of the given rank in a pool: that of its shortest
+// QueueTime returns the last known queueing time of a job of the given rank in a pool: that of its shortest
 // shard, since each job goes to the shorter of two shards.
 func (p *PieceScheduler) QueueTime(pool string, rank int) time.Duration {
 	now := p.clock.Now()
-	least := p.queueTimes.estimate(now, queueKey{shard{pool, 0}, rank})
+	shortest := p.queueTimes.estimate(now, queueKey{shard{pool, 0}, rank})
 	for i := 1; i < shardCount(p.fleet.Size(pool)); i++ {
-		least = min(least, p.queueTimes.estimate(now, queueKey{shard{pool, i}, rank}))
+		shortest = min(shortest, p.queueTimes.estimate(now, queueKey{shard{pool, i}, rank}))
 	}
-	return least
+	return shortest
 }
 
 func (p *PieceScheduler) run(ctx context.Context, ask proto.PiecesAsk, due, deadline time.Time) proto.PiecesAnswer {
