--- a/relay/budget.go
+++ b/relay/budget.go
@@ -36,8 +36,8 @@
 	config RetryBudgetConfig
 	// startedAt is the start of the first step. Steps are measured on the monotonic clock, so changes of the wall clock
 	// do not affect them.
-	startedAt     time.Time
-	earned, spent stepCounter
+	startedAt       time.Time
+	received, spent stepCounter
 }
 
 // NewRetryBudget returns a budget without any spent attempts.
@@ -53,7 +53,7 @@
 func (b *RetryBudget) RecordRequest(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.earned.add(b.step(now))
+	b.received.add(b.step(now))
 }
 
 // RetryBudgetState is the state of a budget when a further attempt was requested, in the window that leaves the fewest
@@ -85,7 +85,7 @@
 
 func (b *RetryBudget) evaluate(now time.Time, share float64) (state RetryBudgetState, left bool) {
 	step := b.step(now)
-	b.earned.advance(step)
+	b.received.advance(step)
 	b.spent.advance(step)
 	state = b.tightest(b.spent.latest, share)
 	return state, float64(state.Spent+1) <= state.Allowed
@@ -114,7 +114,7 @@
 // that begins somewhat earlier, whichever has more. Steps that are only partly in a window are not counted.
 func (b *RetryBudget) countRequests(first, latest int64) int {
 	from := first - budgetLeadSteps
-	return max(b.earned.between(first+1, latest), b.earned.between(from+1, min(latest, from+budgetSteps-1)))
+	return max(b.received.between(first+1, latest), b.received.between(from+1, min(latest, from+budgetSteps-1)))
 }
 
 // stepCounter counts events per step and keeps the last few windows.
--- a/relay/choice.go
+++ b/relay/choice.go
@@ -264,8 +264,8 @@
 	}
 	p.lock()
 	defer p.mu.Unlock()
-	if home := p.preferredTarget(now, w); home != nil {
-		return home.Spec.Zone
+	if preferred := p.preferredTarget(now, w); preferred != nil {
+		return preferred.Spec.Zone
 	}
 	return ""
 }
--- a/relay/coldsends.go
+++ b/relay/coldsends.go
@@ -101,17 +101,17 @@
 // sendableCold returns the cold targets of a pool that this daemon may send a request of a rank to.
 func (p *Placer) sendableCold(now time.Time, pool string, rank int) map[string]bool {
 	ids, quota := p.fleet.Cold(now, pool)
-	var may map[string]bool
+	var sendable map[string]bool
 	for _, id := range ids {
 		if !p.peers.IsSoleOwner(coldTaskPrefix+id, coldHandoverDelay) || !p.coldLimiter.allows(now, id, quota, rank) {
 			continue
 		}
-		if may == nil {
-			may = map[string]bool{}
+		if sendable == nil {
+			sendable = map[string]bool{}
 		}
-		may[id] = true
+		sendable[id] = true
 	}
-	return may
+	return sendable
 }
 
 // countCold counts a request to a cold target, unless other requests have used up the quota.
--- a/relay/coldsends_test.go
+++ b/relay/coldsends_test.go
@@ -82,12 +82,12 @@
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 3))
 		c := coldSendLimiter{targets: map[string]*coldTarget{}}
-		type onWay struct{ until time.Time }
-		var ways []onWay
+		type transit struct{ until time.Time }
+		var inFlight []transit
 		var arrivals []time.Time
 		stuckUntil := start
 		for now := start; now.Before(start.Add(20 * time.Second)); now = now.Add(time.Duration(random.Int64N(int64(30 * time.Millisecond)))) {
-			ways = slices.DeleteFunc(ways, func(w onWay) bool {
+			inFlight = slices.DeleteFunc(inFlight, func(w transit) bool {
 				if now.Before(w.until) {
 					return false
 				}
@@ -103,7 +103,7 @@
 				if until.Before(stuckUntil) {
 					until = stuckUntil
 				}
-				ways = append(ways, onWay{until})
+				inFlight = append(inFlight, transit{until})
 			}
 		}
 		if got := maxWithinWindow(arrivals); got > coldMaxRequests || got == 0 {
@@ -150,9 +150,9 @@
 			t.Errorf("%s got %d requests within a second, limit %d", id, got, coldMaxRequests)
 		}
 	}
-	works := coldSpec.RequestsPerSecond * engineCount * length.Seconds()
-	if float64(served) < 0.9*works {
-		t.Errorf("%d requests were served, throughput of the cold engines %.0f", served, works)
+	capacity := coldSpec.RequestsPerSecond * engineCount * length.Seconds()
+	if float64(served) < 0.9*capacity {
+		t.Errorf("%d requests were served, throughput of the cold engines %.0f", served, capacity)
 	}
 }
 
--- a/relay/eras_test.go
+++ b/relay/eras_test.go
@@ -99,10 +99,10 @@
 }
 
 func TestEvacuationsAfterRestore(t *testing.T) {
-	asked := func(era, version uint64) proto.Evacuation {
+	requested := func(era, version uint64) proto.Evacuation {
 		return proto.Evacuation{Zone: "y", Version: inEra(era, version)}
 	}
-	over := func(era, version uint64) proto.Evacuation {
+	ended := func(era, version uint64) proto.Evacuation {
 		return proto.Evacuation{Zone: "y", Version: inEra(era, version), Ended: true}
 	}
 	type step struct {
@@ -117,15 +117,15 @@
 		at       time.Duration
 		want     string
 	}{
-		{"requested after the copy", []proto.Evacuation{asked(1, 20)}, nil, nil, evacuationRewriteWait - 1, "[y]"},
-		{"requested after the copy, and again", []proto.Evacuation{asked(1, 20)}, nil, []step{{time.Second, asked(2, 12)}}, time.Hour, "[y]"},
-		{"requested after the copy, and not again", []proto.Evacuation{asked(1, 20)}, nil, nil, evacuationRewriteWait, "[]"},
-		{"requested and revoked after the copy", []proto.Evacuation{asked(1, 20), over(1, 21)}, nil, nil, 0, "[]"},
-		{"revoked after the copy", []proto.Evacuation{asked(1, 5), over(1, 20)}, []proto.Evacuation{asked(2, 5)}, nil, 0, "[]"},
-		{"revoked after the copy, and again", []proto.Evacuation{asked(1, 5), over(1, 20)}, []proto.Evacuation{asked(2, 5)}, []step{{time.Second, over(2, 12)}}, time.Hour, "[]"},
-		{"revoked after the copy, and requested again", []proto.Evacuation{asked(1, 5), over(1, 20)}, []proto.Evacuation{asked(2, 5)}, []step{{time.Second, asked(2, 12)}}, time.Hour, "[y]"},
-		{"also in the copy", []proto.Evacuation{asked(1, 5)}, []proto.Evacuation{asked(2, 5)}, nil, time.Hour, "[y]"},
-		{"unknown before", nil, []proto.Evacuation{asked(2, 5)}, nil, time.Hour, "[y]"},
+		{"requested after the copy", []proto.Evacuation{requested(1, 20)}, nil, nil, evacuationRewriteWait - 1, "[y]"},
+		{"requested after the copy, and again", []proto.Evacuation{requested(1, 20)}, nil, []step{{time.Second, requested(2, 12)}}, time.Hour, "[y]"},
+		{"requested after the copy, and not again", []proto.Evacuation{requested(1, 20)}, nil, nil, evacuationRewriteWait, "[]"},
+		{"requested and revoked after the copy", []proto.Evacuation{requested(1, 20), ended(1, 21)}, nil, nil, 0, "[]"},
+		{"revoked after the copy", []proto.Evacuation{requested(1, 5), ended(1, 20)}, []proto.Evacuation{requested(2, 5)}, nil, 0, "[]"},
+		{"revoked after the copy, and again", []proto.Evacuation{requested(1, 5), ended(1, 20)}, []proto.Evacuation{requested(2, 5)}, []step{{time.Second, ended(2, 12)}}, time.Hour, "[]"},
+		{"revoked after the copy, and requested again", []proto.Evacuation{requested(1, 5), ended(1, 20)}, []proto.Evacuation{requested(2, 5)}, []step{{time.Second, requested(2, 12)}}, time.Hour, "[y]"},
+		{"also in the copy", []proto.Evacuation{requested(1, 5)}, []proto.Evacuation{requested(2, 5)}, nil, time.Hour, "[y]"},
+		{"unknown before", nil, []proto.Evacuation{requested(2, 5)}, nil, time.Hour, "[y]"},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
--- a/relay/fleet.go
+++ b/relay/fleet.go
@@ -204,14 +204,14 @@
 // ignored.
 func (f *Fleet) ApplyChanges(now time.Time, changes []FleetChange) []FleetEvent {
 	f.mu.Lock()
-	var notes []FleetEvent
+	var events []FleetEvent
 	for _, c := range changes {
 		f.version = proto.Latest(f.version, c.Version)
-		notes = append(notes, f.applyChange(now, c)...)
+		events = append(events, f.applyChange(now, c)...)
 	}
 	f.mu.Unlock()
-	f.notifyChanged(notes)
-	return notes
+	f.notifyChanged(events)
+	return events
 }
 
 // Replace applies the whole list as of a version and removes the entries that it lacks. It refuses a list that is older
@@ -223,7 +223,7 @@
 		return nil, false
 	}
 	listed := map[string]bool{}
-	var notes []FleetEvent
+	var events []FleetEvent
 	restored := asOf.Era > f.version.Era
 	if restored {
 		f.restoredAsOf = asOf
@@ -231,16 +231,16 @@
 	for _, c := range entries {
 		f.version = proto.Latest(f.version, c.Version)
 		listed[c.ID] = true
-		notes = append(notes, f.applyChange(now, c)...)
+		events = append(events, f.applyChange(now, c)...)
 	}
 	for id, t := range f.byID {
 		switch {
 		case listed[id]:
 		case complete:
 			f.recordDeparture(now, t, asOf)
-			notes = append(notes, f.drop(t))
+			events = append(events, f.drop(t))
 		default:
-			notes = append(notes, f.applyChange(now, FleetChange{ID: id, Removed: true, Version: asOf, LostInRestore: restored})...)
+			events = append(events, f.applyChange(now, FleetChange{ID: id, Removed: true, Version: asOf, LostInRestore: restored})...)
 		}
 	}
 	f.pruneInvalid(asOf, listed)
@@ -248,8 +248,8 @@
 		f.version = proto.Latest(f.version, asOf)
 	}
 	f.mu.Unlock()
-	f.notifyChanged(notes)
-	return notes, true
+	f.notifyChanged(events)
+	return events, true
 }
 
 // FleetEvent describes what was done with an entry, for the log.
@@ -287,9 +287,9 @@
 	outcomeUnusable = "has an entry that cannot be used"
 )
 
-func (f *Fleet) notifyChanged(notes []FleetEvent) {
+func (f *Fleet) notifyChanged(events []FleetEvent) {
 	pools := map[string]bool{}
-	for _, n := range notes {
+	for _, n := range events {
 		pools[n.Target.Pool] = true
 	}
 	for pool := range pools {
@@ -403,9 +403,9 @@
 }
 
 func (f *Fleet) dropAsUnusable(t *Target, c FleetChange) []FleetEvent {
-	note := f.unlist(t)
-	note.Outcome, note.Version = outcomeUnusable, c.Version
-	return []FleetEvent{note}
+	event := f.unlist(t)
+	event.Outcome, event.Version = outcomeUnusable, c.Version
+	return []FleetEvent{event}
 }
 
 // drop removes a target regardless of the state of the store.
--- a/relay/fleet_test.go
+++ b/relay/fleet_test.go
@@ -89,10 +89,10 @@
 		do   func(f *Fleet, now time.Time)
 		want string
 	}
-	away := func(f *Fleet, now time.Time) { f.MarkStoreDown(now) }
-	back := func(f *Fleet, now time.Time) { f.MarkStoreUp(now) }
-	gone := func(f *Fleet, now time.Time) { f.ApplyChanges(now, []FleetChange{removeChange(5, "a")}) }
-	again := func(f *Fleet, now time.Time) {
+	storeDown := func(f *Fleet, now time.Time) { f.MarkStoreDown(now) }
+	storeUp := func(f *Fleet, now time.Time) { f.MarkStoreUp(now) }
+	remove := func(f *Fleet, now time.Time) { f.ApplyChanges(now, []FleetChange{removeChange(5, "a")}) }
+	putAgain := func(f *Fleet, now time.Time) {
 		f.ApplyChanges(now, []FleetChange{putChange(6, testTarget("a", "p", "z"))})
 	}
 	sweep := func(f *Fleet, now time.Time) { f.Sweep(now) }
@@ -100,18 +100,18 @@
 		name  string
 		steps []step
 	}{
-		{"store is up", []step{{0, gone, "b "}}},
+		{"store is up", []step{{0, remove, "b "}}},
 		{"lapsed and back", []step{
-			{0, away, "a b "},
-			{4 * time.Second, back, "a b "},
-			{4 * time.Second, gone, "a b "},
-			{5 * time.Second, again, "a b "},
+			{0, storeDown, "a b "},
+			{4 * time.Second, storeUp, "a b "},
+			{4 * time.Second, remove, "a b "},
+			{5 * time.Second, putAgain, "a b "},
 			{7 * time.Second, sweep, "a b "},
 		}},
 		{"lapsed and removed", []step{
-			{0, away, "a b "},
-			{4 * time.Second, back, "a b "},
-			{4 * time.Second, gone, "a b "},
+			{0, storeDown, "a b "},
+			{4 * time.Second, storeUp, "a b "},
+			{4 * time.Second, remove, "a b "},
 			{5 * time.Second, sweep, "a b "},
 			{4*time.Second + lapseGracePeriod, sweep, "b "},
 		}},
@@ -122,7 +122,7 @@
 			{time.Second, sweep, "a b "},
 			{lapseGracePeriod, sweep, "b "},
 		}},
-		{"removed after the store is up", []step{{0, away, "a b "}, {4 * time.Second, back, "a b "}, {4*time.Second + lapseDetectWindow, gone, "b "}}},
+		{"removed after the store is up", []step{{0, storeDown, "a b "}, {4 * time.Second, storeUp, "a b "}, {4*time.Second + lapseDetectWindow, remove, "b "}}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -140,9 +140,9 @@
 // A daemon that reaches the store learns of a removal first from one that does not.
 func TestLapseReportedByPeerIsChecked(t *testing.T) {
 	f := fleetWith(putChange(1, testTarget("a", "p", "z")), putChange(2, testTarget("b", "p", "z")))
-	told := removeChange(5, "a")
-	told.FromPeer, told.Lapsed = true, true
-	ids, before := f.LapsedTargets(f.ApplyChanges(start, []FleetChange{told}))
+	reported := removeChange(5, "a")
+	reported.FromPeer, reported.Lapsed = true, true
+	ids, before := f.LapsedTargets(f.ApplyChanges(start, []FleetChange{reported}))
 	if fmt.Sprint(ids) != "[a]" || before != rev(4) {
 		t.Fatalf("targets to check: %v after version %s", ids, before)
 	}
@@ -155,16 +155,16 @@
 func TestSuspectedTargetIsAvoided(t *testing.T) {
 	f := fleetWith(putChange(1, testTarget("a", "p", "z")), putChange(2, testTarget("b", "p", "z")))
 	f.MarkStoreDown(start)
-	notes := f.ApplyChanges(start, []FleetChange{removeChange(5, "a")})
-	ids, before := f.LapsedTargets(notes)
+	events := f.ApplyChanges(start, []FleetChange{removeChange(5, "a")})
+	ids, before := f.LapsedTargets(events)
 	if fmt.Sprint(ids) != "[a]" || before != rev(4) {
 		t.Fatalf("lapsed %v after version %s", ids, before)
 	}
-	if notes := f.MarkSuspected("a"); len(notes) != 1 || usableIDs(f, "p") != "b " {
-		t.Errorf("usable %q, notes %v", usableIDs(f, "p"), notes)
+	if events := f.MarkSuspected("a"); len(events) != 1 || usableIDs(f, "p") != "b " {
+		t.Errorf("usable %q, notes %v", usableIDs(f, "p"), events)
 	}
-	if notes := f.MarkSuspected("a"); len(notes) != 0 {
-		t.Errorf("suspected twice: %v", notes)
+	if events := f.MarkSuspected("a"); len(events) != 0 {
+		t.Errorf("suspected twice: %v", events)
 	}
 	for range 4 {
 		if got := f.Pick(start, "p", TargetCriteria{}); got.Spec.ID != "b" {
@@ -199,9 +199,9 @@
 	leaving.Leaving = true
 	f := fleetWith(putChange(1, leaving))
 	f.MarkStoreDown(start)
-	notes := f.ApplyChanges(start, []FleetChange{removeChange(2, "a")})
-	if len(notes) != 1 || notes[0].Outcome != outcomeRemoved {
-		t.Errorf("notes %v", notes)
+	events := f.ApplyChanges(start, []FleetChange{removeChange(2, "a")})
+	if len(events) != 1 || events[0].Outcome != outcomeRemoved {
+		t.Errorf("notes %v", events)
 	}
 }
 
--- a/relay/fleetcold.go
+++ b/relay/fleetcold.go
@@ -129,7 +129,7 @@
 
 // OpenCount returns the number of a pool's targets in the allowed regions that are not closed, regardless of their
 // health.
-func (f *Fleet) OpenCount(pool string, homes proto.AllowedRegions) int {
+func (f *Fleet) OpenCount(pool string, regions proto.AllowedRegions) int {
 	p := f.pool(pool)
 	if p == nil {
 		return 0
@@ -138,7 +138,7 @@
 	defer p.mu.Unlock()
 	open := 0
 	for _, t := range p.list {
-		if !t.closed() && homes.Allows(t.Spec.Region) {
+		if !t.closed() && regions.Allows(t.Spec.Region) {
 			open++
 		}
 	}
--- a/relay/fleetinvalid.go
+++ b/relay/fleetinvalid.go
@@ -27,7 +27,7 @@
 
 // departedTarget is a run of a target that has left.
 type departedTarget struct {
-	born time.Time
+	startedAt time.Time
 	// announced is set if the run had announced that it leaves.
 	announced bool
 	version   proto.Revision
@@ -36,12 +36,12 @@
 
 // recordDeparture records that a target has left as of a revision.
 func (f *Fleet) recordDeparture(now time.Time, t *Target, version proto.Revision) {
-	f.departed[t.Spec.ID] = departedTarget{born: t.Spec.StartedAt, announced: t.leaves(), version: version, at: now}
+	f.departed[t.Spec.ID] = departedTarget{startedAt: t.Spec.StartedAt, announced: t.leaves(), version: version, at: now}
 }
 
 func (f *Fleet) forgetDepartures(now time.Time) {
-	for id, l := range f.departed {
-		if now.Sub(l.at) > departedRetention {
+	for id, departure := range f.departed {
+		if now.Sub(departure.at) > departedRetention {
 			delete(f.departed, id)
 		}
 	}
@@ -51,11 +51,11 @@
 // was restored from an older copy. An entry that was written since the restoration is valid, unless the run had
 // announced that it leaves.
 func (f *Fleet) restoredAfterDeparture(now time.Time, c FleetChange) bool {
-	l, known := f.departed[c.ID]
+	departure, known := f.departed[c.ID]
 	switch {
-	case !known || c.Version.Era <= l.version.Era || c.Target.StartedAt.After(l.born):
+	case !known || c.Version.Era <= departure.version.Era || c.Target.StartedAt.After(departure.startedAt):
 		return false
-	case f.revalidated[c.ID] == c.Version || !l.announced && c.Version.After(f.restoredAsOf):
+	case f.revalidated[c.ID] == c.Version || !departure.announced && c.Version.After(f.restoredAsOf):
 		delete(f.departed, c.ID)
 		return false
 	}
@@ -137,7 +137,7 @@
 // the entry is ignored if it is read later.
 func (f *Fleet) MergeInvalid(now time.Time, list []proto.InvalidEntry) []FleetEvent {
 	f.mu.Lock()
-	var notes []FleetEvent
+	var events []FleetEvent
 	for _, v := range list {
 		t := f.byID[v.ID]
 		if t != nil && t.version.After(v.Version) || !v.Version.After(f.invalid[v.ID].version) || f.revalidated[v.ID] == v.Version {
@@ -149,10 +149,10 @@
 		}
 		f.invalid[v.ID] = known
 		if t != nil && t.version == v.Version {
-			notes = append(notes, f.dropUnusable(now, t, FleetChange{ID: v.ID, Version: v.Version})...)
+			events = append(events, f.dropUnusable(now, t, FleetChange{ID: v.ID, Version: v.Version})...)
 		}
 	}
 	f.mu.Unlock()
-	f.notifyChanged(notes)
-	return notes
+	f.notifyChanged(events)
+	return events
 }
--- a/relay/fleetlapse.go
+++ b/relay/fleetlapse.go
@@ -40,10 +40,10 @@
 
 // LapsedTargets returns the IDs of targets that are considered lapsed, and the version before the first of them
 // disappeared. A lapse reported by another daemon may come from one whose requests the store rejected.
-func (f *Fleet) LapsedTargets(notes []FleetEvent) (ids []string, before proto.Revision) {
+func (f *Fleet) LapsedTargets(events []FleetEvent) (ids []string, before proto.Revision) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	for _, n := range notes {
+	for _, n := range events {
 		t := f.byID[n.Target.ID]
 		if n.Outcome != OutcomeLapsed || t == nil {
 			continue
@@ -61,18 +61,18 @@
 func (f *Fleet) MarkSuspected(id string) []FleetEvent {
 	f.mu.Lock()
 	t := f.byID[id]
-	var notes []FleetEvent
+	var events []FleetEvent
 	if t != nil {
 		t.pool.mu.Lock()
 		if !t.lapsedAt.IsZero() && !t.suspected {
 			t.suspected = true
-			notes = append(notes, FleetEvent{Target: t.Spec, Outcome: outcomeSuspected, Version: t.version})
+			events = append(events, FleetEvent{Target: t.Spec, Outcome: outcomeSuspected, Version: t.version})
 		}
 		t.pool.mu.Unlock()
 	}
 	f.mu.Unlock()
-	f.notifyChanged(notes)
-	return notes
+	f.notifyChanged(events)
+	return events
 }
 
 // Sweep removes lapsed entries that did not come back and detects which targets have become warm; it is called several
@@ -80,7 +80,7 @@
 func (f *Fleet) Sweep(now time.Time) []FleetEvent {
 	f.mu.Lock()
 	own := !f.mayHaveLapsed(now)
-	var notes []FleetEvent
+	var events []FleetEvent
 	warmed := map[string]bool{}
 	f.forgetDepartures(now)
 	f.forgetNotices(now)
@@ -91,7 +91,7 @@
 		}
 		if !t.lapsedAt.IsZero() && (own || t.lapseFromPeer) && now.Sub(t.lapsedAt) >= lapseGracePeriod {
 			f.recordDeparture(now, t, t.version)
-			notes = append(notes, f.unlist(t))
+			events = append(events, f.unlist(t))
 		}
 		if t.warmed(now) {
 			warmed[t.Spec.Pool] = true
@@ -99,9 +99,9 @@
 		t.pool.mu.Unlock()
 	}
 	f.mu.Unlock()
-	f.notifyChanged(notes)
+	f.notifyChanged(events)
 	for pool := range warmed {
 		f.changed(pool)
 	}
-	return notes
+	return events
 }
--- a/relay/fleetnotices.go
+++ b/relay/fleetnotices.go
@@ -19,7 +19,7 @@
 
 // MergeNotices merges the notices that another daemon knows, and returns those that were new to this daemon.
 func (f *Fleet) MergeNotices(now time.Time, list []proto.TargetNotice, from proto.VM) []proto.TargetNotice {
-	var news []proto.TargetNotice
+	var updates []proto.TargetNotice
 	pools := map[string]bool{}
 	f.mu.Lock()
 	for _, n := range list {
@@ -29,7 +29,7 @@
 		s := f.ensureSignals(now, n.Run, n.Target)
 		s.merge(now, n, from)
 		pools[f.applySignals(n.Run, s)] = true
-		news = append(news, s.notice(n.Run))
+		updates = append(updates, s.notice(n.Run))
 	}
 	f.mu.Unlock()
 	for pool := range pools {
@@ -37,16 +37,16 @@
 			f.changed(pool)
 		}
 	}
-	if len(news) > 0 {
-		f.onNotices(news)
+	if len(updates) > 0 {
+		f.onNotices(updates)
 	}
-	return news
+	return updates
 }
 
 // updatedBy reports whether a notice holds news. Of two limits with the same change number, the lower one wins.
 func (s *targetSignals) updatedBy(n proto.TargetNotice) bool {
-	newer := n.LimitVersion > s.change || n.LimitVersion == s.change && n.HasLimit && (s.limit == noLimit || n.Limit < s.limit)
-	return n.Leaving && !s.leaving || newer
+	newerLimit := n.LimitVersion > s.change || n.LimitVersion == s.change && n.HasLimit && (s.limit == noLimit || n.Limit < s.limit)
+	return n.Leaving && !s.leaving || newerLimit
 }
 
 func (s *targetSignals) merge(now time.Time, n proto.TargetNotice, from proto.VM) {
@@ -96,9 +96,9 @@
 
 // NoticeStats counts the runs of targets whose signals are in force.
 type NoticeStats struct {
-	Leaving int `json:"leaving"`
-	Limited int `json:"limited"`
-	Resting int `json:"resting"`
+	Leaving    int `json:"leaving"`
+	Limited    int `json:"limited"`
+	BackingOff int `json:"resting"`
 }
 
 // NoticeStats returns how many runs of targets are leaving, report a limit, or asked this daemon to back off.
@@ -114,7 +114,7 @@
 			c.Limited++
 		}
 		if now.Before(s.backoffUntil) {
-			c.Resting++
+			c.BackingOff++
 		}
 	}
 	return c
--- a/relay/fleetnotices_test.go
+++ b/relay/fleetnotices_test.go
@@ -79,8 +79,8 @@
 // Three daemons learn different notices and exchange them in any order.
 func TestNoticesConverge(t *testing.T) {
 	var fleets []*Fleet
-	heard := []Notice{{Limited: true, Limit: 2}, {Limited: true, Limit: 1}, {Leaving: true}}
-	for _, n := range heard {
+	learned := []Notice{{Limited: true, Limit: 2}, {Limited: true, Limit: 1}, {Leaving: true}}
+	for _, n := range learned {
 		f := NewFleet(func(string) {})
 		f.ApplyChanges(start, []FleetChange{putChange(1, targetStartedAt(1))})
 		f.recordSignal(start, &signal{Notice: n, target: targetStartedAt(1), sent: start})
@@ -266,11 +266,11 @@
 	f.recordSignal(start, &signal{Notice: Notice{Limited: true, Limit: 0.5}, target: testTarget("b", "p", "z"), sent: start})
 	f.recordSignal(start, &signal{Notice: Notice{Leaving: true}, target: testTarget("c", "p", "z"), sent: start})
 	fourth := testTarget("d", "p", "z")
-	told := proto.TargetNotice{Target: "d", Run: fourth.RunName(), HasLimit: true, Limit: 2, LimitVersion: 1}
-	f.MergeNotices(start.Add(100*time.Millisecond), []proto.TargetNotice{told}, "vm-2")
+	peerNotice := proto.TargetNotice{Target: "d", Run: fourth.RunName(), HasLimit: true, Limit: 2, LimitVersion: 1}
+	f.MergeNotices(start.Add(100*time.Millisecond), []proto.TargetNotice{peerNotice}, "vm-2")
 	clock := clockwork.NewFakeClockAt(start.Add(400 * time.Millisecond))
 	p := NewPlacer("self", clock, hclog.NewNullLogger(), f, &scriptedPeers{silent: make(chan struct{})})
-	p.recordExhausted(clock.Now(), 700*time.Millisecond, told)
+	p.recordExhausted(clock.Now(), 700*time.Millisecond, peerNotice)
 	lines := p.signalLogEntries("p")
 	for i := range lines {
 		lines[i].notice = proto.TargetNotice{}
--- a/relay/health.go
+++ b/relay/health.go
@@ -41,11 +41,11 @@
 func (h *health) recordFailure(now time.Time) {
 	h.consecutiveFailures++
 	h.failureRate += failureWeight * (1 - h.failureRate)
-	out := maxEjection
+	ejection := maxEjection
 	if h.consecutiveFailures < 5 {
-		out = min(maxEjection, baseEjection<<(h.consecutiveFailures-1))
+		ejection = min(maxEjection, baseEjection<<(h.consecutiveFailures-1))
 	}
-	h.ejectedUntil = now.Add(out)
+	h.ejectedUntil = now.Add(ejection)
 }
 
 // afterRestart returns the health of the target's next run. Failures of the previous run do not count, but its end
--- a/relay/limits.go
+++ b/relay/limits.go
@@ -130,11 +130,11 @@
 	if len(limited) == 0 {
 		return nil
 	}
-	may := map[string]bool{}
+	usable := map[string]bool{}
 	for i, wait := range p.permitWaits(now, pool, limited) {
-		may[limited[i].Target] = wait == 0
+		usable[limited[i].Target] = wait == 0
 	}
-	return may
+	return usable
 }
 
 // permitWaits returns, for each of some targets of a pool, how long it takes until a permit may be available; 0 if one
@@ -260,9 +260,9 @@
 
 // signalWait returns how long the signals of the targets of a pool in the allowed regions prevent new requests, and
 // why; 0 if one may get a request now, as far as this daemon knows.
-func (p *Placer) signalWait(pool string, homes proto.AllowedRegions) (in time.Duration, reason string) {
+func (p *Placer) signalWait(pool string, regions proto.AllowedRegions) (in time.Duration, reason string) {
 	now := p.clock.Now()
-	for i, t := range p.fleet.allBlocked(now, pool, homes) {
+	for i, t := range p.fleet.allBlocked(now, pool, regions) {
 		left, why := t.left, reasonBackoff
 		if t.notice.HasLimit {
 			if wait := p.permitWaits(now, pool, []proto.TargetNotice{t.notice})[0]; wait > left {
--- a/relay/targetlimits.go
+++ b/relay/targetlimits.go
@@ -67,24 +67,24 @@
 
 // allBlocked returns the targets of a pool in the allowed regions that may get work, if each of them is in backoff or
 // reports a limit; nil if one is neither.
-func (f *Fleet) allBlocked(now time.Time, pool string, homes proto.AllowedRegions) []blockedTarget {
+func (f *Fleet) allBlocked(now time.Time, pool string, regions proto.AllowedRegions) []blockedTarget {
 	p := f.pool(pool)
 	if p == nil {
 		return nil
 	}
 	p.lock()
 	defer p.mu.Unlock()
-	var held []blockedTarget
+	var blocked []blockedTarget
 	for _, t := range p.list {
-		if t.closed() || !homes.Allows(t.Spec.Region) {
+		if t.closed() || !regions.Allows(t.Spec.Region) {
 			continue
 		}
 		if !t.backsOff(now) && !t.notice.HasLimit {
 			return nil
 		}
-		held = append(held, blockedTarget{t.notice, max(0, t.backoffUntil.Sub(now))})
+		blocked = append(blocked, blockedTarget{t.notice, max(0, t.backoffUntil.Sub(now))})
 	}
-	return held
+	return blocked
 }
 
 // targetLimits are the requests that a target accepts from this daemon.
