--- a/relay/place.go
+++ b/relay/place.go
@@ -52,10 +52,10 @@
 
 // placementLease is an attempt that this daemon placed for another.
 type placementLease struct {
-	target *Target
-	want   TargetCriteria
-	began  bool
-	at     time.Time
+	target   *Target
+	criteria TargetCriteria
+	began    bool
+	placedAt time.Time
 }
 
 // NewPlacer returns a placer without any placed requests.
@@ -69,12 +69,12 @@
 	// Spec is the target's entry at the time of the choice; the entry may change at any time.
 	Spec proto.RelayTarget
 
-	placer *Placer
-	pool   string
-	want   TargetCriteria
-	owner  proto.VM // another daemon that counts the attempt, or ""
-	lease  uint64
-	began  bool
+	placer   *Placer
+	pool     string
+	criteria TargetCriteria
+	owner    proto.VM // another daemon that counts the attempt, or ""
+	lease    uint64
+	began    bool
 	// Cold is set if the target is cold, and counted if the request counts as in flight to it.
 	Cold    bool
 	counted bool
@@ -112,7 +112,7 @@
 	if t == nil {
 		return nil
 	}
-	placed := &Placement{Target: t, Spec: p.fleet.Spec(t), placer: p, pool: pool, want: w}
+	placed := &Placement{Target: t, Spec: p.fleet.Spec(t), placer: p, pool: pool, criteria: w}
 	if w.AllowedCold[id] && !p.countCold(now, placed) || !p.permitted(ctx, placed) {
 		placed.Finish(VerdictNone, Load{})
 		return nil
@@ -133,7 +133,7 @@
 	if t == nil {
 		return nil
 	}
-	return &Placement{Target: t, Spec: p.fleet.Spec(t), placer: p, pool: pool, want: w}
+	return &Placement{Target: t, Spec: p.fleet.Spec(t), placer: p, pool: pool, criteria: w}
 }
 
 // chooseRemotely asks the owner of the pool. It returns false if this daemon has to choose alone.
@@ -164,7 +164,7 @@
 		p.log.Info("choosing a target alone", "pool", pool, "owner", owner, "target", a.Target, "reason", "it is not listed here")
 		return nil, false
 	}
-	return &Placement{Target: t, Spec: p.fleet.Spec(t), placer: p, pool: pool, want: w, owner: owner, lease: a.Lease, permitted: a.Permitted}, true
+	return &Placement{Target: t, Spec: p.fleet.Spec(t), placer: p, pool: pool, criteria: w, owner: owner, lease: a.Lease, permitted: a.Permitted}, true
 }
 
 // errLateAnswer means that the owner of a pool has not answered in time.
@@ -207,7 +207,7 @@
 func (p *Placement) RecordResponseStart() {
 	p.began = true
 	p.arrived()
-	p.placer.fleet.RecordResponseStart(p.placer.clock.Now(), p.Target, p.want)
+	p.placer.fleet.RecordResponseStart(p.placer.clock.Now(), p.Target, p.criteria)
 	if p.owner != "" {
 		p.placer.peers.Send(p.owner, proto.PlaceNote{Pool: p.pool, Lease: p.lease, PromptRead: true})
 	}
@@ -232,7 +232,7 @@
 // Finish records how the attempt ended.
 func (p *Placement) Finish(v HealthVerdict, load Load) {
 	p.arrived()
-	p.placer.fleet.FinishAttempt(p.placer.clock.Now(), p.Target, p.want, p.began, v, load)
+	p.placer.fleet.FinishAttempt(p.placer.clock.Now(), p.Target, p.criteria, p.began, v, load)
 	if p.owner != "" {
 		p.placer.peers.Send(p.owner, proto.PlaceNote{Pool: p.pool, Lease: p.lease, Verdict: uint8(v)})
 	}
@@ -258,7 +258,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.nextLease++
-	p.leases[p.nextLease] = placementLease{target: t, want: w, at: now}
+	p.leases[p.nextLease] = placementLease{target: t, criteria: w, placedAt: now}
 	return proto.PlaceAnswer{Target: id, Lease: p.nextLease, Times: times, AdmissionRequired: busy, Permitted: permitted}
 }
 
@@ -299,9 +299,9 @@
 	case n.Late:
 		p.fleet.ReportSlow(p.clock.Now(), lease.target)
 	case n.PromptRead:
-		p.fleet.RecordResponseStart(p.clock.Now(), lease.target, lease.want)
+		p.fleet.RecordResponseStart(p.clock.Now(), lease.target, lease.criteria)
 	default:
-		p.fleet.FinishAttempt(p.clock.Now(), lease.target, lease.want, lease.began, HealthVerdict(n.Verdict), Load{})
+		p.fleet.FinishAttempt(p.clock.Now(), lease.target, lease.criteria, lease.began, HealthVerdict(n.Verdict), Load{})
 	}
 }
 
@@ -314,14 +314,14 @@
 	p.mu.Lock()
 	var expired []placementLease
 	for id, l := range p.leases {
-		if now.Sub(l.at) > maxLeaseAge {
+		if now.Sub(l.placedAt) > maxLeaseAge {
 			expired = append(expired, l)
 			delete(p.leases, id)
 		}
 	}
 	p.mu.Unlock()
-	slices.SortFunc(expired, func(a, b placementLease) int { return a.at.Compare(b.at) })
+	slices.SortFunc(expired, func(a, b placementLease) int { return a.placedAt.Compare(b.placedAt) })
 	for _, l := range expired {
-		p.fleet.FinishAttempt(now, l.target, l.want, l.began, VerdictNone, Load{})
+		p.fleet.FinishAttempt(now, l.target, l.criteria, l.began, VerdictNone, Load{})
 	}
 }
