--- a/relay/fleetzones_test.go
+++ b/relay/fleetzones_test.go
@@ -16,8 +16,8 @@
 	return []proto.Evacuation{{Zone: "y", Version: rev(version), Ended: over}}
 }
 
-// Requests a target in each way that work takes, with all targets of the other zone failing, suspected or already
-// tried: an unhealthy target is better than none, but not one that the operator has closed.
+// Picks a target in every way that requests and calls use, with all targets of the other zone failing, suspected or
+// already tried: an unhealthy target is better than none, but not one that the operator has closed.
 func TestEvacuatedZoneIsNotPicked(t *testing.T) {
 	scenarios := []struct {
 		testName string
--- a/relay/limits_bench_test.go
+++ b/relay/limits_bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkLimitWays compares ways to divide a limit between daemons. It reports the used part of the target's limit,
-// the largest number of arrivals within a span relative to the bound, and messages per second.
+// BenchmarkLimitSharing compares ways to divide a limit between daemons. It reports the used part of the target's
+// limit, the largest number of arrivals within a span relative to the bound, and messages per second.
 func BenchmarkLimitSharing(b *testing.B) {
 	const length = 40 * time.Second
 	ways := []struct {
--- a/relay/notices.go
+++ b/relay/notices.go
@@ -44,7 +44,8 @@
 		if !known {
 			return
 		}
-		// Such calls are not part of the work, and the responses may lack headers that responses to work have.
+		// Calls without a target are not part of the work, and their responses may lack headers that other responses
+		// have.
 		h.target, h.partial = target, true
 	}
 	if len(h.Unreadable) > 0 {
--- a/relay/place_test.go
+++ b/relay/place_test.go
@@ -215,7 +215,8 @@
 	}
 }
 
-// For the race detector: the entry of a chosen target is read while the store's answer replaces it.
+// Guards against a data race: the entry of a chosen target is read while the store's answer replaces it. Only the race
+// detector sees the failure.
 func TestEntryChangesDuringChoice(t *testing.T) {
 	fleet := NewFleet(func(string) {})
 	spec := testTarget("t", "p", "z")
