--- a/relay/overload_test.go
+++ b/relay/overload_test.go
@@ -186,7 +186,7 @@
 	o.waiting = append(o.waiting, r)
 }
 
-// place sends a request to an engine. An engine that is gone refuses the connection, and another one is tried.
+// place sends a request to an engine. A failed engine refuses the connection, and another one is tried.
 func (o *overloadSimulation) place(r *modelRequest) {
 	p := o.placers[o.random.IntN(len(o.placers))]
 	w := TargetCriteria{
@@ -258,7 +258,7 @@
 	}
 }
 
-// expire removes the entries of engines that are gone.
+// expire removes the entries of failed engines.
 func (o *overloadSimulation) expire(count int) {
 	for i := range count {
 		o.change(func(version uint64) FleetChange { return removeChange(version, fmt.Sprintf("e%03d", i)) })
