--- a/relay/worker.go
+++ b/relay/worker.go
@@ -9,7 +9,7 @@
 	"emberlead/proto"
 )
 
-// worker drives the batcher of one shard of a pool.
+// worker drives the batcher of one shard of a pool. Each worker has a lock of its own, which guards its batcher.
 type worker struct {
 	shard
 	pieces *PieceScheduler
