--- a/relay/batchcrash_test.go
+++ b/relay/batchcrash_test.go
@@ -26,7 +26,7 @@
 		targets = append(targets, testTarget(fmt.Sprint("t", n), "p", "z"))
 	}
 	b.SetTargets(targets)
-	const guilty, requests = proto.RequestDigest(3), 6
+	const crashing, requests = proto.RequestDigest(3), 6
 	for r := range proto.RequestDigest(requests) {
 		ask := proto.PiecesAsk{RequestID: fmt.Sprint(r), Pieces: 2, ResultBytes: 10, Digest: r}
 		if refused := b.Add(start, &Job{Params: ask, Due: start.Add(time.Hour), Deadline: start.Add(time.Hour)}); refused != nil {
@@ -34,7 +34,7 @@
 		}
 	}
 	fates := map[string]proto.PieceOutcome{}
-	take := func(finished []FinishedJob) {
+	record := func(finished []FinishedJob) {
 		for _, e := range finished {
 			fates[e.Job.Params.RequestID] = e.Answer.Outcome
 		}
@@ -42,25 +42,25 @@
 	now, ended := start, 0
 	for range 40 {
 		calls, finished := b.NextCalls(now)
-		take(finished)
+		record(finished)
 		now = now.Add(10 * time.Millisecond)
 		for _, c := range calls {
 			var in []proto.RequestDigest
 			for _, item := range c.Items {
 				in = append(in, item.Job.Params.Digest)
 			}
-			if !slices.Contains(in, guilty) {
+			if !slices.Contains(in, crashing) {
 				results := make([]ItemResult, len(c.Items))
 				for i := range results {
 					results[i].Handle = fmt.Sprintf("%s/%p/%d", c.Target.ID, c, i)
 				}
 				made, _ := b.CallDone(now, c, results)
-				take(made)
+				record(made)
 				continue
 			}
 			ended++
 			crashes.Ended(c.Target.RunName(), now, slices.Compact(in))
-			take(b.CallFailed(now, c, false))
+			record(b.CallFailed(now, c, false))
 			targets = slices.DeleteFunc(targets, func(s proto.RelayTarget) bool { return s.ID == c.Target.ID })
 			b.SetTargets(targets)
 		}
@@ -70,7 +70,7 @@
 	}
 	for r := range proto.RequestDigest(requests) {
 		want := proto.PiecesDone
-		if r == guilty {
+		if r == crashing {
 			want = proto.PiecesFailed
 		}
 		if got, over := fates[fmt.Sprint(r)]; !over || got != want {
--- a/relay/batchfill.go
+++ b/relay/batchfill.go
@@ -115,12 +115,12 @@
 		return c
 	}
 	// Jobs with inputs in the zone of the target come before those whose inputs would cross zones.
-	for _, own := range []bool{true, false} {
+	for _, sameZone := range []bool{true, false} {
 		for _, j := range b.jobs {
 			if len(c.Items) >= b.spec.MaxPieces {
 				break
 			}
-			if j.pendingCount() > 0 && !j.done && b.crossesZones(t, j) != own && b.mayAdd(now, c, t, j, own) {
+			if j.pendingCount() > 0 && !j.done && b.crossesZones(t, j) != sameZone && b.mayAdd(now, c, t, j, sameZone) {
 				b.addPieces(now, t, c, j)
 			}
 		}
@@ -136,8 +136,8 @@
 
 // mayAdd reports whether the pieces of a job may be added to a call. Pieces of a job that fit into one call are not
 // split, since their results are needed together.
-func (b *Batcher) mayAdd(now time.Time, c *Call, t *batchTarget, j *Job, own bool) bool {
-	if j.separate || !j.Params.AllowedRegions.Allows(t.spec.Region) || !own && now.Before(j.queuedAt.Add(b.zoneWait(now, j))) {
+func (b *Batcher) mayAdd(now time.Time, c *Call, t *batchTarget, j *Job, sameZone bool) bool {
+	if j.separate || !j.Params.AllowedRegions.Allows(t.spec.Region) || !sameZone && now.Before(j.queuedAt.Add(b.zoneWait(now, j))) {
 		return false
 	}
 	free := b.spec.MaxPieces - len(c.Items)
--- a/relay/piecescheduler_test.go
+++ b/relay/piecescheduler_test.go
@@ -105,7 +105,7 @@
 	return NewPieceScheduler("self", clock, hclog.NewNullLogger(), stubDialect{}, sender, peers, f, tables)
 }
 
-func askPieces(p *PieceScheduler, clock clockwork.Clock) proto.PiecesAnswer {
+func runTestPieces(p *PieceScheduler, clock clockwork.Clock) proto.PiecesAnswer {
 	now := clock.Now()
 	return p.Run(context.Background(), proto.PiecesAsk{Pool: "p", RequestID: "r", Pieces: 2, ResultBytes: 10}, now.Add(time.Hour), now.Add(time.Hour))
 }
@@ -132,7 +132,7 @@
 		t.Run(s.name, func(t *testing.T) {
 			sender := &stubSender{}
 			clock := clockwork.NewRealClock()
-			answer := askPieces(newTestPieceScheduler(clock, &scriptedPeers{answer: s.answer, silent: make(chan struct{})}, sender), clock)
+			answer := runTestPieces(newTestPieceScheduler(clock, &scriptedPeers{answer: s.answer, silent: make(chan struct{})}, sender), clock)
 			if s.calls > 0 && (answer.Outcome != proto.PiecesDone || len(answer.Handles) != 2) {
 				t.Errorf("answer %+v", answer)
 			}
@@ -154,7 +154,7 @@
 	sender := &stubSender{}
 	clock := clockwork.NewRealClock()
 	close(peers.silent)
-	if answer := askPieces(newTestPieceScheduler(clock, peers, sender), clock); answer.Outcome != proto.PiecesDone {
+	if answer := runTestPieces(newTestPieceScheduler(clock, peers, sender), clock); answer.Outcome != proto.PiecesDone {
 		t.Errorf("answer %+v", answer)
 	}
 	peers.mu.Lock()
--- a/relay/restart_test.go
+++ b/relay/restart_test.go
@@ -13,15 +13,15 @@
 )
 
 // targetRun returns a target of pool "p" whose process started at the given time.
-func targetRun(id string, born time.Time) proto.RelayTarget {
+func targetRun(id string, startedAt time.Time) proto.RelayTarget {
 	t := testTarget(id, "p", "z")
-	t.StartedAt = born
+	t.StartedAt = startedAt
 	return t
 }
 
-func outcomes(notes []FleetEvent) string {
+func outcomes(events []FleetEvent) string {
 	all := ""
-	for _, n := range notes {
+	for _, n := range events {
 		all += n.Outcome + "; "
 	}
 	return all
