--- a/relay/piececall.go
+++ b/relay/piececall.go
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	defer in.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(in.Body, maxResponseBytes))
+	body, err := io.ReadAll(io.LimitReader(in.Body, maxPiecesResponseBytes))
 	if err != nil {
 		return nil, &Error{Op: "read pieces", Kind: proto.KindUnknown, Err: err}
 	}
--- a/relay/piecescheduler.go
+++ b/relay/piecescheduler.go
@@ -32,8 +32,8 @@
 	overdueCheckFactor = 6
 	// freeTimeout is the timeout of a call that frees results.
 	freeTimeout = time.Second
-	// maxResponseBytes is the maximum size of the response to a call, in bytes.
-	maxResponseBytes = 1 << 20
+	// maxPiecesResponseBytes is the maximum size of the response to a call, in bytes.
+	maxPiecesResponseBytes = 1 << 20
 	// batchTaskPrefix is the prefix of the names of batching tasks.
 	batchTaskPrefix = "batch/"
 )
