--- a/coord/claims_test.go
+++ b/coord/claims_test.go
@@ -138,7 +138,7 @@
 		timing.MaxSkew = -time.Hour // then the time up to which keys are refused is before all of them
 	}
 	plan := RosterPlan{Slots: 2, Replicas: 3, Members: 8, Moves: 1}
-	v.writer = NewRosterWriter(s.store.For(string(v.self.VM)), plan, timing, v, v.replica)
+	v.writer = NewRosterWriter(s.store.ClientFor(string(v.self.VM)), plan, timing, v, v.replica)
 }
 
 func (s *claimSim) connected(a, b *simVM) bool { return a.partition == b.partition }
@@ -302,12 +302,12 @@
 		return
 	}
 	if s.random.IntN(10) == 0 {
-		s.store.LoseAnswers(1)
+		s.store.LoseResponses(1)
 	}
 	s.store.SetDown(s.random.IntN(10) == 0)
 	_ = v.writer.ReviseRoster(context.Background(), s.now)
 	s.store.SetDown(false)
-	s.store.LoseAnswers(0)
+	s.store.LoseResponses(0)
 }
 
 func (s *claimSim) step() {
--- a/coord/config_test.go
+++ b/coord/config_test.go
@@ -45,7 +45,7 @@
 		accepted: map[proto.Generation]string{}, acceptedHash: map[string]string{}, acceptedGeneration: map[string]proto.Generation{},
 	}
 	for i := range 3 {
-		s.stores = append(s.stores, NewConfigStore(s.fake.For(fmt.Sprint(i)), s.clock))
+		s.stores = append(s.stores, NewConfigStore(s.fake.ClientFor(fmt.Sprint(i)), s.clock))
 		s.copies = append(s.copies, nil)
 		s.highest = append(s.highest, 0)
 		s.restart(i)
@@ -73,10 +73,10 @@
 		req.Base = &known
 	}
 	if s.random.IntN(3) == 0 {
-		s.fake.LoseAnswers(1 + s.random.IntN(2))
+		s.fake.LoseResponses(1 + s.random.IntN(2))
 	}
 	applied, err := s.stores[i].Apply(context.Background(), s.copies[i], req)
-	s.fake.LoseAnswers(0)
+	s.fake.LoseResponses(0)
 	switch {
 	case err != nil && proto.KindOf(err) == proto.KindUnknown:
 		// The operator retries with the same ID once the store answers.
@@ -126,7 +126,7 @@
 			s.restart(i)
 		}
 	default:
-		s.fake.Cut(fmt.Sprint(i), s.random.IntN(2) == 0)
+		s.fake.SetUnreachable(fmt.Sprint(i), s.random.IntN(2) == 0)
 	}
 }
 
@@ -134,7 +134,7 @@
 func (s *configSim) finish() {
 	s.fake.SetDown(false)
 	for i := range s.copies {
-		s.fake.Cut(fmt.Sprint(i), false)
+		s.fake.SetUnreachable(fmt.Sprint(i), false)
 		if err := s.stores[i].CatchUp(context.Background(), s.copies[i]); err != nil {
 			s.violations = append(s.violations, err.Error())
 		}
@@ -172,7 +172,7 @@
 func TestConflictReportsDiff(t *testing.T) {
 	fake := fakes.NewStore()
 	clock := clockwork.NewFakeClock()
-	one, two := NewConfigStore(fake.For("1"), clock), NewConfigStore(fake.For("2"), clock)
+	one, two := NewConfigStore(fake.ClientFor("1"), clock), NewConfigStore(fake.ClientFor("2"), clock)
 	c1, c2 := NewConfigState(nil), NewConfigState(nil)
 	ctx := context.Background()
 	first, err := one.Apply(ctx, c1, ApplyRequest{Body: fileBody("a", 1), By: "ada"})
@@ -195,7 +195,7 @@
 // it did not.
 func TestLateWriteIsFenced(t *testing.T) {
 	fake := fakes.NewStore()
-	store := NewConfigStore(&delayed{Client: fake.For("1")}, clockwork.NewFakeClock())
+	store := NewConfigStore(&delayed{Client: fake.ClientFor("1")}, clockwork.NewFakeClock())
 	c := NewConfigState(nil)
 	_, err := store.Apply(context.Background(), c, ApplyRequest{Body: fileBody("a", 1)})
 	if proto.KindOf(err) != proto.KindUnavailable {
--- a/coord/lease_test.go
+++ b/coord/lease_test.go
@@ -60,7 +60,7 @@
 	s := &leaseSim{random: rand.New(rand.NewPCG(seed, 2)), now: time.Unix(1_700_000_000, 0), store: fakes.NewStore(), holders: map[proto.Epoch]int{}}
 	for i := range 3 {
 		vm := proto.VM(fmt.Sprintf("vm-%d", i))
-		s.leases = append(s.leases, NewLease(slowTable{s.store.For(string(vm)), s}, "x", vm, 1, DefaultLeaseTiming()))
+		s.leases = append(s.leases, NewLease(slowTable{s.store.ClientFor(string(vm)), s}, "x", vm, 1, DefaultLeaseTiming()))
 		s.offsets = append(s.offsets, time.Duration(s.random.IntN(3600))*time.Second)
 	}
 	return s
@@ -74,10 +74,10 @@
 	i := s.random.IntN(len(s.leases))
 	s.store.SetDown(s.random.IntN(8) == 0)
 	if s.random.IntN(6) == 0 {
-		s.store.LoseAnswers(1)
+		s.store.LoseResponses(1)
 	}
 	_ = s.leases[i].Step(context.Background(), s.clock(i), s.random.IntN(5) > 0)
-	s.store.LoseAnswers(0)
+	s.store.LoseResponses(0)
 	s.check()
 	s.order(i)
 	s.passTime()
--- a/coord/placement_test.go
+++ b/coord/placement_test.go
@@ -20,7 +20,7 @@
 }
 
 func (m memoryTargets) Order(_ context.Context, address netip.AddrPort, order proto.Order) error {
-	if !m.targets[address].Obey(order) {
+	if !m.targets[address].ApplyOrder(order) {
 		return newError("order", proto.KindDenied, "the epoch is older than one seen")
 	}
 	return nil
@@ -51,7 +51,7 @@
 	target := fakes.NewTarget(spec, &pool, 1)
 	targets := memoryTargets{targets: map[netip.AddrPort]*fakes.Target{spec.Address: target}, clock: clock}
 	holder := func(vm proto.VM) (*PlacementController, *Lease) {
-		deps := Deps{Self: proto.Alive{VM: vm, Zone: "r/a", Incarnation: 1}, Clock: clock, Log: hclog.NewNullLogger(), Platform: store.For(string(vm)), Peers: meshPeers{sim: &meshSim{}, self: vm}}
+		deps := Deps{Self: proto.Alive{VM: vm, Zone: "r/a", Incarnation: 1}, Clock: clock, Log: hclog.NewNullLogger(), Platform: store.ClientFor(string(vm)), Peers: meshPeers{sim: &meshSim{}, self: vm}}
 		o := NewPlacementController(deps, NewNode(deps), targets, firstModelPlacer{}, DefaultLeaseTiming())
 		return o, o.leases[0]
 	}
--- a/demo/faults.go
+++ b/demo/faults.go
@@ -202,7 +202,7 @@
 
 func (r *runner) storeLosesAnswer(ctx context.Context) string {
 	node := r.survivor(0).daemon.Node()
-	r.world.store.LoseAnswers(1)
+	r.world.store.LoseResponses(1)
 	began := time.Now()
 	applied, err := node.ConfigStore.Apply(ctx, node.Config, coord.ApplyRequest{Body: r.changed(time.Millisecond), By: "demo"})
 	if err != nil {
--- a/demo/world.go
+++ b/demo/world.go
@@ -102,7 +102,7 @@
 	s.Callers.Listen, s.Peers.Listen, s.Operators.Listen = anyPort, anyPort, anyPort
 	s.Peers.SharedKey = "demo"
 	s.Platform.Address = "http://" + w.platform.Address.String()
-	if err := s.Check(); err != nil {
+	if err := s.Validate(); err != nil {
 		return err
 	}
 	daemon, err := serve.New(s, serve.WithLog(w.log.With("vm", e.vm)), serve.WithGate(e.gate.pass))
@@ -110,7 +110,7 @@
 		return err
 	}
 	e.daemon = daemon
-	w.store.SetVM(proto.VMEntry{VM: e.vm, Zone: s.Zone, Peer: daemon.Peers(), Entry: true})
+	w.store.SetVM(proto.VMEntry{VM: e.vm, Zone: s.Zone, Peer: daemon.PeerAddr(), Entry: true})
 	ctx, cancel := context.WithCancel(context.Background())
 	e.cancel = cancel
 	go func() {
@@ -194,7 +194,7 @@
 func newBalancer(w *world) *balancer {
 	b := &balancer{world: w}
 	for _, e := range w.entries {
-		b.ready = append(b.ready, e.daemon.Callers())
+		b.ready = append(b.ready, e.daemon.CallerAddr())
 	}
 	return b
 }
@@ -223,13 +223,13 @@
 func (b *balancer) poll(client *http.Client) {
 	var ready []netip.AddrPort
 	for _, e := range b.world.entries {
-		resp, err := client.Get("http://" + e.daemon.Callers().String() + "/readyz")
+		resp, err := client.Get("http://" + e.daemon.CallerAddr().String() + "/readyz")
 		if err != nil {
 			continue
 		}
 		_ = resp.Body.Close()
 		if resp.StatusCode == http.StatusOK {
-			ready = append(ready, e.daemon.Callers())
+			ready = append(ready, e.daemon.CallerAddr())
 		}
 	}
 	if len(ready) == 0 {
--- a/entry/docs.go
+++ b/entry/docs.go
@@ -15,7 +15,7 @@
 		Name: "docs", Usage: "write the generated pages and schemas", Hidden: true,
 		Flags: []cli.Flag{&cli.StringFlag{Name: "dir", Value: "docs", Usage: "`DIRECTORY` to write to"}},
 		Action: func(_ context.Context, c *cli.Command) error {
-			pages, err := serve.Pages()
+			pages, err := serve.GenerateDocs()
 			if err != nil {
 				return err
 			}
--- a/entry/fake.go
+++ b/entry/fake.go
@@ -142,7 +142,7 @@
 	for _, pool := range file.Pools {
 		for _, target := range pool.Targets {
 			if target.Name == c.Args().Get(1) {
-				return wire.NewTargets().Ask(ctx, method, target.Address, path, body)
+				return wire.NewTargetClient().SendRequest(ctx, method, target.Address, path, body)
 			}
 		}
 	}
@@ -162,7 +162,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = wire.NewTargets().Ask(ctx, http.MethodPost, address, "/fault", []byte(c.String("set")))
+	_, err = wire.NewTargetClient().SendRequest(ctx, http.MethodPost, address, "/fault", []byte(c.String("set")))
 	return err
 }
 
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -34,7 +34,7 @@
 	zones := relay.DefaultZoneCosts()
 	return &cli.Command{
 		Name:  "relay",
-		Usage: "run one daemon on the users' platform; it reads the settings file that the platform names in " + platform.SettingsVariable,
+		Usage: "run one daemon on the users' platform; it reads the settings file that the platform names in " + platform.SettingsEnv,
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "log-level", Value: "info", Usage: "`LEVEL` of the log: debug, info, warn or error"},
 			&cli.StringFlag{Name: "link-key", Sources: cli.EnvVars(linkKeyVariable), Usage: "`KEY` that daemons show each other; without one it is the store's address"},
--- a/entry/script_test.go
+++ b/entry/script_test.go
@@ -22,7 +22,7 @@
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata/script",
 		Setup: func(env *testscript.Env) error {
-			host, err := fakes.ClaimHost()
+			host, err := fakes.ReserveHost()
 			if err != nil {
 				return err
 			}
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -26,11 +26,11 @@
 		return exit(ExitUsage, err)
 	}
 	t := settings.Traces
-	provider, err := wire.Tracing(ctx, t.Exporter, t.Endpoint, t.Fraction)
+	provider, err := wire.NewTracerProvider(ctx, t.Exporter, t.Endpoint, t.Fraction)
 	if err != nil {
 		return exit(ExitUsage, err)
 	}
-	wire.SetTracing(provider)
+	wire.SetTracerProvider(provider)
 	defer func() { _ = provider.Shutdown(context.WithoutCancel(ctx)) }()
 	log := logger(settings.Log.Level, settings.Log.JSON, c.Root().ErrWriter).With("vm", settings.VM)
 	daemon, err := serve.New(settings, serve.WithLog(log))
--- a/fakes/host.go
+++ b/fakes/host.go
@@ -34,8 +34,8 @@
 	ports atomic.Uint32
 }
 
-// ClaimHost returns an address that nobody else claims until it is closed; it fails with KindUnavailable.
-func ClaimHost() (*Host, error) {
+// ReserveHost returns an address that nobody else claims until it is closed; it fails with KindUnavailable.
+func ReserveHost() (*Host, error) {
 	for range hostSpan {
 		ip := hostAddress(uint32(os.Getpid())*hostsOfProcess + hostsTried.Add(1))
 		claim, err := net.Listen("tcp4", netip.AddrPortFrom(ip, hostClaimPort).String())
--- a/fakes/host_test.go
+++ b/fakes/host_test.go
@@ -8,7 +8,7 @@
 
 // TestAHostIsClaimedOnce guards against two processes that take one address, and one that takes a port in use.
 func TestAHostIsClaimedOnce(t *testing.T) {
-	h, err := ClaimHost()
+	h, err := ReserveHost()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/fakes/platform.go
+++ b/fakes/platform.go
@@ -49,7 +49,7 @@
 }
 
 func (p *Platform) client(c echo.Context) *Client {
-	return p.store.For(c.Request().Header.Get(HeaderClient))
+	return p.store.ClientFor(c.Request().Header.Get(HeaderClient))
 }
 
 // dropConnection closes the connection without an answer, as a lost answer looks to the client.
@@ -155,7 +155,7 @@
 		p.store.SetDown(*f.Down)
 	}
 	if f.LoseAnswers > 0 {
-		p.store.LoseAnswers(f.LoseAnswers)
+		p.store.LoseResponses(f.LoseAnswers)
 	}
 	if f.DownFor != nil {
 		p.store.SetDown(true)
--- a/fakes/store.go
+++ b/fakes/store.go
@@ -43,15 +43,15 @@
 	s.down = down
 }
 
-// LoseAnswers makes the next n writes take effect without an answer.
-func (s *Store) LoseAnswers(n int) {
+// LoseResponses makes the next n writes take effect without an answer.
+func (s *Store) LoseResponses(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loseNext = n
 }
 
-// Cut makes the store unreachable for one client, or reachable again.
-func (s *Store) Cut(client string, cut bool) {
+// SetUnreachable makes the store unreachable for one client, or reachable again.
+func (s *Store) SetUnreachable(client string, cut bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cut[client] = cut
@@ -78,8 +78,8 @@
 	delete(s.vms, vm)
 }
 
-// For returns the store as one client sees it, so that a test can cut that client off.
-func (s *Store) For(client string) *Client { return &Client{store: s, name: client} }
+// ClientFor returns the store as one client sees it, so that a test can cut that client off.
+func (s *Store) ClientFor(client string) *Client { return &Client{store: s, name: client} }
 
 // Client is the store as one client sees it.
 type Client struct {
--- a/fakes/targethttp.go
+++ b/fakes/targethttp.go
@@ -23,8 +23,8 @@
 	e.POST(proto.PathRun, t.serveRun)
 	e.POST(proto.PathCancel, t.serveCancel)
 	e.GET(proto.PathLoad, t.serveLoad)
-	e.GET(proto.PathCaches, t.serveCaches)
-	e.POST(proto.PathOrder, t.serveOrder)
+	e.GET(proto.PathCacheEvents, t.serveCaches)
+	e.POST(proto.PathOrders, t.serveOrder)
 	e.POST(proto.PathExport, t.serveExport)
 	e.GET("/runs", func(c echo.Context) error { return c.JSON(http.StatusOK, t.Runs()) })
 	e.POST("/fault", t.serveFault)
@@ -156,8 +156,8 @@
 	return c.JSON(http.StatusOK, proto.ExportAnswer{Handle: t.spec.Name + "/" + attempt})
 }
 
-// Obey takes an order; a target that checks refuses an epoch lower than one seen for the lease.
-func (t *Target) Obey(order proto.Order) bool {
+// ApplyOrder takes an order; a target that checks refuses an epoch lower than one seen for the lease.
+func (t *Target) ApplyOrder(order proto.Order) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.spec.ChecksOrders && order.Epoch < t.epochs[order.Lease] {
@@ -174,7 +174,7 @@
 	if err := c.Bind(&order); err != nil {
 		return err
 	}
-	if !t.Obey(order) {
+	if !t.ApplyOrder(order) {
 		return c.String(http.StatusConflict, "the epoch is older than one seen")
 	}
 	return c.NoContent(http.StatusNoContent)
--- a/proto/codec.go
+++ b/proto/codec.go
@@ -9,8 +9,8 @@
 
 // Limits on the messages between daemons.
 const (
-	MaxMessage  = 16 << 20
-	maxElements = 1 << 17
+	MaxMessageSize = 16 << 20
+	maxElements    = 1 << 17
 )
 
 var (
--- a/proto/compress.go
+++ b/proto/compress.go
@@ -39,12 +39,12 @@
 func decompress(compressed []byte) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(compressed))
 	defer r.Close()
-	body, err := io.ReadAll(io.LimitReader(r, MaxMessage+1))
+	body, err := io.ReadAll(io.LimitReader(r, MaxMessageSize+1))
 	if err != nil {
 		return nil, &Error{Op: "unpack message", Kind: KindInvalid, Err: err}
 	}
-	if len(body) > MaxMessage {
-		return nil, newError("unpack message", KindInvalid, "a body of more than %d bytes", MaxMessage)
+	if len(body) > MaxMessageSize {
+		return nil, newError("unpack message", KindInvalid, "a body of more than %d bytes", MaxMessageSize)
 	}
 	return body, nil
 }
--- a/proto/compress_test.go
+++ b/proto/compress_test.go
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	zeros := make([]byte, 1<<20)
-	for range MaxMessage>>20 + 1 {
+	for range MaxMessageSize>>20 + 1 {
 		if _, err := w.Write(zeros); err != nil {
 			t.Fatal(err)
 		}
--- a/proto/outcome.go
+++ b/proto/outcome.go
@@ -23,24 +23,24 @@
 
 // Failure kinds, as they appear in the kind member of a problem document.
 const (
-	FailureOverloaded  FailureKind = "overloaded"
-	FailureDeadline    FailureKind = "deadlineExceeded"
-	FailureTooLate     FailureKind = "deadlineCannotBeMet"
-	FailureTarget      FailureKind = "targetFailed"
-	FailureUnknown     FailureKind = "resultUnknown"
-	FailureKeyTaken    FailureKind = "keyAlreadyUsed"
-	FailureKeyMismatch FailureKind = "keyUsedForAnotherRequest"
-	FailureKeyTooOld   FailureKind = "keyTooOld"
-	FailureKeyInvalid  FailureKind = "keyInvalid"
-	FailureNoQuorum    FailureKind = "keyStoreUnreachable"
-	FailureStopping    FailureKind = "stopping"
-	FailureIsolated    FailureKind = "isolated"
-	FailureNotFound    FailureKind = "notFound"
-	FailureBadRequest  FailureKind = "badRequest"
-	FailureForbidden   FailureKind = "unauthorized"
-	FailureTooLarge    FailureKind = "tooLarge"
-	FailureCallerLeft  FailureKind = "callerLeft"
-	FailureSlowCaller  FailureKind = "callerTooSlow"
+	FailureOverloaded   FailureKind = "overloaded"
+	FailureDeadline     FailureKind = "deadlineExceeded"
+	FailureTooLate      FailureKind = "deadlineCannotBeMet"
+	FailureTarget       FailureKind = "targetFailed"
+	FailureUnknown      FailureKind = "resultUnknown"
+	FailureKeyTaken     FailureKind = "keyAlreadyUsed"
+	FailureKeyMismatch  FailureKind = "keyUsedForAnotherRequest"
+	FailureKeyTooOld    FailureKind = "keyTooOld"
+	FailureKeyInvalid   FailureKind = "keyInvalid"
+	FailureNoQuorum     FailureKind = "keyStoreUnreachable"
+	FailureStopping     FailureKind = "stopping"
+	FailureIsolated     FailureKind = "isolated"
+	FailureNotFound     FailureKind = "notFound"
+	FailureBadRequest   FailureKind = "badRequest"
+	FailureUnauthorized FailureKind = "unauthorized"
+	FailureTooLarge     FailureKind = "tooLarge"
+	FailureCallerLeft   FailureKind = "callerLeft"
+	FailureSlowCaller   FailureKind = "callerTooSlow"
 )
 
 // Failure is the internal form of a problem document.
@@ -56,7 +56,7 @@
 	switch f.Kind {
 	case FailureBadRequest, FailureKeyInvalid:
 		return http.StatusBadRequest
-	case FailureForbidden:
+	case FailureUnauthorized:
 		return http.StatusUnauthorized
 	case FailureNotFound:
 		return http.StatusNotFound
--- a/proto/target.go
+++ b/proto/target.go
@@ -7,12 +7,12 @@
 
 // Paths of the target API.
 const (
-	PathRun    = "/v1/run"
-	PathCancel = "/v1/cancel"
-	PathLoad   = "/v1/load"
-	PathOrder  = "/v1/orders"
-	PathExport = "/v1/kv/export"
-	PathCaches = "/v1/cache-events"
+	PathRun         = "/v1/run"
+	PathCancel      = "/v1/cancel"
+	PathLoad        = "/v1/load"
+	PathOrders      = "/v1/orders"
+	PathExport      = "/v1/kv/export"
+	PathCacheEvents = "/v1/cache-events"
 )
 
 // Headers of the caller and target APIs.
--- a/relay/admit.go
+++ b/relay/admit.go
@@ -118,8 +118,8 @@
 func (p *targetPool) shortestPause(now time.Time) time.Duration {
 	shortest := time.Duration(0)
 	for _, r := range p.prompts {
-		if r.gap > 0 && (shortest == 0 || r.gap < shortest) && r.requests.Value(now, promptHalfLife) > 1 {
-			shortest = r.gap
+		if r.maxPause > 0 && (shortest == 0 || r.maxPause < shortest) && r.requests.Value(now, promptHalfLife) > 1 {
+			shortest = r.maxPause
 		}
 	}
 	if shortest == 0 {
--- a/relay/admitask.go
+++ b/relay/admitask.go
@@ -50,7 +50,7 @@
 		}
 	}
 	pool := f.route.Stages[stage].Pool
-	return f.server.pieces.QueueTime(pool, f.rank) + f.server.callTimes.mean(pool, f.stageCallTime(stage)) + rest
+	return f.server.pieces.QueueDelay(pool, f.rank) + f.server.callTimes.mean(pool, f.stageCallTime(stage)) + rest
 }
 
 // Admit returns whether to start a request, and the daemon that decided it, which is the owner of the pool's placement.
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -144,7 +144,7 @@
 	if f.runs > 0 {
 		return &failure{status: http.StatusGatewayTimeout, reason: "the time is over: " + reason}
 	}
-	return &failure{status: http.StatusServiceUnavailable, wait: minRetryWait, reason: "the time is over: " + reason}
+	return &failure{status: http.StatusServiceUnavailable, retryAfter: minRetryWait, reason: "the time is over: " + reason}
 }
 
 // shutdownFailure is the response to a request that is unfinished when the daemon exits.
@@ -152,7 +152,7 @@
 	if f.runs > 0 {
 		return &failure{status: http.StatusGatewayTimeout, reason: "the daemon stops while a target runs the request"}
 	}
-	return &failure{status: http.StatusServiceUnavailable, wait: stoppingRetryAfter, reason: "the daemon stops before a target has run the request"}
+	return &failure{status: http.StatusServiceUnavailable, retryAfter: stoppingRetryAfter, reason: "the daemon stops before a target has run the request"}
 }
 
 // mayRetry decides whether another target may get the request.
@@ -180,7 +180,7 @@
 	budget, ok := s.budgetOf(f.pool).Spend(s.clock.Now(), share.Fraction)
 	if !ok {
 		f.logInfo("no retry", "reason", "the retry budget of the pool is spent", "pool", f.pool, "spent", budget.Spent, "allowed", budget.Allowed,
-			"share", share.Fraction, "counted", share.Counted, "noShare", share.Reason, "last", reason)
+			"share", share.Fraction, "counted", share.VMCount, "noShare", share.Reason, "last", reason)
 	}
 	return ok
 }
--- a/relay/batchcrash_test.go
+++ b/relay/batchcrash_test.go
@@ -59,7 +59,7 @@
 				continue
 			}
 			ended++
-			crashes.Ended(c.Target.RunName(), now, slices.Compact(in))
+			crashes.RecordEnd(c.Target.RunName(), now, slices.Compact(in))
 			record(b.CallFailed(now, c, false))
 			targets = slices.DeleteFunc(targets, func(s proto.RelayTarget) bool { return s.ID == c.Target.ID })
 			b.SetTargets(targets)
--- a/relay/choice.go
+++ b/relay/choice.go
@@ -256,8 +256,8 @@
 	return preferred
 }
 
-// HomeZone returns the zone of the target that a request's prompt is likely to go to, or "".
-func (f *Fleet) HomeZone(now time.Time, pool string, w TargetCriteria) string {
+// PreferredZone returns the zone of the target that a request's prompt is likely to go to, or "".
+func (f *Fleet) PreferredZone(now time.Time, pool string, w TargetCriteria) string {
 	p := f.pool(pool)
 	if p == nil {
 		return ""
--- a/relay/coldsends.go
+++ b/relay/coldsends.go
@@ -103,7 +103,7 @@
 	ids, quota := p.fleet.Cold(now, pool)
 	var sendable map[string]bool
 	for _, id := range ids {
-		if !p.peers.IsSoleOwner(coldTaskPrefix+id, coldHandoverDelay) || !p.coldLimiter.allows(now, id, quota, rank) {
+		if !p.peers.OwnsExclusively(coldTaskPrefix+id, coldHandoverDelay) || !p.coldLimiter.allows(now, id, quota, rank) {
 			continue
 		}
 		if sendable == nil {
--- a/relay/coldsends_test.go
+++ b/relay/coldsends_test.go
@@ -37,7 +37,7 @@
 	return nil, fmt.Errorf("cut off")
 }
 
-func (p *coldPeers) IsSoleOwner(task string, _ time.Duration) bool {
+func (p *coldPeers) OwnsExclusively(task string, _ time.Duration) bool {
 	best := slices.MaxFunc(p.all, func(a, b proto.VM) int {
 		ra, rb := state.RendezvousScore(state.Hash(task), state.Hash(string(a))), state.RendezvousScore(state.Hash(task), state.Hash(string(b)))
 		if ra < rb {
--- a/relay/counts.go
+++ b/relay/counts.go
@@ -16,16 +16,16 @@
 	latencyDigits    = 2
 )
 
-// Counts holds totals of requests since the start.
-type Counts struct {
+// RequestCounters holds totals of requests since the start.
+type RequestCounters struct {
 	received, completed, late, unavailable, failed, rejected, callerLeft, streamsBroken, streamsResumed, retried, crashing, notAdmitted atomic.Int64
 
 	mu      sync.Mutex
 	latency *hdrhistogram.Histogram
 }
 
-// CountReport holds the totals as the metrics endpoint shows them.
-type CountReport struct {
+// RequestStats holds the totals as the metrics endpoint shows them.
+type RequestStats struct {
 	Received int64 `json:"asked"`
 	// Delivered counts complete answers, and Late those of them that exceeded the latency goal.
 	Delivered int64 `json:"delivered"`
@@ -48,7 +48,7 @@
 	LatencyMillis map[string]float64 `json:"latencyMillis"`
 }
 
-func (c *Counts) recordDelivered(took time.Duration, inTime bool) {
+func (c *RequestCounters) recordDelivered(took time.Duration, inTime bool) {
 	c.completed.Add(1)
 	if !inTime {
 		c.late.Add(1)
@@ -62,7 +62,7 @@
 	_ = c.latency.RecordValue(min(maxLatencyMicros, max(minLatencyMicros, took.Microseconds())))
 }
 
-func (c *Counts) recordRefused(status int) {
+func (c *RequestCounters) recordRefused(status int) {
 	switch {
 	case status == http.StatusServiceUnavailable:
 		c.unavailable.Add(1)
@@ -73,9 +73,9 @@
 	}
 }
 
-// Report returns the totals.
-func (c *Counts) Report() CountReport {
-	r := CountReport{
+// Stats returns the totals.
+func (c *RequestCounters) Stats() RequestStats {
+	r := RequestStats{
 		Received: c.received.Load(), Delivered: c.completed.Load(), Late: c.late.Load(), NotRun: c.unavailable.Load(), Failed: c.failed.Load(),
 		Rejected: c.rejected.Load(), CallerLeft: c.callerLeft.Load(), StreamsBroken: c.streamsBroken.Load(), StreamsResumed: c.streamsResumed.Load(), Retried: c.retried.Load(), Crashing: c.crashing.Load(), NotAdmitted: c.notAdmitted.Load(),
 		LatencyMillis: map[string]float64{},
--- a/relay/crashdetector.go
+++ b/relay/crashdetector.go
@@ -88,7 +88,7 @@
 	probe := broken && !run.ended && !run.probing
 	run.probing = run.probing || probe
 	w.mu.Unlock()
-	w.crashes.Ended(target.RunName(), now, suspects)
+	w.crashes.RecordEnd(target.RunName(), now, suspects)
 	if probe {
 		go w.probe(target)
 	}
@@ -109,7 +109,7 @@
 	if !known || len(suspects) > 0 {
 		w.log.Info("a target has ended", "run", target.RunName(), "pool", target.Pool, "address", target.Address, "cause", cause, "requests", len(suspects))
 	}
-	w.crashes.Ended(target.RunName(), now, suspects)
+	w.crashes.RecordEnd(target.RunName(), now, suspects)
 }
 
 // run returns the state of a run, and adds it if necessary. The caller holds the lock.
--- a/relay/crashdetector_test.go
+++ b/relay/crashdetector_test.go
@@ -112,8 +112,8 @@
 	w.RecordEnd(target, "its entry is gone")
 	w.RecordFailure(target, true, 1, 1)
 	w.RecordFailure(target, false, 2)
-	if !c.Suspects(1) || !c.Suspects(2) || c.Counts().Ends != 2 {
-		t.Errorf("remembered: %+v", c.Counts())
+	if !c.Suspects(1) || !c.Suspects(2) || c.Stats().Ends != 2 {
+		t.Errorf("remembered: %+v", c.Stats())
 	}
 	next := target
 	next.StartedAt = start
@@ -212,7 +212,7 @@
 			fleet := fleetWith(putChange(1, testTarget("t", "p", "z")))
 			target := fleet.Pick(start, "p", TargetCriteria{Zone: "z"})
 			ctx, cancel := context.WithCancelCause(context.Background())
-			a := &attempt{race: &race{flow: &flow{server: &Server{crashes: c, ends: w, fleet: fleet}, digest: request}}, ctx: ctx, placement: &Placement{Target: target, Spec: fleet.Spec(target)}, answered: s.answered}
+			a := &attempt{race: &race{flow: &flow{server: &Server{crashTracker: c, crashDetector: w, fleet: fleet}, digest: request}}, ctx: ctx, placement: &Placement{Target: target, Spec: fleet.Spec(target)}, answered: s.answered}
 			change := func(changes []FleetChange) {
 				for _, n := range fleet.ApplyChanges(clock.Now(), changes) {
 					if n.Crashed() {
--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -121,8 +121,8 @@
 	return c.requests[request].countingEnds() > 0
 }
 
-// Ended records that a target run ended while it was running requests.
-func (c *CrashTracker) Ended(run proto.RunName, at time.Time, requests []proto.RequestDigest) {
+// RecordEnd records that a target run ended while it was running requests.
+func (c *CrashTracker) RecordEnd(run proto.RunName, at time.Time, requests []proto.RequestDigest) {
 	if c == nil || len(requests) == 0 {
 		return
 	}
@@ -130,9 +130,9 @@
 	c.Merge(proto.TargetEnds{Ends: []proto.TargetEnd{end}}, c.self)
 }
 
-// Answered records that a target completely answered a request. So the request does not crash every target that runs
+// RecordAnswer records that a target completely answered a request. So the request does not crash every target that runs
 // it, and the known ends had other causes.
-func (c *CrashTracker) Answered(request proto.RequestDigest) {
+func (c *CrashTracker) RecordAnswer(request proto.RequestDigest) {
 	if c == nil {
 		return
 	}
--- a/relay/crashes_test.go
+++ b/relay/crashes_test.go
@@ -26,10 +26,10 @@
 	type step func(c *CrashTracker, clock *clockwork.FakeClock)
 	ended := func(run int) step {
 		return func(c *CrashTracker, clock *clockwork.FakeClock) {
-			c.Ended(runName(run), clock.Now(), []proto.RequestDigest{request})
+			c.RecordEnd(runName(run), clock.Now(), []proto.RequestDigest{request})
 		}
 	}
-	answered := func(c *CrashTracker, _ *clockwork.FakeClock) { c.Answered(request) }
+	answered := func(c *CrashTracker, _ *clockwork.FakeClock) { c.RecordAnswer(request) }
 	after := func(d time.Duration) step {
 		return func(c *CrashTracker, clock *clockwork.FakeClock) { clock.Advance(d); c.Sweep() }
 	}
@@ -89,7 +89,7 @@
 	clock := clockwork.NewFakeClockAt(start)
 	c := newTestCrashTracker(clock)
 	for run := range 4 {
-		c.Ended(runName(run), clock.Now(), []proto.RequestDigest{1})
+		c.RecordEnd(runName(run), clock.Now(), []proto.RequestDigest{1})
 		clock.Advance(time.Minute)
 	}
 	evidence, _ := c.Blocks(1)
@@ -119,10 +119,10 @@
 			d := trackers[random.IntN(len(trackers))]
 			request := proto.RequestDigest(random.IntN(6))
 			if random.IntN(8) == 0 {
-				d.Answered(request)
+				d.RecordAnswer(request)
 				continue
 			}
-			d.Ended(runName(random.IntN(12)), clock.Now(), []proto.RequestDigest{request, proto.RequestDigest(random.IntN(6))})
+			d.RecordEnd(runName(random.IntN(12)), clock.Now(), []proto.RequestDigest{request, proto.RequestDigest(random.IntN(6))})
 			if random.IntN(4) == 0 {
 				trackers[random.IntN(len(trackers))].Merge(d.Snapshot(), "other")
 			}
@@ -136,7 +136,7 @@
 			}
 		}
 		for _, d := range trackers[1:] {
-			if d.Digest() != trackers[0].Digest() || d.Counts() != trackers[0].Counts() {
+			if d.Digest() != trackers[0].Digest() || d.Stats() != trackers[0].Stats() {
 				return false
 			}
 			for request := range proto.RequestDigest(6) {
@@ -168,10 +168,10 @@
 		if run < crashLimit {
 			running = append(running, crashing)
 		}
-		c.Ended(runName(run), clock.Now(), running)
+		c.RecordEnd(runName(run), clock.Now(), running)
 		clock.Advance(time.Second)
 	}
-	if n := c.Counts().Ends; n > maxCrashes {
+	if n := c.Stats().Ends; n > maxCrashes {
 		t.Errorf("%d ends are stored", n)
 	}
 	if _, blocked := c.Blocks(crashing); !blocked {
@@ -182,8 +182,8 @@
 	}
 	clock.Advance(crashTTL + time.Second)
 	c.Sweep()
-	if c.Counts() != (CrashCounts{}) || c.Digest() != 0 {
-		t.Errorf("after an hour: %+v, digest %x", c.Counts(), c.Digest())
+	if c.Stats() != (CrashStats{}) || c.Digest() != 0 {
+		t.Errorf("after an hour: %+v, digest %x", c.Stats(), c.Digest())
 	}
 }
 
@@ -234,7 +234,7 @@
 				w.ends++
 			}
 		}
-		p.crashes.Ended(runName(p.runs[n]), p.clock.Now(), hit)
+		p.crashes.RecordEnd(runName(p.runs[n]), p.clock.Now(), hit)
 		p.nextRun++
 		p.runs[n] = p.nextRun
 	}
@@ -277,7 +277,7 @@
 	kept := p.work[:0]
 	for _, w := range p.work {
 		if w.remaining -= length; w.remaining <= 0 {
-			p.crashes.Answered(w.digest)
+			p.crashes.RecordAnswer(w.digest)
 			continue
 		}
 		kept = append(kept, w)
@@ -324,11 +324,11 @@
 		if _, blocked := c.Blocks(popular); blocked {
 			t.Fatalf("blocked after %d ends", runs)
 		}
-		c.Answered(popular)
+		c.RecordAnswer(popular)
 		clock.Advance(time.Second)
 		for range 5 {
 			runs++
-			c.Ended(runName(runs), clock.Now(), []proto.RequestDigest{popular, proto.RequestDigest(1000 + runs)})
+			c.RecordEnd(runName(runs), clock.Now(), []proto.RequestDigest{popular, proto.RequestDigest(1000 + runs)})
 		}
 		clock.Advance(time.Second)
 	}
--- a/relay/crashing.go
+++ b/relay/crashing.go
@@ -10,7 +10,7 @@
 // when it may be retried. If the last of these targets ended because of this very request, it may have run under this
 // id already.
 func (f *flow) refuseCrashing() *failure {
-	evidence, blocked := f.server.crashes.Blocks(f.digest)
+	evidence, blocked := f.server.crashTracker.Blocks(f.digest)
 	if !blocked {
 		return nil
 	}
@@ -24,19 +24,19 @@
 	f := a.race.flow
 	switch {
 	case a.answered:
-		f.server.crashes.Answered(f.digest)
-		f.server.ends.RecordAlive(a.placement.Spec)
+		f.server.crashTracker.RecordAnswer(f.digest)
+		f.server.crashDetector.RecordAlive(a.placement.Spec)
 	case result.misdirected || errors.Is(result.err, syscall.ECONNREFUSED):
 		a.recordTargetGone(result.reason)
 	case result.done || result.response != nil || result.notRun && result.sent:
-		f.server.ends.RecordAlive(a.placement.Spec)
+		f.server.crashDetector.RecordAlive(a.placement.Spec)
 	case result.notRun:
 		// The request never reached the target.
 	case context.Cause(a.ctx) != nil:
 		// The target was silent, so it may have ended long before its entry was removed, or not at all.
-		f.server.ends.RecordFailure(a.placement.Spec, false, f.digest)
+		f.server.crashDetector.RecordFailure(a.placement.Spec, false, f.digest)
 	case f.server.fleet.AcceptsWork(a.placement.Target):
-		f.server.ends.RecordFailure(a.placement.Spec, true, f.digest)
+		f.server.crashDetector.RecordFailure(a.placement.Spec, true, f.digest)
 	default:
 		// Unfinished work of a target that leaves says nothing about the request.
 	}
@@ -46,6 +46,6 @@
 func (a *attempt) recordTargetGone(cause string) {
 	s := a.race.flow.server
 	if s.fleet.AcceptsWork(a.placement.Target) {
-		s.ends.RecordEnd(a.placement.Spec, cause)
+		s.crashDetector.RecordEnd(a.placement.Spec, cause)
 	}
 }
--- a/relay/crashreport.go
+++ b/relay/crashreport.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// CrashCounts reports the size of the tracker.
-type CrashCounts struct {
+// CrashStats reports the size of the tracker.
+type CrashStats struct {
 	// Ends is the number of pairs of request and ended target, Suspected the number of requests with ends that count
 	// against them, and Refused the number of blocked requests.
 	Ends      int   `json:"ends"`
@@ -77,9 +77,9 @@
 	Refused   int64 `json:"refused"`
 }
 
-// Counts returns the current size of the tracker.
-func (c *CrashTracker) Counts() CrashCounts {
+// Stats returns the current size of the tracker.
+func (c *CrashTracker) Stats() CrashStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return CrashCounts{Ends: c.size, Suspected: c.suspected.Load(), Refused: c.blocked.Load()}
+	return CrashStats{Ends: c.size, Suspected: c.suspected.Load(), Refused: c.blocked.Load()}
 }
--- a/relay/fleetnotices_test.go
+++ b/relay/fleetnotices_test.go
@@ -79,7 +79,7 @@
 // Three daemons learn different notices and exchange them in any order.
 func TestNoticesConverge(t *testing.T) {
 	var fleets []*Fleet
-	learned := []Notice{{Limited: true, Limit: 2}, {Limited: true, Limit: 1}, {Leaving: true}}
+	learned := []Notice{{HasLimit: true, Limit: 2}, {HasLimit: true, Limit: 1}, {Leaving: true}}
 	for _, n := range learned {
 		f := NewFleet(func(string) {})
 		f.ApplyChanges(start, []FleetChange{putChange(1, targetStartedAt(1))})
@@ -164,7 +164,7 @@
 // Guards against stages that are run for a request whose pool is in backoff or at its limits.
 func TestRequestIsRefusedIfAllTargetsAreBlocked(t *testing.T) {
 	const exhausted = 4 * time.Second
-	rest, limit := Notice{Backoff: 3 * time.Second}, Notice{Limited: true, Limit: 0.25}
+	rest, limit := Notice{Backoff: 3 * time.Second}, Notice{HasLimit: true, Limit: 0.25}
 	scenarios := []struct {
 		testName string
 		notices  []Notice
@@ -175,7 +175,7 @@
 		{"only target in backoff", []Notice{rest}, reasonBackoff, 3 * time.Second, false},
 		{"limit of only target used up", []Notice{limit}, reasonRateLimited, exhausted, false},
 		{"one in backoff, one at its limit", []Notice{rest, limit}, reasonBackoff, 3 * time.Second, false},
-		{"limit not used up", []Notice{{Limited: true, Limit: 1000}}, "", 0, true},
+		{"limit not used up", []Notice{{HasLimit: true, Limit: 1000}}, "", 0, true},
 		{"one without notice", []Notice{rest, {}}, "", 0, true},
 	}
 	for _, s := range scenarios {
@@ -199,7 +199,7 @@
 				if s.stages != (ctx.Err() != nil) {
 					t.Errorf("stages were started: %t", ctx.Err() != nil)
 				}
-				if !s.stages && (fail == nil || fail.status != 503 || fail.reason != s.reason || fail.wait != s.wait) {
+				if !s.stages && (fail == nil || fail.status != 503 || fail.reason != s.reason || fail.retryAfter != s.wait) {
 					t.Errorf("failure %+v", fail)
 				}
 			})
@@ -263,7 +263,7 @@
 func TestSignalLogEntries(t *testing.T) {
 	f := fleetWith(putChange(1, testTarget("a", "p", "z")), putChange(2, testTarget("b", "p", "z")), putChange(3, testTarget("c", "p", "z")), putChange(4, testTarget("d", "p", "z")))
 	reportBackoff(f, "a", 3*time.Second)
-	f.recordSignal(start, &signal{Notice: Notice{Limited: true, Limit: 0.5}, target: testTarget("b", "p", "z"), sent: start})
+	f.recordSignal(start, &signal{Notice: Notice{HasLimit: true, Limit: 0.5}, target: testTarget("b", "p", "z"), sent: start})
 	f.recordSignal(start, &signal{Notice: Notice{Leaving: true}, target: testTarget("c", "p", "z"), sent: start})
 	fourth := testTarget("d", "p", "z")
 	peerNotice := proto.TargetNotice{Target: "d", Run: fourth.RunName(), HasLimit: true, Limit: 2, LimitVersion: 1}
--- a/relay/limits.go
+++ b/relay/limits.go
@@ -111,10 +111,10 @@
 
 // liveShare returns the fraction of common limits that the daemons in contact with each other may use together.
 func (s *Share) liveShare() float64 {
-	if s.Counted <= 0 || s.Live <= 0 {
+	if s.VMCount <= 0 || s.Live <= 0 {
 		return 1
 	}
-	return min(1, liveShareFactor*float64(s.Live)/float64(s.Counted))
+	return min(1, liveShareFactor*float64(s.Live)/float64(s.VMCount))
 }
 
 // permitOwner returns the daemon that grants the permits for the targets of a pool, and whether it is this one.
@@ -169,7 +169,7 @@
 	defer p.permits.mu.Unlock()
 	known, isNew := p.permits.lookup(now, n.Run)
 	if isNew {
-		p.log.Info("this daemon grants the permits for a target", "pool", pool, "run", n.Run, "limit", n.Limit, "perSecond", perSecond, "live", share.Live, "counted", share.Counted)
+		p.log.Info("this daemon grants the permits for a target", "pool", pool, "run", n.Run, "limit", n.Limit, "perSecond", perSecond, "live", share.Live, "counted", share.VMCount)
 	}
 	if !known.take(now, perSecond) {
 		p.permits.denied.Add(1)
--- a/relay/limits_test.go
+++ b/relay/limits_test.go
@@ -100,8 +100,8 @@
 	return owner
 }
 
-func (d *limitDaemon) Silent(proto.VM) bool                   { return false }
-func (d *limitDaemon) IsSoleOwner(string, time.Duration) bool { return true }
+func (d *limitDaemon) Silent(proto.VM) bool                       { return false }
+func (d *limitDaemon) OwnsExclusively(string, time.Duration) bool { return true }
 func (d *limitDaemon) Send(to proto.VM, m proto.Message) {
 	if note, ok := m.(proto.PlaceNote); ok && d.reaches(to) {
 		d.sim.daemon(to).placer.HandlePlaceNote(note)
@@ -115,7 +115,7 @@
 			live++
 		}
 	}
-	return Share{Counted: len(d.sim.daemons), Live: live}
+	return Share{VMCount: len(d.sim.daemons), Live: live}
 }
 
 func (d *limitDaemon) Call(_ context.Context, to proto.VM, m proto.Message) (proto.Message, error) {
@@ -151,7 +151,7 @@
 	}
 	sent := w.clock.Now()
 	w.arrivals = append(w.arrivals, sent)
-	notice := Notice{Limit: max(0, w.limit), Limited: w.limit >= 0}
+	notice := Notice{Limit: max(0, w.limit), HasLimit: w.limit >= 0}
 	w.schedule(limitAnswer, func() {
 		d.fleet.recordSignal(w.clock.Now(), &signal{Notice: notice, target: placed.Spec, sent: sent})
 		placed.Finish(VerdictSuccess, Load{})
@@ -286,8 +286,8 @@
 		partial  bool
 		limited  bool
 	}{
-		{"a limit", Notice{Limited: true, Limit: 2}, false, true},
-		{"unreachably high limit", Notice{Limited: true, Limit: 1e300}, false, true},
+		{"a limit", Notice{HasLimit: true, Limit: 2}, false, true},
+		{"unreachably high limit", Notice{HasLimit: true, Limit: 1e300}, false, true},
 		{"malformed value", Notice{Unreadable: []string{"x"}}, true, false},
 	}
 	for _, s := range scenarios {
@@ -325,7 +325,7 @@
 func TestNonOwnerUsesPartOfLimit(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(start)
 	p := newTestPieceScheduler(clock, &scriptedPeers{silent: make(chan struct{})}, &stubSender{})
-	p.fleet.recordSignal(start, &signal{Notice: Notice{Limited: true, Limit: 4}, target: testTarget("t1", "p", "z"), sent: start})
+	p.fleet.recordSignal(start, &signal{Notice: Notice{HasLimit: true, Limit: 4}, target: testTarget("t1", "p", "z"), sent: start})
 	w := p.workerFor(shard{pool: "p"})
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -344,7 +344,7 @@
 	d := w.daemons[0]
 	for i, limit := range []float64{100, 1} {
 		at := start.Add(time.Duration(i) * time.Second)
-		d.fleet.recordSignal(at, &signal{Notice: Notice{Limited: true, Limit: limit}, target: testTarget("t", "p", "z"), sent: at})
+		d.fleet.recordSignal(at, &signal{Notice: Notice{HasLimit: true, Limit: limit}, target: testTarget("t", "p", "z"), sent: at})
 	}
 	stale := proto.PermitAsk{Pool: "p", Notice: proto.TargetNotice{Target: "t", Run: "t", HasLimit: true, Limit: 100, LimitVersion: 1}}
 	granted := 0
--- a/relay/longprompts.go
+++ b/relay/longprompts.go
@@ -18,7 +18,7 @@
 	// missing counts the tokens of shared parts that engines had to process.
 	missing state.DecayingSum
 	// gap is the longest acceptable pause between the events of a stream of the route, or 0 if there is no limit.
-	gap time.Duration
+	maxPause time.Duration
 }
 
 func (r *promptStats) meanTokens(now time.Time) float64 {
@@ -42,7 +42,7 @@
 	}
 	r.tokens.Add(now, promptHalfLife, float64(w.OwnTokens))
 	r.requests.Add(now, promptHalfLife, 1)
-	r.gap = w.MaxPause
+	r.maxPause = w.MaxPause
 	p.allPrompts.tokens.Add(now, promptHalfLife, float64(w.OwnTokens))
 	p.allPrompts.requests.Add(now, promptHalfLife, 1)
 	if now.Sub(p.dividedAt) >= regroupInterval || p.sortedVersion != p.listVersion {
--- a/relay/notices.go
+++ b/relay/notices.go
@@ -37,7 +37,7 @@
 func (s *noticeSender) recordSignal(sent time.Time, to netip.AddrPort, out *TargetRequest, in *TargetResponse) {
 	h := signal{Notice: s.dialect.ParseNotice(in.Status, in.Header), target: out.Target, sent: sent}
 	if h.target.ID == "" {
-		if !h.Leaving && !h.Limited && h.Backoff <= 0 {
+		if !h.Leaving && !h.HasLimit && h.Backoff <= 0 {
 			return
 		}
 		target, known := s.fleet.targetAt(to)
--- a/relay/noticescope_test.go
+++ b/relay/noticescope_test.go
@@ -17,7 +17,7 @@
 // Guards against a limit that is changed or lifted by an outdated response, or by one that may lack headers, and
 // against a run that is closed by what the previous run reported.
 func TestOutdatedResponseKeepsSignals(t *testing.T) {
-	limited := Notice{Limited: true, Limit: 2}
+	limited := Notice{HasLimit: true, Limit: 2}
 	known := start.Add(time.Second)
 	scenarios := []struct {
 		testName string
@@ -119,7 +119,7 @@
 		after    time.Duration
 	}{
 		{"no notice", Notice{}, freeInterval},
-		{"a limit", Notice{Limited: true, Limit: 1}, limitedFreeInterval},
+		{"a limit", Notice{HasLimit: true, Limit: 1}, limitedFreeInterval},
 		{"rest", Notice{Backoff: 3 * time.Second}, 3 * time.Second},
 	}
 	for _, s := range scenarios {
--- a/relay/piecescheduler.go
+++ b/relay/piecescheduler.go
@@ -53,8 +53,8 @@
 	workers   map[shard]*worker
 	freeQueue *freeQueue
 
-	queueTimes queueTimes
-	fetchTimes fetchTimes
+	queueDelays queueDelays
+	fetchTimes  fetchTimes
 
 	crashes       *CrashTracker
 	crashDetector *CrashDetector
@@ -86,18 +86,18 @@
 	answer := p.run(ctx, ask, due, deadline)
 	answer.Shard = ask.Shard
 	if answer.Outcome == proto.PiecesDone || answer.Outcome == proto.PiecesRefused {
-		p.queueTimes.record(p.clock.Now(), queueKey{shard{ask.Pool, ask.Shard}, ask.Rank}, answer.QueueDelay)
+		p.queueDelays.record(p.clock.Now(), queueKey{shard{ask.Pool, ask.Shard}, ask.Rank}, answer.QueueDelay)
 	}
 	return answer
 }
 
-// QueueTime returns the last known queueing time of a job of the given rank in a pool: that of its shortest
+// QueueDelay returns the last known queueing time of a job of the given rank in a pool: that of its shortest
 // shard, since each job goes to the shorter of two shards.
-func (p *PieceScheduler) QueueTime(pool string, rank int) time.Duration {
+func (p *PieceScheduler) QueueDelay(pool string, rank int) time.Duration {
 	now := p.clock.Now()
-	shortest := p.queueTimes.estimate(now, queueKey{shard{pool, 0}, rank})
+	shortest := p.queueDelays.estimate(now, queueKey{shard{pool, 0}, rank})
 	for i := 1; i < shardCount(p.fleet.Size(pool)); i++ {
-		shortest = min(shortest, p.queueTimes.estimate(now, queueKey{shard{pool, i}, rank}))
+		shortest = min(shortest, p.queueDelays.estimate(now, queueKey{shard{pool, i}, rank}))
 	}
 	return shortest
 }
@@ -238,16 +238,16 @@
 	}
 }
 
-// PieceCounts holds totals since the start.
-type PieceCounts struct {
+// PieceStats holds totals since the start.
+type PieceStats struct {
 	Calls  int64 `json:"calls"`
 	Pieces int64 `json:"pieces"`
 	Failed int64 `json:"failedCalls"`
 }
 
-// Counts returns the totals.
-func (p *PieceScheduler) Counts() PieceCounts {
-	return PieceCounts{Calls: p.callCount.Load(), Pieces: p.pieceCount.Load(), Failed: p.failedCalls.Load()}
+// Stats returns the totals.
+func (p *PieceScheduler) Stats() PieceStats {
+	return PieceStats{Calls: p.callCount.Load(), Pieces: p.pieceCount.Load(), Failed: p.failedCalls.Load()}
 }
 
 func (p *PieceScheduler) workerFor(key shard) *worker {
--- a/relay/piecescheduler_test.go
+++ b/relay/piecescheduler_test.go
@@ -84,9 +84,9 @@
 	}
 }
 
-func (p *scriptedPeers) IsSoleOwner(string, time.Duration) bool { return true }
+func (p *scriptedPeers) OwnsExclusively(string, time.Duration) bool { return true }
 
-func (p *scriptedPeers) Share() Share { return Share{Fraction: 0.5, Counted: 2} }
+func (p *scriptedPeers) Share() Share { return Share{Fraction: 0.5, VMCount: 2} }
 
 func (p *scriptedPeers) Send(_ proto.VM, m proto.Message) {
 	p.mu.Lock()
--- a/relay/place_test.go
+++ b/relay/place_test.go
@@ -23,12 +23,12 @@
 	all   map[proto.VM]*Placer
 }
 
-func (p *stubPeers) Owner(string, map[proto.VM]bool) proto.VM { return p.owner }
-func (p *stubPeers) Silent(proto.VM) bool                     { return p.cut }
-func (p *stubPeers) IsSoleOwner(string, time.Duration) bool   { return !p.cut }
+func (p *stubPeers) Owner(string, map[proto.VM]bool) proto.VM   { return p.owner }
+func (p *stubPeers) Silent(proto.VM) bool                       { return p.cut }
+func (p *stubPeers) OwnsExclusively(string, time.Duration) bool { return !p.cut }
 
 func (p *stubPeers) Share() Share {
-	return Share{Fraction: 1 / float64(len(p.all)), Counted: len(p.all)}
+	return Share{Fraction: 1 / float64(len(p.all)), VMCount: len(p.all)}
 }
 
 func (p *stubPeers) Send(to proto.VM, m proto.Message) {
--- a/relay/ports.go
+++ b/relay/ports.go
@@ -68,8 +68,8 @@
 	Leaving bool
 	// Limit is the rate, in requests per second, that the target accepts from all daemons together; Limited is set if
 	// the target states one.
-	Limit   float64
-	Limited bool
+	Limit    float64
+	HasLimit bool
 	// Backoff is how long a target that rejected a request wants no requests from this daemon; 0 if unstated.
 	Backoff time.Duration
 	// Unreadable holds the headers that could not be parsed, with their names. They are ignored, and so are missing
@@ -158,7 +158,7 @@
 	Fraction float64 `json:"part"`
 	// Counted is the number of daemons that share the quota, and Live the number of daemons that are heard from; both
 	// include this daemon.
-	Counted int `json:"counted"`
+	VMCount int `json:"counted"`
 	Live    int `json:"live"`
 	// Reason is why the fraction is 0, if it is.
 	Reason string `json:"reason,omitempty"`
@@ -176,7 +176,7 @@
 	// IsSoleOwner reports whether this daemon may now perform a task that only one daemon may perform at a time, even
 	// if the daemons cannot reach each other. After another daemon has performed it, at least the settling time passes
 	// first.
-	IsSoleOwner(task string, settle time.Duration) bool
+	OwnsExclusively(task string, settle time.Duration) bool
 	Send(to proto.VM, m proto.Message)
 	Call(ctx context.Context, to proto.VM, m proto.Message) (proto.Message, error)
 }
--- a/relay/queuedelays.go
+++ b/relay/queuedelays.go
@@ -21,12 +21,12 @@
 }
 
 // queueTimes holds the last report on the queue of each pool, from whichever daemon batches for it.
-type queueTimes struct {
+type queueDelays struct {
 	mu      sync.Mutex
 	reports map[queueKey]queueReport
 }
 
-func (q *queueTimes) record(now time.Time, key queueKey, wait time.Duration) {
+func (q *queueDelays) record(now time.Time, key queueKey, wait time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.reports == nil {
@@ -36,7 +36,7 @@
 }
 
 // estimate returns the last reported queueing time, decreasing linearly with the age of the report.
-func (q *queueTimes) estimate(now time.Time, key queueKey) time.Duration {
+func (q *queueDelays) estimate(now time.Time, key queueKey) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	h := q.reports[key]
--- a/relay/race.go
+++ b/relay/race.go
@@ -352,7 +352,7 @@
 	f := r.flow
 	s := f.server
 	now := s.clock.Now()
-	switch _, crashing := s.crashes.Blocks(f.digest); {
+	switch _, crashing := s.crashTracker.Blocks(f.digest); {
 	case f.timeLeft() < minAttemptTime:
 		return reasonTimeUp
 	case len(r.running) >= maxConcurrentAttempts:
--- a/relay/server.go
+++ b/relay/server.go
@@ -58,20 +58,20 @@
 
 // Server forwards callers' requests to targets.
 type Server struct {
-	clock   clockwork.Clock
-	log     hclog.Logger
-	dialect Dialect
-	sender  Sender
-	fleet   *Fleet
-	tables  *Tables
-	pieces  *PieceScheduler
-	placer  *Placer
-	peers   Peers
-	limits  Limits
-	zone    string
-	counts  Counts
-	crashes *CrashTracker
-	ends    *CrashDetector
+	clock         clockwork.Clock
+	log           hclog.Logger
+	dialect       Dialect
+	sender        Sender
+	fleet         *Fleet
+	tables        *Tables
+	pieces        *PieceScheduler
+	placer        *Placer
+	peers         Peers
+	limits        Limits
+	zone          string
+	counts        RequestCounters
+	crashTracker  *CrashTracker
+	crashDetector *CrashDetector
 
 	// firstEventTimes are the times to the first event of streams, by route and without the stages. responseTimes are
 	// the times to complete responses of targets, by pool. callTimes are the durations of calls for pieces, by pool,
@@ -123,8 +123,8 @@
 	Budget  RetryBudgetConfig
 	Limits  Limits
 	// CrashTracker blocks requests that crash targets, and Ends is told about failed attempts. Both may be nil.
-	CrashTracker *CrashTracker
-	Ends         *CrashDetector
+	CrashTracker  *CrashTracker
+	CrashDetector *CrashDetector
 	// Started is closed once the daemon has the data that it needs to serve requests; nil if it has it from the
 	// beginning.
 	Started <-chan struct{}
@@ -135,7 +135,7 @@
 	s := &Server{
 		clock: c.Clock, log: c.Log, dialect: c.Dialect, fleet: c.Fleet, tables: c.Tables,
 		pieces: c.Pieces, placer: c.Placer, peers: c.Peers, zone: c.Zone, limits: c.Limits, started: c.Started, budget: c.Budget, budgets: map[string]*RetryBudget{},
-		crashes: c.CrashTracker, ends: c.Ends,
+		crashTracker: c.CrashTracker, crashDetector: c.CrashDetector,
 	}
 	s.sender = newNoticeSender(c.Sender, c.Dialect, c.Fleet, c.Clock, c.Log)
 	s.stagesCtx, s.cancelStages = context.WithCancel(context.Background())
@@ -143,8 +143,8 @@
 	return s
 }
 
-// Open returns the number of requests in progress.
-func (s *Server) Open() int64 { return s.open.Load() }
+// OpenRequests returns the number of requests in progress.
+func (s *Server) OpenRequests() int64 { return s.open.Load() }
 
 // Stop makes every response from now on close its connection, so that callers move to other daemons. Callers that keep
 // a connection may send requests for a while. A request that might not finish before the last moment is refused as not
@@ -157,7 +157,7 @@
 }
 
 // Counts returns the counters since the start of the process.
-func (s *Server) Counts() *Counts { return &s.counts }
+func (s *Server) Counts() *RequestCounters { return &s.counts }
 
 func (s *Server) budgetOf(pool string) *RetryBudget {
 	s.budgetMu.Lock()
@@ -228,9 +228,9 @@
 
 // failure is a final response that the daemon generates itself.
 type failure struct {
-	status int
-	wait   time.Duration
-	reason string
+	status     int
+	retryAfter time.Duration
+	reason     string
 }
 
 // ServeHTTP forwards one request. It returns when the response is complete or has failed.
@@ -241,7 +241,7 @@
 	}
 	if s.open.Add(1) > s.limits.MaxOpen {
 		s.open.Add(-1)
-		s.refuse(w, &failure{status: http.StatusServiceUnavailable, wait: fullRetryAfter, reason: "too many requests are in progress"}, nil, startedAt)
+		s.refuse(w, &failure{status: http.StatusServiceUnavailable, retryAfter: fullRetryAfter, reason: "too many requests are in progress"}, nil, startedAt)
 		return
 	}
 	defer s.open.Add(-1)
@@ -356,7 +356,7 @@
 	if f.runs > 0 {
 		return &failure{status: http.StatusBadGateway, reason: reason}
 	}
-	return &failure{status: http.StatusServiceUnavailable, wait: wait, reason: reason}
+	return &failure{status: http.StatusServiceUnavailable, retryAfter: wait, reason: reason}
 }
 
 func (f *flow) logInfo(message string, fields ...any) {
@@ -427,15 +427,15 @@
 func (s *Server) refuse(w http.ResponseWriter, fail *failure, f *flow, startedAt time.Time) {
 	s.counts.recordRefused(fail.status)
 	now := s.clock.Now()
-	logFields := []any{"status", fail.status, "reason", fail.reason, "comeBack", formatDuration(fail.wait)}
+	logFields := []any{"status", fail.status, "reason", fail.reason, "comeBack", formatDuration(fail.retryAfter)}
 	if f != nil && f.route != nil {
 		logFields = append(logFields, f.logFields(now)...)
 	} else if f != nil {
 		logFields = append(logFields, "request", f.req.ID, "routing", f.routingVersion, "took", formatDuration(now.Sub(startedAt)))
 	}
 	s.log.Info("request refused", logFields...)
-	if fail.wait > 0 {
-		s.dialect.SetRetryAfter(w.Header(), fail.wait)
+	if fail.retryAfter > 0 {
+		s.dialect.SetRetryAfter(w.Header(), fail.retryAfter)
 	}
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(fail.status)
--- a/relay/server_test.go
+++ b/relay/server_test.go
@@ -39,7 +39,7 @@
 			if (fail != nil) != c.refused {
 				t.Errorf("refused: %v", fail)
 			}
-			if fail != nil && (fail.status != 503 || fail.wait <= 0) {
+			if fail != nil && (fail.status != 503 || fail.retryAfter <= 0) {
 				t.Errorf("wrong refusal: %+v", fail)
 			}
 		})
@@ -77,7 +77,7 @@
 	default:
 	}
 	clock.Advance(time.Nanosecond)
-	if e := <-ends; e.fail == nil || e.lost || e.fail.status != 503 || e.fail.wait != stoppingRetryAfter {
+	if e := <-ends; e.fail == nil || e.lost || e.fail.status != 503 || e.fail.retryAfter != stoppingRetryAfter {
 		t.Errorf("result %+v, want a refusal with a short Retry-After", e)
 	}
 }
--- a/relay/shards.go
+++ b/relay/shards.go
@@ -72,7 +72,7 @@
 	first := int(hash % uint64(shards))
 	second := (first + 1 + int(hash>>32%uint64(shards-1))) % shards
 	now := p.clock.Now()
-	if p.queueTimes.estimate(now, queueKey{shard{pool, second}, rank}) < p.queueTimes.estimate(now, queueKey{shard{pool, first}, rank}) {
+	if p.queueDelays.estimate(now, queueKey{shard{pool, second}, rank}) < p.queueDelays.estimate(now, queueKey{shard{pool, first}, rank}) {
 		return second
 	}
 	return first
--- a/relay/shards_test.go
+++ b/relay/shards_test.go
@@ -92,13 +92,13 @@
 			t.Errorf("shard %d gets %d of 300 requests while no queue is known", i, got[i])
 		}
 	}
-	p.queueTimes.record(p.clock.Now(), queueKey{shard{"p", 1}, 0}, time.Minute)
+	p.queueDelays.record(p.clock.Now(), queueKey{shard{"p", 1}, 0}, time.Minute)
 	for i := range 300 {
 		if request := fmt.Sprint("r", i); p.chooseShard("p", request, 0) == 1 {
 			t.Fatalf("%s goes to the shard with a queue of one minute", request)
 		}
 	}
-	if got := p.QueueTime("p", 0); got != 0 {
+	if got := p.QueueDelay("p", 0); got != 0 {
 		t.Errorf("queue delay %v although two of three shards have none", got)
 	}
 }
--- a/relay/stages.go
+++ b/relay/stages.go
@@ -66,7 +66,7 @@
 // if a result was lost, so that the stages may be run again.
 func (f *flow) runStages(ctx context.Context) (fail *failure, lost bool) {
 	f.inputHandles, f.inputZone, f.inputBytes, f.inputsMissing = nil, "", 0, true
-	homeZone := f.server.fleet.HomeZone(f.server.clock.Now(), f.pool, f.criteria())
+	homeZone := f.server.fleet.PreferredZone(f.server.clock.Now(), f.pool, f.criteria())
 	stages := f.route.Stages
 	f.stageResults = make([]stageResult, len(stages))
 	ctx, cancel := context.WithCancel(ctx)
@@ -246,7 +246,7 @@
 		if f.pieceCount(i) == 0 || !contains(f.route.Stages[i].DependsOn, stage) {
 			continue
 		}
-		queue := f.server.pieces.QueueTime(f.route.Stages[i].Pool, f.rank)
+		queue := f.server.pieces.QueueDelay(f.route.Stages[i].Pool, f.rank)
 		longest = max(longest, queue+f.stageCallTime(i)+f.remainingTimeAfter(i))
 	}
 	if longest == 0 {
--- a/relay/stages_test.go
+++ b/relay/stages_test.go
@@ -178,7 +178,7 @@
 }
 
 func TestQueueReportsFade(t *testing.T) {
-	var q queueTimes
+	var q queueDelays
 	key := queueKey{shard{pool: "p"}, 1}
 	q.record(start, key, 2*time.Second)
 	for _, s := range []struct{ age, want time.Duration }{
--- a/relay/targetsignals.go
+++ b/relay/targetsignals.go
@@ -100,7 +100,7 @@
 	f.mu.RLock()
 	_, known := f.signals[run]
 	f.mu.RUnlock()
-	if !known && !h.Leaving && !h.Limited && h.Backoff <= 0 {
+	if !known && !h.Leaving && !h.HasLimit && h.Backoff <= 0 {
 		return nil
 	}
 	f.mu.Lock()
@@ -145,14 +145,14 @@
 // may be outdated and are ignored.
 func (s *targetSignals) recordLimit(now time.Time, h *signal) (change signalChange, changed bool) {
 	limit := noLimit
-	if h.Limited {
+	if h.HasLimit {
 		limit = h.Limit
 	}
-	if limit == s.limit || h.sent.Before(s.limitAt) || h.partial && !h.Limited {
+	if limit == s.limit || h.sent.Before(s.limitAt) || h.partial && !h.HasLimit {
 		return signalChange{}, false
 	}
 	change = signalChange{event: "target limit", limit: limit, before: s.limit}
-	if !h.Limited {
+	if !h.HasLimit {
 		change.event = "target limit lifted"
 	}
 	s.limit, s.limitAt, s.limitFrom = limit, now, ""
--- a/serve/daemon.go
+++ b/serve/daemon.go
@@ -34,10 +34,10 @@
 	engine   *core.Engine
 	node     *coord.Node
 	links    *wire.Links
-	targets  *wire.Targets
-	platform *wire.Platform
+	targets  *wire.TargetClient
+	platform *wire.PlatformClient
 	driver   *wire.Driver
-	front    *wire.Front
+	front    *wire.Frontend
 	loads    *loadReader
 	orders   *coord.PlacementController
 
@@ -100,14 +100,14 @@
 	return netip.MustParseAddrPort(l.Addr().String())
 }
 
-// Callers returns the address of the callers' listener.
-func (d *Daemon) Callers() netip.AddrPort { return addrOf(d.callers) }
+// CallerAddr returns the address of the callers' listener.
+func (d *Daemon) CallerAddr() netip.AddrPort { return addrOf(d.callers) }
 
-// Peers returns the address of the peers' listener.
-func (d *Daemon) Peers() netip.AddrPort { return addrOf(d.peers) }
+// PeerAddr returns the address of the peers' listener.
+func (d *Daemon) PeerAddr() netip.AddrPort { return addrOf(d.peers) }
 
-// Operators returns the address of the operators' listener.
-func (d *Daemon) Operators() netip.AddrPort { return addrOf(d.operators) }
+// OperatorAddr returns the address of the operators' listener.
+func (d *Daemon) OperatorAddr() netip.AddrPort { return addrOf(d.operators) }
 
 // Node returns the daemon's part in acting together with the others.
 func (d *Daemon) Node() *coord.Node { return d.node }
@@ -119,7 +119,7 @@
 func (d *Daemon) Links() *wire.Links { return d.links }
 
 // Platform returns the daemon's client of the platform.
-func (d *Daemon) Platform() *wire.Platform { return d.platform }
+func (d *Daemon) Platform() *wire.PlatformClient { return d.platform }
 
 func (d *Daemon) assemble() error {
 	s := &d.settings
@@ -130,15 +130,15 @@
 	seed := xxhash.Sum64String(string(s.VM))
 	advertised := s.advertised()
 	if advertised.Port() == 0 {
-		advertised = d.Peers()
+		advertised = d.PeerAddr()
 	}
 	d.engine = core.New(core.WithZone(s.Zone), core.WithSeed(seed))
-	d.targets = wire.NewTargets()
-	d.platform = wire.NewPlatform(s.Platform.Address, string(s.VM), wire.PlatformLimits{
-		Reads: s.Platform.Reads, Writes: s.Platform.Writes, Burst: wire.DefaultPlatformLimits().Burst, Wait: s.Platform.Wait.Std(),
+	d.targets = wire.NewTargetClient()
+	d.platform = wire.NewPlatformClient(s.Platform.Address, string(s.VM), wire.PlatformLimits{
+		ReadsPerSecond: s.Platform.Reads, WritesPerSecond: s.Platform.Writes, Burst: wire.DefaultPlatformLimits().Burst, CallTimeout: s.Platform.Wait.Std(),
 	})
 	d.links = wire.NewLinks(wire.LinksConfig{
-		Self: s.VM, Key: s.Peers.SharedKey, TLS: peerTLS, Log: d.log.Named("links"), Gate: d.gate,
+		Self: s.VM, SharedKey: s.Peers.SharedKey, TLS: peerTLS, Log: d.log.Named("links"), BeforeMessage: d.gate,
 		Resolve: func(vm proto.VM) (proto.Alive, bool) { return d.node.Members.Lookup(vm) },
 		Handle: func(ctx context.Context, from proto.VM, m proto.Message) proto.Message {
 			return d.node.Handle(ctx, from, m)
@@ -152,9 +152,9 @@
 	d.node = coord.NewNode(deps, d.nodeOptions()...)
 	d.orders = coord.NewPlacementController(deps, d.node, d.targets, core.NewPlacement(core.DefaultPlacementTuning()), coord.DefaultLeaseTiming())
 	d.driver = wire.NewDriver(d.engine, d.clock, d.targets, d.node.Claimer, d.log.Named("driver"), s.Limits.BufferedBytes, d.gate)
-	d.front = wire.NewFront(d.driver, d.engine, d.clock, d.log.Named("front"), wire.FrontLimits{
-		Body: s.Limits.BodyBytes, Open: s.Limits.OpenRequests, Buffered: s.Limits.BufferedBytes,
-		ReadWait: s.Limits.ReadWait.Std(), WriteWait: s.Limits.WriteWait.Std(),
+	d.front = wire.NewFrontend(d.driver, d.engine, d.clock, d.log.Named("front"), wire.FrontendLimits{
+		MaxBodyBytes: s.Limits.BodyBytes, MaxOpenRequests: s.Limits.OpenRequests, MaxBufferedBytes: s.Limits.BufferedBytes,
+		ReadTimeout: s.Limits.ReadWait.Std(), WriteTimeout: s.Limits.WriteWait.Std(),
 	}, d, seed)
 	d.loads = newLoadReader(d)
 	return nil
@@ -195,7 +195,7 @@
 
 func (d *Daemon) takeUsage(rows []proto.UsageRow) {
 	for _, row := range rows {
-		d.driver.Do(core.UsageReported{Pool: row.Pool, Workspace: row.Workspace, Spent: row.Spent})
+		d.driver.HandleEvent(core.UsageReported{Pool: row.Pool, Workspace: row.Workspace, Spent: row.Spent})
 	}
 }
 
@@ -260,7 +260,7 @@
 		return nil
 	}, func(error) { cancel() })
 	d.node.Start(d.seeds())
-	d.log.Info("serving", "callers", d.Callers(), "peers", d.Peers(), "operators", d.Operators(), "version", Version)
+	d.log.Info("serving", "callers", d.CallerAddr(), "peers", d.PeerAddr(), "operators", d.OperatorAddr(), "version", Version)
 	err := g.Run()
 	d.links.Close()
 	d.log.Info("stopped")
@@ -320,7 +320,7 @@
 	if err != nil {
 		return err
 	}
-	operator := wire.NewOperator(d.node, d.settings.Operators.Key, d.log.Named("operator"), d.status)
+	operator := wire.NewOperatorAPI(d.node, d.settings.Operators.Key, d.log.Named("operator"), d.status)
 	for _, s := range []struct {
 		listener net.Listener
 		server   *http.Server
@@ -357,7 +357,7 @@
 	ready, reason := d.Ready()
 	s := wire.Status{
 		VM: d.settings.VM, Zone: d.settings.Zone, Version: Version, Ready: ready, Reason: reason,
-		Generation: d.node.Config.Generation(), Open: d.front.Open(), StoreSeen: d.node.LastStoreRead(),
+		Generation: d.node.Config.Generation(), OpenRequests: d.front.OpenRequests(), LastStoreRead: d.node.LastStoreRead(),
 		Members: d.node.Members.Counts(), Claims: d.node.Replica.Counts(), Links: d.links.Counts(), Pools: d.engine.Pools(now),
 	}
 	for _, alive := range d.node.Members.Live() {
@@ -383,7 +383,7 @@
 	wire.PublishVars(string(d.settings.VM), func() any {
 		reads, writes := d.platform.Counts()
 		return Vars{
-			Report: d.engine.Stats().Report(), Generation: d.node.Config.Generation(), Open: d.front.Open(),
+			Report: d.engine.Stats().Report(), Generation: d.node.Config.Generation(), Open: d.front.OpenRequests(),
 			Members: d.node.Members.Counts(), Claims: d.node.Replica.Counts(), Links: d.links.Counts(),
 			Orders: d.orders.Counts(), PlatformReads: reads, PlatformWrites: writes,
 		}
--- a/serve/loads.go
+++ b/serve/loads.go
@@ -167,14 +167,14 @@
 		models[row.Target] = row.Models
 	}
 	for _, row := range proto.UnpackLoads(m.Digest, l.names()) {
-		l.daemon.driver.Do(core.LoadReported{Pool: row.Pool, Load: proto.Load{
+		l.daemon.driver.HandleEvent(core.LoadReported{Pool: row.Pool, Load: proto.Load{
 			Target: row.Target, Running: row.Running, Waiting: row.Waiting, Slots: row.Slots,
 			Models: models[row.Target], At: now.Add(-row.Age),
 		}})
 	}
 	for i, event := range m.Caches {
 		if i < len(m.Pools) {
-			l.daemon.driver.Do(core.CacheReported{Pool: m.Pools[i], Event: event})
+			l.daemon.driver.HandleEvent(core.CacheReported{Pool: m.Pools[i], Event: event})
 		}
 	}
 }
--- a/serve/loops.go
+++ b/serve/loops.go
@@ -17,7 +17,7 @@
 func (d *Daemon) addLoops(ctx context.Context, g *run.Group) {
 	t := &d.settings.Timing
 	node := coord.DefaultNodeTiming()
-	d.addLoop(ctx, g, t.Tick.Std(), func(context.Context) { d.driver.Do(core.Tick{}) })
+	d.addLoop(ctx, g, t.Tick.Std(), func(context.Context) { d.driver.HandleEvent(core.Tick{}) })
 	d.addLoop(ctx, g, node.TickInterval, func(context.Context) {
 		d.gate()
 		d.node.Tick(d.clock.Now())
@@ -73,7 +73,7 @@
 	now := d.clock.Now()
 	leaving := d.node.Members.Leaving()
 	d.engine.SetLeavingVMs(leaving)
-	d.driver.Do(core.StopCheck{Lead: d.settings.Timing.StopLead.Std()})
+	d.driver.HandleEvent(core.StopCheck{Lead: d.settings.Timing.StopLead.Std()})
 	if leaving[d.settings.VM] || d.node.Config.Snapshot().Leaving(d.settings.VM, now, 0) {
 		d.Stop()
 	}
--- a/serve/pages.go
+++ b/serve/pages.go
@@ -10,8 +10,8 @@
 	"emberlead/proto"
 )
 
-// Pages returns the generated pages by file name: the settings' documentation, and the schemas of settings and configuration files.
-func Pages() (map[string][]byte, error) {
+// GenerateDocs returns the generated pages by file name: the settings' documentation, and the schemas of settings and configuration files.
+func GenerateDocs() (map[string][]byte, error) {
 	reflector := &jsonschema.Reflector{DoNotReference: true}
 	settings := reflector.Reflect(&Settings{})
 	settingsJSON, err := schemaJSON(settings)
--- a/serve/relay.go
+++ b/serve/relay.go
@@ -66,7 +66,7 @@
 	store    *platform.Store
 	tables   *relay.Tables
 	fleet    *relay.Fleet
-	exchange *wire.Exchange
+	exchange *wire.TargetTransport
 	pieces   *relay.PieceScheduler
 	placer   *relay.Placer
 	server   *relay.Server
@@ -108,17 +108,17 @@
 	stopping atomic.Bool
 }
 
-// Members returns the number of live daemons that this one knows, itself included.
-func (d *Relay) Members() int { return d.peers.Count() }
+// MemberCount returns the number of live daemons that this one knows, itself included.
+func (d *Relay) MemberCount() int { return d.peers.Count() }
 
 // PieceCalls returns the number of calls for pieces that this daemon made.
-func (d *Relay) PieceCalls() int64 { return d.pieces.Counts().Calls }
+func (d *Relay) PieceCalls() int64 { return d.pieces.Stats().Calls }
 
 // StoreCalls returns the calls to the store since the start.
 func (d *Relay) StoreCalls() platform.CallCounts { return d.store.Counts() }
 
-// Silence cuts all links to other daemons, as the death of the process would; tests use it.
-func (d *Relay) Silence() { d.peers.links.Close() }
+// CloseLinks cuts all links to other daemons, as the death of the process would; tests use it.
+func (d *Relay) CloseLinks() { d.peers.links.Close() }
 
 // RelayOption changes a Relay at construction.
 type RelayOption func(*Relay)
@@ -142,7 +142,7 @@
 // NewRelay returns a daemon that does nothing yet.
 func NewRelay(settings platform.Settings, clock clockwork.Clock, log hclog.Logger, sink *LogSink, options ...RelayOption) *Relay {
 	// The platform gives no secret; the store's address keeps daemons of two deployments apart.
-	d := &Relay{settings: settings, clock: clock, restoreClock: clock, log: log, sink: sink, tables: &relay.Tables{}, store: platform.NewStore(settings.Store), linkKey: settings.Store.String(), zoneCosts: relay.DefaultZoneCosts()}
+	d := &Relay{settings: settings, clock: clock, restoreClock: clock, log: log, sink: sink, tables: &relay.Tables{}, store: platform.NewStore(settings.StoreAddr), linkKey: settings.StoreAddr.String(), zoneCosts: relay.DefaultZoneCosts()}
 	for _, option := range options {
 		option(d)
 	}
@@ -150,12 +150,12 @@
 	d.store.OnRestored(d.storeRestored)
 	d.docs.targets = map[string]proto.TargetDocument{}
 	d.self = proto.Alive{
-		VM: proto.VM(settings.VM), Zone: proto.Zone(settings.Region + "/" + settings.Zone), Peer: settings.Peers,
+		VM: proto.VM(settings.VM), Zone: proto.Zone(settings.Region + "/" + settings.Zone), Peer: settings.PeerAddr,
 		Incarnation: proto.Incarnation(clock.Now().UnixNano()), Sequence: 1,
 	}
-	d.exchange = wire.NewExchange(clock)
+	d.exchange = wire.NewTargetTransport(clock)
 	d.fleet = relay.NewFleet(func(pool string) { d.pieces.TargetsChanged(pool) }, relay.WithZoneCosts(d.zoneCosts),
-		relay.WithColdConfig(relay.ColdConfig{Factor: settings.ColdOver, Slack: settings.ColdSlack}), relay.WithNoticeHandler(d.noteNotices))
+		relay.WithColdConfig(relay.ColdConfig{Factor: settings.ColdFactor, Slack: settings.ColdSlack}), relay.WithNoticeHandler(d.noteNotices))
 	d.census = coord.NewShareTracker(d.self.VM, censusTiming(settings))
 	d.newPeers()
 	dialect := platform.Dialect{}
@@ -170,7 +170,7 @@
 		Clock: clock, Log: log.Named("relay"), Dialect: dialect, Sender: d.exchange, Fleet: d.fleet, Tables: d.tables,
 		Pieces: d.pieces, Placer: d.placer, Peers: d.peers, Zone: settings.Zone,
 		Budget:       relay.RetryBudgetConfig{Ratio: settings.RetryRatio, Slack: settings.RetrySlack, Window: settings.RetryWindow},
-		CrashTracker: d.crashes, Ends: d.ends, Started: d.started, Limits: relay.Limits{MaxOpen: max(64, settings.MemoryBytes/1_000_000*openPerMB)},
+		CrashTracker: d.crashes, CrashDetector: d.ends, Started: d.started, Limits: relay.Limits{MaxOpen: max(64, settings.MemoryBytes/1_000_000*openPerMB)},
 	})
 	return d
 }
@@ -183,7 +183,7 @@
 		}
 	}
 	d.peers.links = wire.NewLinks(wire.LinksConfig{
-		Self: d.self.VM, Key: d.linkKey, Credentials: d.credentials, Log: d.log.Named("links"),
+		Self: d.self.VM, SharedKey: d.linkKey, Credentials: d.credentials, Log: d.log.Named("links"),
 		Resolve: d.peers.resolve, Handle: d.handle,
 	})
 	d.peers.members = coord.NewMembers(d.self, peerTiming(), coord.DefaultRings(), d.peers.links, d.heartbeat, coord.WithIncarnationBump())
@@ -202,7 +202,7 @@
 	switch msg := m.(type) {
 	case proto.Heartbeat:
 		d.peers.members.HandleHeartbeat(now, from, msg)
-		d.store.SawEra(msg.Targets.Era)
+		d.store.ObserveEra(msg.Targets.Era)
 		newer := msg.Routing > d.tables.Version() || msg.Targets.After(d.fleet.Version()) || msg.Evacuations.After(d.fleet.EvacuationsVersion())
 		if d.peers.sawNewer(from, newer, newer && d.isReader()) {
 			go d.pull(from)
@@ -210,7 +210,7 @@
 		if d.peers.mayAskVoid(now, from, d.fleet.InvalidDigest(), msg.InvalidDigest) {
 			go d.pull(from)
 		}
-		if d.endNews.differs(now, from, d.crashes.Digest(), msg.EndsDigest, d.crashes.Counts().Ends) {
+		if d.endNews.differs(now, from, d.crashes.Digest(), msg.EndsDigest, d.crashes.Stats().Ends) {
 			go d.tellEnds(from)
 		}
 		if d.noticeNews.differs(now, from, d.fleet.NoticeDigest(), msg.NoticesDigest) {
@@ -295,8 +295,8 @@
 func (d *Relay) Run(ctx context.Context) error {
 	debug.SetMemoryLimit(int64(memoryShare * float64(d.settings.MemoryBytes)))
 	debug.SetGCPercent(collectPercent)
-	d.log.Info("starting", "version", Version, "incarnation", d.self.Incarnation, "zone", d.self.Zone, "callers", d.settings.Callers,
-		"health", d.settings.Health, "peers", d.settings.Peers, "metrics", d.settings.Metrics, "store", d.settings.Store,
+	d.log.Info("starting", "version", Version, "incarnation", d.self.Incarnation, "zone", d.self.Zone, "callers", d.settings.CallerAddr,
+		"health", d.settings.HealthAddr, "peers", d.settings.PeerAddr, "metrics", d.settings.MetricsAddr, "store", d.settings.StoreAddr,
 		"seeds", len(d.settings.Seeds), "memory", d.settings.MemoryBytes, "openMost", max(64, d.settings.MemoryBytes/1_000_000*openPerMB))
 	d.noteLinkAuth()
 	var g run.Group
@@ -313,7 +313,7 @@
 	}, func(error) { cancel() })
 	err := g.Run()
 	d.peers.links.Close()
-	d.log.Info("stopped", "open", d.server.Open(), "error", err)
+	d.log.Info("stopped", "open", d.server.OpenRequests(), "error", err)
 	return err
 }
 
@@ -337,7 +337,7 @@
 			d.noteFleet(d.fleet.Sweep(d.clock.Now()), "time")
 			d.judgeAnew(d.fleet.ExpireInvalid(d.restoreClock.Now()))
 			d.endHeldEvacuations(d.restoreClock.Now())
-			d.exchange.Sweep()
+			d.exchange.CloseExpired()
 			d.placer.Sweep()
 			d.ends.Sweep()
 			d.reportViews()
@@ -424,16 +424,16 @@
 // stop ends in order: the health check fails, other daemons take over, requests go on until none is left.
 func (d *Relay) stop(work context.Context) {
 	began := d.clock.Now()
-	d.log.Info("stopping", "open", d.server.Open())
+	d.log.Info("stopping", "open", d.server.OpenRequests())
 	d.stopping.Store(true)
-	last := began.Add(d.settings.Grace - stopMargin)
+	last := began.Add(d.settings.GracePeriod - stopMargin)
 	d.server.Stop(began, last)
 	d.peers.members.AnnounceStop()
 	for now := began; now.Before(last); now = d.clock.Now() {
-		if now.Sub(began) >= unreadyLeast && d.server.Open() == 0 {
+		if now.Sub(began) >= unreadyLeast && d.server.OpenRequests() == 0 {
 			break
 		}
 		d.pause(work, sweepEvery/4)
 	}
-	d.log.Info("closing", "open", d.server.Open(), "after", d.clock.Now().Sub(began).String())
+	d.log.Info("closing", "open", d.server.OpenRequests(), "after", d.clock.Now().Sub(began).String())
 }
--- a/serve/relayclock_test.go
+++ b/serve/relayclock_test.go
@@ -98,7 +98,7 @@
 		{"ends of targets under a request", time.Hour + time.Second, func(clock *state.Clock, _ *clockwork.FakeClock) func() bool {
 			c := relay.NewCrashTracker("vm", clock, hclog.NewNullLogger(), nil)
 			for _, run := range []proto.RunName{"a", "b", "c"} {
-				c.Ended(run, clock.Now(), []proto.RequestDigest{1})
+				c.RecordEnd(run, clock.Now(), []proto.RequestDigest{1})
 			}
 			return func() bool {
 				c.Sweep()
--- a/serve/relaydocs.go
+++ b/serve/relaydocs.go
@@ -37,29 +37,29 @@
 }
 
 // routingChanged takes in rows of the operator's table that changed.
-func (d *Relay) routingChanged(e platform.Entries) {
+func (d *Relay) routingChanged(e platform.RowSet) {
 	d.takeEvacuations(d.evacuationsOf(e), "store")
 	d.adoptRoutingOf(e)
 }
 
 // adoptRoutingOf puts the configuration among rows in force, if it is there.
-func (d *Relay) adoptRoutingOf(e platform.Entries) {
-	for i := range e.List {
-		if e.List[i].IsRouting() && !e.List[i].Removed {
-			d.adoptRouting(e.List[i].Body, "store")
+func (d *Relay) adoptRoutingOf(e platform.RowSet) {
+	for i := range e.Rows {
+		if e.Rows[i].IsRouting() && !e.Rows[i].Removed {
+			d.adoptRouting(e.Rows[i].Body, "store")
 		}
 	}
 }
 
 // routingWhole takes in all rows of the operator's table; zones that have none are not evacuated.
-func (d *Relay) routingWhole(e platform.Entries) bool {
+func (d *Relay) routingWhole(e platform.RowSet) bool {
 	d.takeEvacuations(d.fleet.EvacuationsFromList(e.Version, d.evacuationsOf(e)), "store")
 	d.adoptRoutingOf(e)
 	return true
 }
 
 func (d *Relay) adoptRouting(body []byte, from string) {
-	r, err := platform.ReadRouting(body)
+	r, err := platform.ParseRouting(body)
 	if err != nil {
 		d.log.Error("a configuration cannot be read", "from", from, "error", err)
 		return
@@ -92,20 +92,20 @@
 	if doc.Removed {
 		return c
 	}
-	t, err := platform.ReadTarget(doc.ID, doc.Body)
+	t, err := platform.ParseTarget(doc.ID, doc.Body)
 	if err != nil {
 		d.log.Warn("an entry names no target", "target", doc.ID, "version", doc.Version, "bytes", len(doc.Body), "from", from, "error", err)
 		c.Unusable = true
 		return c
 	}
-	t.Region = d.settings.Regions[t.Zone]
+	t.Region = d.settings.ZoneRegions[t.Zone]
 	c.Target = t
 	return c
 }
 
-func documentsOf(e platform.Entries) []proto.TargetDocument {
-	docs := make([]proto.TargetDocument, 0, len(e.List))
-	for _, entry := range e.List {
+func documentsOf(e platform.RowSet) []proto.TargetDocument {
+	docs := make([]proto.TargetDocument, 0, len(e.Rows))
+	for _, entry := range e.Rows {
 		docs = append(docs, proto.TargetDocument{ID: entry.Key, Body: entry.Body, Version: entry.Version, Removed: entry.Removed})
 	}
 	return docs
@@ -120,7 +120,7 @@
 	d.fleet.MarkStoreDown(now)
 }
 
-func (d *Relay) targetsWhole(e platform.Entries) bool {
+func (d *Relay) targetsWhole(e platform.RowSet) bool {
 	return d.takeTargets(e.Version, documentsOf(e), "store", false)
 }
 
@@ -148,7 +148,7 @@
 	return true
 }
 
-func (d *Relay) targetsChanged(e platform.Entries) { d.takeChanges(documentsOf(e), "store", false) }
+func (d *Relay) targetsChanged(e platform.RowSet) { d.takeChanges(documentsOf(e), "store", false) }
 
 // takeChanges takes in entries that changed.
 func (d *Relay) takeChanges(docs []proto.TargetDocument, from string, told bool) {
@@ -177,7 +177,7 @@
 func (d *Relay) noteFleet(notes []relay.FleetEvent, from string) {
 	for _, n := range notes {
 		if n.Outcome == relay.OutcomeEnded {
-			d.exchange.Forget(n.Target.Address)
+			d.exchange.CloseIdle(n.Target.Address)
 		}
 		if n.Crashed() {
 			d.ends.RecordEnd(n.Target, "its entry is gone")
--- a/serve/relayendrows.go
+++ b/serve/relayendrows.go
@@ -43,7 +43,7 @@
 	after time.Time
 }
 
-func newEndRows(d *Relay) *endRows { return &endRows{daemon: d, table: d.store.Ends()} }
+func newEndRows(d *Relay) *endRows { return &endRows{daemon: d, table: d.store.TargetEnds()} }
 
 // saw takes in what this daemon saw itself.
 func (r *endRows) saw(m proto.TargetEnds) {
@@ -164,7 +164,7 @@
 	if err != nil {
 		return proto.Revision{}, err
 	}
-	for _, row := range rows.List {
+	for _, row := range rows.Rows {
 		if proto.VM(row.Key) != r.daemon.self.VM && !row.Removed {
 			r.take(row)
 		}
@@ -172,7 +172,7 @@
 	return proto.Latest(version, rows.Version), nil
 }
 
-func (r *endRows) rows(ctx context.Context, version proto.Revision, wait time.Duration) (platform.Entries, error) {
+func (r *endRows) rows(ctx context.Context, version proto.Revision, wait time.Duration) (platform.RowSet, error) {
 	if version.IsZero() {
 		return r.table.Read(ctx)
 	}
@@ -181,7 +181,7 @@
 
 // take takes in the row of another daemon. Its ages hold as of that daemon's time of day, which may differ somewhat from this
 // one's: they only decide when an end is forgotten.
-func (r *endRows) take(row platform.Entry) {
+func (r *endRows) take(row platform.Row) {
 	d := r.daemon
 	_, message, err := proto.Decode(row.Body)
 	m, ok := message.(proto.TargetEnds)
@@ -201,7 +201,7 @@
 }
 
 // remove removes the row of a daemon that is gone for long, which one daemon does for all.
-func (r *endRows) remove(row platform.Entry) {
+func (r *endRows) remove(row platform.Row) {
 	d := r.daemon
 	if d.peers.Owner(taskOldRows, nil) != d.self.VM {
 		return
--- a/serve/relayends_test.go
+++ b/serve/relayends_test.go
@@ -160,7 +160,7 @@
 		case proto.TargetEnds:
 			d.crashes.Merge(msg, n.daemons[m.from].vm)
 		case proto.Heartbeat:
-			if d.news.differs(now, n.daemons[m.from].vm, d.crashes.Digest(), msg.EndsDigest, d.crashes.Counts().Ends) {
+			if d.news.differs(now, n.daemons[m.from].vm, d.crashes.Digest(), msg.EndsDigest, d.crashes.Stats().Ends) {
 				n.send(i, m.from, d.crashes.Snapshot())
 			}
 		}
@@ -176,7 +176,7 @@
 	crashes := d.crashes
 	n.due = append(n.due, n.clock.Now().Add(endSeen))
 	n.ended = append(n.ended, func() {
-		crashes.Ended(proto.RunName(fmt.Sprintf("t-%d", target)), n.clock.Now(), []proto.RequestDigest{request})
+		crashes.RecordEnd(proto.RunName(fmt.Sprintf("t-%d", target)), n.clock.Now(), []proto.RequestDigest{request})
 	})
 	return true
 }
@@ -251,7 +251,7 @@
 	for target := range targets {
 		for r := range each {
 			d := n.daemons[(target*each+r)%daemons]
-			d.crashes.Ended(proto.RunName(fmt.Sprintf("t-%d", target)), n.clock.Now(), []proto.RequestDigest{proto.RequestDigest(target*each + r)})
+			d.crashes.RecordEnd(proto.RunName(fmt.Sprintf("t-%d", target)), n.clock.Now(), []proto.RequestDigest{proto.RequestDigest(target*each + r)})
 		}
 	}
 	steps := 0
@@ -278,7 +278,7 @@
 // agrees tells whether all daemons know so many ends, and the same.
 func (n *endNet) agrees(ends int) bool {
 	for _, d := range n.daemons {
-		if d.crashes.Counts().Ends != ends || d.crashes.Digest() != n.daemons[0].crashes.Digest() {
+		if d.crashes.Stats().Ends != ends || d.crashes.Digest() != n.daemons[0].crashes.Digest() {
 			return false
 		}
 	}
--- a/serve/relayhttp.go
+++ b/serve/relayhttp.go
@@ -40,10 +40,10 @@
 		tls     *tls.Config
 	}{
 		// Callers' methods and paths are passed on as they are, so no router comes before the relay.
-		{d.settings.Callers, d.server, nil},
-		{d.settings.Health, health, nil},
-		{d.settings.Peers, d.peers.links.Handler(), d.peers.links.ServerTLS()},
-		{d.settings.Metrics, metrics, nil},
+		{d.settings.CallerAddr, d.server, nil},
+		{d.settings.HealthAddr, health, nil},
+		{d.settings.PeerAddr, d.peers.links.Handler(), d.peers.links.ServerTLS()},
+		{d.settings.MetricsAddr, metrics, nil},
 	} {
 		if err := d.addRelayServer(g, s.address, s.handler, s.tls); err != nil {
 			return err
@@ -86,11 +86,11 @@
 
 // RelayVars are the measures of a relaying daemon at /debug/vars.
 type RelayVars struct {
-	Requests relay.CountReport   `json:"requests"`
-	Pieces   relay.PieceCounts   `json:"pieces"`
-	Targets  wire.ExchangeCounts `json:"targetConnections"`
-	Links    wire.LinkCounts     `json:"links"`
-	Members  coord.MemberCounts  `json:"members"`
+	Requests relay.RequestStats   `json:"requests"`
+	Pieces   relay.PieceStats     `json:"pieces"`
+	Targets  wire.TransportCounts `json:"targetConnections"`
+	Links    wire.LinkCounts      `json:"links"`
+	Members  coord.MemberCounts   `json:"members"`
 	// Share is the daemon's part of what all daemons are allowed together.
 	Share   relay.Share `json:"share"`
 	Routing uint64      `json:"routing"`
@@ -107,7 +107,7 @@
 	// LinkAuth is how daemons know each other: storeAddress (which keeps nobody out), key or certificates.
 	LinkAuth linkAuth `json:"linkAuth"`
 	// Crashes tells how many ends of targets under requests are remembered, and of how many requests.
-	Crashes relay.CrashCounts `json:"crashes"`
+	Crashes relay.CrashStats `json:"crashes"`
 	// Cold counts what this daemon sent to cold targets, and how often others had taken what was left.
 	Cold relay.ColdStats `json:"cold"`
 	// Notices counts the targets that leave, name a limit or want rest by their answers.
@@ -128,9 +128,9 @@
 	now := d.clock.Now()
 	return RelayVars{
 		RoutingAge: ageVar(&d.routingView, now), TargetsAge: ageVar(&d.targetsView, now),
-		Requests: d.server.Counts().Report(), Pieces: d.pieces.Counts(), Targets: d.exchange.Counts(), Links: d.peers.links.Counts(),
-		Members: d.peers.members.Counts(), Share: d.peers.Share(), Routing: d.tables.Version(), Fleet: d.fleet.Version().String(), Era: d.store.Era(), Evacuated: d.fleet.EvacuatedZones(), Open: d.server.Open(),
-		LinkAuth: d.linkAuth(), Crashes: d.crashes.Counts(), Cold: d.placer.ColdStats(), Notices: d.fleet.NoticeStats(now), Permits: d.placer.PermitStats(), Store: d.store.Counts(), Dropped: d.sink.Dropped(),
+		Requests: d.server.Counts().Stats(), Pieces: d.pieces.Stats(), Targets: d.exchange.Counts(), Links: d.peers.links.Counts(),
+		Members: d.peers.members.Counts(), Share: d.peers.Share(), Routing: d.tables.Version(), Fleet: d.fleet.Version().String(), Era: d.store.Era(), Evacuated: d.fleet.EvacuatedZones(), Open: d.server.OpenRequests(),
+		LinkAuth: d.linkAuth(), Crashes: d.crashes.Stats(), Cold: d.placer.ColdStats(), Notices: d.fleet.NoticeStats(now), Permits: d.placer.PermitStats(), Store: d.store.Counts(), Dropped: d.sink.Dropped(),
 	}
 }
 
--- a/serve/relaylinks.go
+++ b/serve/relaylinks.go
@@ -21,7 +21,7 @@
 	switch {
 	case d.credentials != nil:
 		return authCertificates
-	case d.linkKey != d.settings.Store.String():
+	case d.linkKey != d.settings.StoreAddr.String():
 		return authKey
 	}
 	return authStore
@@ -62,7 +62,7 @@
 	case changed:
 		d.log.Info("certificates between daemons read again", "cause", cause, "expiry", d.credentials.Expiry())
 		d.noteExpiry()
-		d.peers.links.Renew()
+		d.peers.links.Reconnect()
 	}
 	d.badCredentials = false
 }
--- a/serve/relaylist.go
+++ b/serve/relaylist.go
@@ -164,7 +164,7 @@
 	versions := map[proto.VM]proto.Revision{}
 	known := d.settings.FirstStart
 	var own daemonRow
-	for _, entry := range rows.List {
+	for _, entry := range rows.Rows {
 		vm := proto.VM(entry.Key)
 		versions[vm] = entry.Version
 		if row, ok := d.takeRow(now, entry); ok && vm == d.self.VM {
@@ -182,7 +182,7 @@
 }
 
 // takeRow learns of a daemon by its row. The own row may still be that of the last run, whose number must be lower.
-func (d *Relay) takeRow(now time.Time, entry platform.Entry) (daemonRow, bool) {
+func (d *Relay) takeRow(now time.Time, entry platform.Row) (daemonRow, bool) {
 	var row daemonRow
 	if err := json.Unmarshal(entry.Body, &row); err != nil {
 		d.log.Warn("a daemon's row cannot be read", "vm", entry.Key, "error", err)
@@ -217,7 +217,7 @@
 // Share returns this daemon's part of what all daemons together are allowed.
 func (p *relayPeers) Share() relay.Share {
 	s := p.census.Share(p.clock.Now())
-	share := relay.Share{Counted: s.VMCount, Live: p.Count(), Reason: string(s.Reason)}
+	share := relay.Share{VMCount: s.VMCount, Live: p.Count(), Reason: string(s.Reason)}
 	if s.Usable {
 		share.Fraction = 1 / float64(s.VMCount)
 	}
@@ -225,7 +225,7 @@
 }
 
 // Sole tells whether this daemon may do now what only one of all may do at a time.
-func (p *relayPeers) IsSoleOwner(task string, settle time.Duration) bool {
+func (p *relayPeers) OwnsExclusively(task string, settle time.Duration) bool {
 	return p.census.OwnsExclusively(p.clock.Now(), task, settle)
 }
 
--- a/serve/relayview.go
+++ b/serve/relayview.go
@@ -115,9 +115,9 @@
 	}
 }
 
-// StateAge returns how long ago the store confirmed, to this daemon or to one that told it, the older of the two tables as
+// Staleness returns how long ago the store confirmed, to this daemon or to one that told it, the older of the two tables as
 // it is known here; false if it did not confirm both.
-func (d *Relay) StateAge() (time.Duration, bool) {
+func (d *Relay) Staleness() (time.Duration, bool) {
 	now := d.clock.Now()
 	routing, routingKnown := d.routingView.age(now)
 	targets, targetsKnown := d.targetsView.age(now)
--- a/serve/relayview_test.go
+++ b/serve/relayview_test.go
@@ -20,26 +20,26 @@
 type countingTable struct {
 	mu      sync.Mutex
 	checks  int
-	changed []platform.Entry
+	changed []platform.Row
 	down    bool
 }
 
-func (c *countingTable) Read(context.Context) (platform.Entries, error) {
-	return platform.Entries{Version: proto.Revision{Version: 7}}, nil
+func (c *countingTable) Read(context.Context) (platform.RowSet, error) {
+	return platform.RowSet{Version: proto.Revision{Version: 7}}, nil
 }
 
-func (c *countingTable) Watch(ctx context.Context, _ proto.Revision, wait time.Duration) (platform.Entries, error) {
+func (c *countingTable) Watch(ctx context.Context, _ proto.Revision, wait time.Duration) (platform.RowSet, error) {
 	if wait == watchWait {
 		<-ctx.Done()
-		return platform.Entries{}, &platform.Error{Op: "watch", Kind: proto.KindUnavailable, Err: ctx.Err()}
+		return platform.RowSet{}, &platform.Error{Op: "watch", Kind: proto.KindUnavailable, Err: ctx.Err()}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.checks++
 	if c.down {
-		return platform.Entries{}, &platform.Error{Op: "watch", Kind: proto.KindUnavailable, Err: errors.New("turned away")}
+		return platform.RowSet{}, &platform.Error{Op: "watch", Kind: proto.KindUnavailable, Err: errors.New("turned away")}
 	}
-	return platform.Entries{Version: proto.Revision{Version: 7}, List: c.changed}, nil
+	return platform.RowSet{Version: proto.Revision{Version: 7}, Rows: c.changed}, nil
 }
 
 func (c *countingTable) checked() int {
@@ -71,7 +71,7 @@
 	c.watcher = &watcher{
 		daemon: &Relay{clock: c.clock, log: hclog.NewNullLogger()}, name: "routing", table: c.table, view: &view{}, up: true,
 		reads: func() bool { return reads }, checked: func() { c.told <- struct{}{} },
-		change: func(e platform.Entries) { c.changes <- len(e.List) },
+		change: func(e platform.RowSet) { c.changes <- len(e.Rows) },
 	}
 	c.watcher.view.confirm(c.clock.Now())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -101,7 +101,7 @@
 	if got := c.table.checked(); got != 3 {
 		t.Errorf("%d checks, want 3", got)
 	}
-	c.table.set(func() { c.table.changed = []platform.Entry{{Key: "config", Version: proto.Revision{Version: 9}}} })
+	c.table.set(func() { c.table.changed = []platform.Row{{Key: "config", Version: proto.Revision{Version: 9}}} })
 	c.pass(t, checkAfter+checkSpread)
 	if got := <-c.changes; got != 1 {
 		t.Errorf("%d changes, want 1", got)
--- a/serve/relaywatch.go
+++ b/serve/relaywatch.go
@@ -61,10 +61,10 @@
 // storeTable is one table of the store, as a watcher reads it.
 type storeTable interface {
 	// Read returns all rows; it fails with KindUnavailable.
-	Read(ctx context.Context) (platform.Entries, error)
+	Read(ctx context.Context) (platform.RowSet, error)
 	// Watch returns the rows that changed after a version, as soon as there is one or the wait is over. It fails with
 	// KindNotFound when the store has forgotten that version, and else like Read.
-	Watch(ctx context.Context, after proto.Revision, wait time.Duration) (platform.Entries, error)
+	Watch(ctx context.Context, after proto.Revision, wait time.Duration) (platform.RowSet, error)
 }
 
 // watcher keeps up with one table of the store.
@@ -74,8 +74,8 @@
 	table  storeTable
 	pace   time.Duration
 	// whole takes in all rows and reports whether they were new enough; change takes in rows that changed.
-	whole  func(platform.Entries) bool
-	change func(platform.Entries)
+	whole  func(platform.RowSet) bool
+	change func(platform.RowSet)
 	// follows is the watcher that asks first whether the store is back, if it is not this one.
 	follows *watcher
 	// reached says that the store answered this watcher last.
@@ -126,7 +126,7 @@
 // by itself, or the store away for some daemons. A call that got no answer is no sign of that: when all start together, many
 // connections are not made at once.
 func (w *watcher) rest(ctx context.Context, err error, pause time.Duration) {
-	if errors.Is(err, platform.ErrTurnedAway) && !w.daemon.known() && (w.follows != nil && !w.follows.reached.Load() || !w.daemon.isReader()) {
+	if errors.Is(err, platform.ErrRefused) && !w.daemon.known() && (w.follows != nil && !w.follows.reached.Load() || !w.daemon.isReader()) {
 		w.daemon.awaitStore(ctx, followWait)
 		return
 	}
@@ -159,7 +159,7 @@
 type reply struct {
 	asked   time.Time
 	ended   time.Time
-	changed platform.Entries
+	changed platform.RowSet
 	err     error
 }
 
@@ -208,7 +208,7 @@
 		case r := <-held:
 			return w.endWatch(r, version)
 		case r := <-check:
-			if r.err != nil || len(r.changed.List) > 0 {
+			if r.err != nil || len(r.changed.Rows) > 0 {
 				w.noteCheck(r, version)
 				return w.take(r, version)
 			}
@@ -265,7 +265,7 @@
 	if r.err != nil {
 		return version, r.err
 	}
-	if len(r.changed.List) > 0 {
+	if len(r.changed.Rows) > 0 {
 		w.change(r.changed)
 	}
 	w.view.confirm(r.ended)
@@ -276,7 +276,7 @@
 func (w *watcher) noteCheck(r reply, version proto.Revision) {
 	age, _ := w.view.age(w.daemon.clock.Now())
 	w.daemon.log.Info("a check of the store found what its watch had not", "table", w.name, "version", version,
-		"age", age.String(), "changes", len(r.changed.List), "error", r.err)
+		"age", age.String(), "changes", len(r.changed.Rows), "error", r.err)
 }
 
 // note logs when the store is lost or regained.
--- a/serve/relaywatch_test.go
+++ b/serve/relaywatch_test.go
@@ -40,7 +40,7 @@
 	client := platform.NewStore(netip.MustParseAddrPort(strings.TrimPrefix(store.URL, "http://")))
 	w := &watcher{
 		daemon: &Relay{clock: clockwork.NewRealClock(), log: hclog.NewNullLogger()}, name: "routing", table: client.Routing(), view: &view{},
-		whole: func(platform.Entries) bool { return true }, change: func(platform.Entries) {},
+		whole: func(platform.RowSet) bool { return true }, change: func(platform.RowSet) {},
 	}
 	var version proto.Revision
 	for range 5 {
@@ -64,8 +64,8 @@
 		most    time.Duration
 	}{
 		{"no answer", context.DeadlineExceeded, false, retryFirst},
-		{"turned away like the other loop", platform.ErrTurnedAway, false, followWait},
-		{"turned away while the other loop is answered", platform.ErrTurnedAway, true, retryFirst},
+		{"turned away like the other loop", platform.ErrRefused, false, followWait},
+		{"turned away while the other loop is answered", platform.ErrRefused, true, retryFirst},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
--- a/serve/relayzones.go
+++ b/serve/relayzones.go
@@ -11,11 +11,11 @@
 
 // evacuationsOf reads the evacuations among the rows of the operator's table. A row evacuates the zone that its key names as
 // long as it is there; what its body holds changes nothing, but is logged if it is no JSON object.
-func (d *Relay) evacuationsOf(e platform.Entries) []proto.Evacuation {
+func (d *Relay) evacuationsOf(e platform.RowSet) []proto.Evacuation {
 	var list []proto.Evacuation
-	for i := range e.List {
-		row := &e.List[i]
-		zone, ok := row.Evacuates()
+	for i := range e.Rows {
+		row := &e.Rows[i]
+		zone, ok := row.EvacuatedZone()
 		if !ok {
 			if !row.IsRouting() {
 				d.log.Warn("a row of the operator's table is passed over", "key", row.Key, "version", row.Version, "bytes", len(row.Body))
--- a/serve/settings.go
+++ b/serve/settings.go
@@ -118,7 +118,7 @@
 func DefaultSettings() Settings {
 	platform := wire.DefaultPlatformLimits()
 	return Settings{
-		Platform: Platform{Reads: platform.Reads, Writes: platform.Writes, Wait: proto.Duration(platform.Wait)},
+		Platform: Platform{Reads: platform.ReadsPerSecond, Writes: platform.WritesPerSecond, Wait: proto.Duration(platform.CallTimeout)},
 		Limits: Limits{
 			BodyBytes: 1 << 20, HeaderBytes: 16 << 10, OpenRequests: 10_000, BufferedBytes: 256 << 10,
 			ReadWait: proto.Duration(5 * time.Second), WriteWait: proto.Duration(5 * time.Second), Subset: 48,
@@ -143,7 +143,7 @@
 	if err := decoder.Decode(&s); err != nil {
 		return s, &Error{Op: "read settings", Kind: proto.KindInvalid, Err: err}
 	}
-	return s, s.Check()
+	return s, s.Validate()
 }
 
 // LoadSettings reads a file of settings; it fails with KindInvalid or KindNotFound.
@@ -159,8 +159,8 @@
 	return s, nil
 }
 
-// Check returns every fault of the settings in one error.
-func (s *Settings) Check() error {
+// Validate returns every fault of the settings in one error.
+func (s *Settings) Validate() error {
 	var faults []string
 	check := validator.New(validator.WithRequiredStructEnabled())
 	check.RegisterTagNameFunc(jsonName)
--- a/wire/accept.go
+++ b/wire/accept.go
@@ -33,7 +33,7 @@
 	defer conn.CloseNow()
 	l.keep(conn)
 	defer l.forget(conn)
-	conn.SetReadLimit(proto.MaxMessage)
+	conn.SetReadLimit(proto.MaxMessageSize)
 	l.serve(r.Context(), conn, from)
 }
 
--- a/wire/bench_test.go
+++ b/wire/bench_test.go
@@ -76,9 +76,9 @@
 	engine := core.New()
 	engine.Configure(proto.EmptySnapshot().WithFile(1, file), time.Now(), 0)
 	log := hclog.NewNullLogger()
-	driver := NewDriver(engine, clockwork.NewRealClock(), NewTargets(), noClaims{}, log, 1<<20, nil)
-	limits := FrontLimits{Body: 1 << 20, Open: 1000, Buffered: 1 << 20, ReadWait: time.Minute, WriteWait: writeWait}
-	front := httptest.NewServer(NewFront(driver, engine, clockwork.NewRealClock(), log, limits, alwaysOpen{}, 1).Handler())
+	driver := NewDriver(engine, clockwork.NewRealClock(), NewTargetClient(), noClaims{}, log, 1<<20, nil)
+	limits := FrontendLimits{MaxBodyBytes: 1 << 20, MaxOpenRequests: 1000, MaxBufferedBytes: 1 << 20, ReadTimeout: time.Minute, WriteTimeout: writeWait}
+	front := httptest.NewServer(NewFrontend(driver, engine, clockwork.NewRealClock(), log, limits, alwaysOpen{}, 1).Handler())
 	tb.Cleanup(front.Close)
 	return front, engine
 }
--- a/wire/credentials_test.go
+++ b/wire/credentials_test.go
@@ -94,7 +94,7 @@
 
 // servePlain is serveCertified with a key in place of certificates.
 func servePlain(t testing.TB, vm proto.VM, directory map[proto.VM]proto.Alive) *certifiedLinks {
-	return serveLinks(t, LinksConfig{Self: vm, Key: "key"}, directory)
+	return serveLinks(t, LinksConfig{Self: vm, SharedKey: "key"}, directory)
 }
 
 func serveLinks(t testing.TB, config LinksConfig, directory map[proto.VM]proto.Alive) *certifiedLinks {
@@ -116,7 +116,7 @@
 	}
 	t.Cleanup(func() {
 		links.Close()
-		links.Renew()
+		links.Reconnect()
 		listener.Close()
 	})
 	address := listener.URL[strings.LastIndex(listener.URL, "/")+1:]
@@ -228,7 +228,7 @@
 		for _, vm := range vms {
 			step.change(vm)
 			files[vm].reload(credentials[vm])
-			links[vm].Renew()
+			links[vm].Reconnect()
 			for _, from := range vms {
 				to := vms[1]
 				if from == to {
@@ -268,7 +268,7 @@
 	}
 	filesB.write(filesB.files.Revoked, list)
 	filesB.reload(credentialsB)
-	server.Renew()
+	server.Reconnect()
 	for range 3 {
 		if client.asks("b") {
 			t.Fatal("answered although it is revoked")
--- a/wire/driver.go
+++ b/wire/driver.go
@@ -25,7 +25,7 @@
 type Driver struct {
 	engine  *core.Engine
 	clock   clockwork.Clock
-	targets *Targets
+	targets *TargetClient
 	claims  Claims
 	log     hclog.Logger
 	gate    func()
@@ -42,7 +42,7 @@
 }
 
 // NewDriver returns a driver; mostBuffered bounds the bytes that wait for one slow caller, and gate runs before each event.
-func NewDriver(engine *core.Engine, clock clockwork.Clock, targets *Targets, claims Claims, log hclog.Logger, mostBuffered int, gate func()) *Driver {
+func NewDriver(engine *core.Engine, clock clockwork.Clock, targets *TargetClient, claims Claims, log hclog.Logger, mostBuffered int, gate func()) *Driver {
 	if gate == nil {
 		gate = func() {}
 	}
@@ -128,12 +128,12 @@
 	d.waiters[a.ID] = w
 	d.mu.Unlock()
 	a.QuorumLost = a.Key != proto.Key{} && !d.claims.Reachable(a.Key)
-	d.Do(a)
+	d.HandleEvent(a)
 	return w
 }
 
-// Do feeds an event to the engine and carries out what follows.
-func (d *Driver) Do(event core.Event) {
+// HandleEvent feeds an event to the engine and carries out what follows.
+func (d *Driver) HandleEvent(event core.Event) {
 	d.gate()
 	for _, action := range d.engine.Handle(d.clock.Now(), event) {
 		d.carry(action)
@@ -160,7 +160,7 @@
 		d.claims.Settle(a.Key, a.Request, a.Released, a.Answer)
 	case core.Chunk:
 		if w := d.waiter(a.Request); w != nil && w.chunk(a) {
-			go d.Do(core.CallerLeft{Request: a.Request, Slow: true})
+			go d.HandleEvent(core.CallerLeft{Request: a.Request, Slow: true})
 		}
 	case core.Finish:
 		d.mu.Lock()
@@ -184,7 +184,7 @@
 	d.mu.Unlock()
 	go func() {
 		defer d.forget(a.ID, cancel)
-		d.targets.Run(ctx, &a, a.MayRepeat, d.Do)
+		d.targets.Run(ctx, &a, a.MayRepeat, d.HandleEvent)
 	}()
 }
 
@@ -212,7 +212,7 @@
 	if err != nil {
 		d.log.Warn("a KV cache could not be exported", "target", a.Target.Name, "attempt", a.Attempt, "error", err)
 	}
-	d.Do(core.Exported{Attempt: a.Attempt, Handle: handle})
+	d.HandleEvent(core.Exported{Attempt: a.Attempt, Handle: handle})
 }
 
 func (d *Driver) claim(a core.Claim) {
@@ -221,7 +221,7 @@
 		decision, answer := d.claims.Claim(w.ctx, a.Key, w.fingerprint, a.Request)
 		answered.Result, answered.Answer = verdicts[decision], answer
 	}
-	d.Do(answered)
+	d.HandleEvent(answered)
 	if !d.engine.HasRequest(a.Request) && answered.Result == core.ClaimGranted {
 		// The request ended while its key was being claimed, so nothing of the stage ran.
 		d.claims.Settle(a.Key, a.Request, true, nil)
@@ -248,7 +248,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.Chan():
-			d.Do(core.Tick{})
+			d.HandleEvent(core.Tick{})
 		}
 	}
 }
--- a/wire/exchange.go
+++ b/wire/exchange.go
@@ -43,9 +43,9 @@
 	exchangeBuf  = 4 << 10
 )
 
-// Exchange sends requests to targets over connections of its own. It never sends a request twice, and it tells
+// TargetTransport sends requests to targets over connections of its own. It never sends a request twice, and it tells
 // whether any byte was written, which a general client does not.
-type Exchange struct {
+type TargetTransport struct {
 	clock  clockwork.Clock
 	dialer net.Dialer
 
@@ -55,21 +55,21 @@
 	dialed, reused, stray atomic.Int64
 }
 
-// NewExchange returns an exchange without connections.
-func NewExchange(clock clockwork.Clock) *Exchange {
-	return &Exchange{clock: clock, idle: map[netip.AddrPort][]*targetConn{}, dialer: net.Dialer{Timeout: connectWait, KeepAlive: -1}}
+// NewTargetTransport returns an exchange without connections.
+func NewTargetTransport(clock clockwork.Clock) *TargetTransport {
+	return &TargetTransport{clock: clock, idle: map[netip.AddrPort][]*targetConn{}, dialer: net.Dialer{Timeout: connectWait, KeepAlive: -1}}
 }
 
-// ExchangeCounts are totals since the start.
-type ExchangeCounts struct {
+// TransportCounts are totals since the start.
+type TransportCounts struct {
 	Dialed int64 `json:"dialed"`
 	Reused int64 `json:"reused"`
 	Stray  int64 `json:"strayAnswers"`
 }
 
 // Counts returns the totals.
-func (e *Exchange) Counts() ExchangeCounts {
-	return ExchangeCounts{Dialed: e.dialed.Load(), Reused: e.reused.Load(), Stray: e.stray.Load()}
+func (e *TargetTransport) Counts() TransportCounts {
+	return TransportCounts{Dialed: e.dialed.Load(), Reused: e.reused.Load(), Stray: e.stray.Load()}
 }
 
 type targetConn struct {
@@ -99,7 +99,7 @@
 	return err == nil && quiet
 }
 
-func (e *Exchange) take(to netip.AddrPort, once bool) *targetConn {
+func (e *TargetTransport) take(to netip.AddrPort, once bool) *targetConn {
 	now := e.clock.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -120,7 +120,7 @@
 	}
 }
 
-func (e *Exchange) rest(to netip.AddrPort, c *targetConn, h http.Header) {
+func (e *TargetTransport) rest(to netip.AddrPort, c *targetConn, h http.Header) {
 	now := e.clock.Now()
 	c.since, c.used = now, true
 	c.until = now.Add(restTime(h))
@@ -144,8 +144,8 @@
 	return idleMost
 }
 
-// Forget closes the resting connections to an address whose target has ended, which may not have closed them.
-func (e *Exchange) Forget(to netip.AddrPort) {
+// CloseIdle closes the resting connections to an address whose target has ended, which may not have closed them.
+func (e *TargetTransport) CloseIdle(to netip.AddrPort) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, c := range e.idle[to] {
@@ -154,8 +154,8 @@
 	delete(e.idle, to)
 }
 
-// Sweep closes connections that have rested for too long; it comes every second or so.
-func (e *Exchange) Sweep() {
+// CloseExpired closes connections that have rested for too long; it comes every second or so.
+func (e *TargetTransport) CloseExpired() {
 	now := e.clock.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -176,7 +176,7 @@
 	}
 }
 
-func (e *Exchange) connect(ctx context.Context, to netip.AddrPort, once bool) (*targetConn, error) {
+func (e *TargetTransport) connect(ctx context.Context, to netip.AddrPort, once bool) (*targetConn, error) {
 	if c := e.take(to, once); c != nil {
 		e.reused.Add(1)
 		return c, nil
@@ -190,7 +190,7 @@
 }
 
 // Send writes a request and returns the head of its answer; ending the context closes the connection.
-func (e *Exchange) Send(ctx context.Context, to netip.AddrPort, out *relay.TargetRequest) (*relay.TargetResponse, error) {
+func (e *TargetTransport) Send(ctx context.Context, to netip.AddrPort, out *relay.TargetRequest) (*relay.TargetResponse, error) {
 	c, err := e.connect(ctx, to, out.NonIdempotent)
 	if err != nil {
 		return nil, &relay.SendError{Err: err}
@@ -212,7 +212,7 @@
 }
 
 // Refuses tells whether an address turns connections away.
-func (e *Exchange) Refuses(ctx context.Context, to netip.AddrPort) bool {
+func (e *TargetTransport) Refuses(ctx context.Context, to netip.AddrPort) bool {
 	conn, err := e.dialer.DialContext(ctx, "tcp4", to.String())
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
@@ -224,7 +224,7 @@
 
 // exchanged is an answer that is being read, and the connection that it comes on.
 type exchanged struct {
-	exchange *Exchange
+	exchange *TargetTransport
 	to       netip.AddrPort
 	conn     *targetConn
 	stop     func() bool
--- a/wire/exchange_test.go
+++ b/wire/exchange_test.go
@@ -100,7 +100,7 @@
 	return itoa(n/10) + itoa(n%10)
 }
 
-func exchangeOnce(t *testing.T, e *Exchange, to netip.AddrPort, out *relay.TargetRequest) (string, error) {
+func exchangeOnce(t *testing.T, e *TargetTransport, to netip.AddrPort, out *relay.TargetRequest) (string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -115,7 +115,7 @@
 
 func TestAConnectionIsKeptForTheNextRequest(t *testing.T) {
 	target, to := newScripted(t, func(_, _ int, r *http.Request) (string, bool) { return whole(r.Header.Get(headerID), "ok"), false })
-	e := NewExchange(clockwork.NewFakeClock())
+	e := NewTargetTransport(clockwork.NewFakeClock())
 	for _, id := range []string{"a", "b", "c"} {
 		if body, err := exchangeOnce(t, e, to, ask(id, "q")); body != "ok" || err != nil {
 			t.Fatalf("%s: %q, %v", id, body, err)
@@ -133,7 +133,7 @@
 		}
 		return whole(r.Header.Get(headerID), "first"), false
 	})
-	e := NewExchange(clockwork.NewFakeClock())
+	e := NewTargetTransport(clockwork.NewFakeClock())
 	if body, err := exchangeOnce(t, e, to, ask("a", "")); body != "first" || err != nil {
 		t.Fatalf("%q, %v", body, err)
 	}
@@ -153,7 +153,7 @@
 		}
 		return answer, false
 	})
-	e := NewExchange(clockwork.NewFakeClock())
+	e := NewTargetTransport(clockwork.NewFakeClock())
 	for _, id := range []string{"a", "a"} {
 		if body, err := exchangeOnce(t, e, to, ask(id, "")); body != "ok" || err != nil {
 			t.Fatalf("%q, %v", body, err)
@@ -172,7 +172,7 @@
 		}
 		return whole(r.Header.Get(headerID), "ok"), false
 	})
-	e := NewExchange(clockwork.NewFakeClock())
+	e := NewTargetTransport(clockwork.NewFakeClock())
 	if _, err := exchangeOnce(t, e, to, ask("a", "")); err != nil {
 		t.Fatal(err)
 	}
@@ -193,7 +193,7 @@
 	}
 	to := netip.MustParseAddrPort(l.Addr().String())
 	_ = l.Close()
-	_, err = exchangeOnce(t, NewExchange(clockwork.NewFakeClock()), to, ask("a", ""))
+	_, err = exchangeOnce(t, NewTargetTransport(clockwork.NewFakeClock()), to, ask("a", ""))
 	var sendErr *relay.SendError
 	if !errors.As(err, &sendErr) || sendErr.Written {
 		t.Errorf("error %v: nothing was written", err)
@@ -204,7 +204,7 @@
 func TestRequestsThatRunOnceTakeOnlyFreshConnections(t *testing.T) {
 	target, to := newScripted(t, func(_, _ int, r *http.Request) (string, bool) { return whole(r.Header.Get(headerID), "ok"), false })
 	clock := clockwork.NewFakeClock()
-	e := NewExchange(clock)
+	e := NewTargetTransport(clock)
 	once := func(id string) *relay.TargetRequest {
 		out := ask(id, "")
 		out.NonIdempotent = true
@@ -251,7 +251,7 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			_, to := newScripted(t, func(int, int, *http.Request) (string, bool) { return s.answer, true })
-			body, err := exchangeOnce(t, NewExchange(clockwork.NewFakeClock()), to, ask("a", ""))
+			body, err := exchangeOnce(t, NewTargetTransport(clockwork.NewFakeClock()), to, ask("a", ""))
 			if s.body == "" && err == nil || s.body != "" && (err != nil || body != s.body) {
 				t.Errorf("body %q, error %v", body, err)
 			}
@@ -279,7 +279,7 @@
 			_, _ = io.WriteString(conn, whole("a", "early"))
 		}
 	}()
-	e := NewExchange(clockwork.NewFakeClock())
+	e := NewTargetTransport(clockwork.NewFakeClock())
 	to := netip.MustParseAddrPort(l.Addr().String())
 	for range 2 {
 		if body, err := exchangeOnce(t, e, to, ask("a", strings.Repeat("x", 32<<20))); body != "early" || err != nil {
@@ -313,7 +313,7 @@
 		}
 		close(closed)
 	}()
-	_, err = NewExchange(clockwork.NewFakeClock()).Send(ctx, netip.MustParseAddrPort(l.Addr().String()), ask("a", ""))
+	_, err = NewTargetTransport(clockwork.NewFakeClock()).Send(ctx, netip.MustParseAddrPort(l.Addr().String()), ask("a", ""))
 	var sendErr *relay.SendError
 	if !errors.As(err, &sendErr) || !sendErr.Written {
 		t.Errorf("error %v", err)
@@ -324,13 +324,13 @@
 // TestConnectionsToATargetThatEndedAreNotKept has a target end whose resting connections were not closed, as one does
 // whose VM lost power.
 func TestConnectionsToATargetThatEndedAreNotKept(t *testing.T) {
-	e := NewExchange(clockwork.NewFakeClock())
+	e := NewTargetTransport(clockwork.NewFakeClock())
 	to, other := netip.MustParseAddrPort("10.0.0.1:80"), netip.MustParseAddrPort("10.0.0.2:80")
 	near, far := net.Pipe()
 	defer far.Close()
 	e.idle[to] = []*targetConn{{Conn: near}}
 	e.idle[other] = []*targetConn{{}}
-	e.Forget(to)
+	e.CloseIdle(to)
 	if len(e.idle[to]) != 0 || len(e.idle[other]) != 1 {
 		t.Errorf("%d connections rest to the target that ended and %d to another", len(e.idle[to]), len(e.idle[other]))
 	}
--- a/wire/front.go
+++ b/wire/front.go
@@ -34,48 +34,48 @@
 	prefixMostLen = 256
 )
 
-// FrontLimits bound what callers can ask for.
-type FrontLimits struct {
-	Body     int64 // bytes
-	Open     int64 // requests in progress
-	Buffered int   // bytes that wait for one slow caller
-	ReadWait time.Duration
+// FrontendLimits bound what callers can ask for.
+type FrontendLimits struct {
+	MaxBodyBytes     int64 // bytes
+	MaxOpenRequests  int64 // requests in progress
+	MaxBufferedBytes int   // bytes that wait for one slow caller
+	ReadTimeout      time.Duration
 	// WriteWait is how long one write to a caller may take.
-	WriteWait time.Duration
+	WriteTimeout time.Duration
 }
 
-// Gatekeeper tells whether a daemon takes requests.
-type Gatekeeper interface {
+// ReadinessChecker tells whether a daemon takes requests.
+type ReadinessChecker interface {
 	// Ready tells the platform's balancer whether to send requests, and else why not.
 	Ready() (ok bool, reason string)
 	// Accepts returns nil, or why a request that came all the same is refused.
 	Accepts() *proto.Failure
 }
 
-// Front serves callers by HTTP.
-type Front struct {
+// Frontend serves callers by HTTP.
+type Frontend struct {
 	driver *Driver
 	engine *core.Engine
 	clock  clockwork.Clock
 	log    hclog.Logger
-	limits FrontLimits
-	keeper Gatekeeper
+	limits FrontendLimits
+	keeper ReadinessChecker
 	open   atomic.Int64
 
 	mu     sync.Mutex
 	random *rand.Rand
 }
 
-// NewFront returns the callers' side of a daemon; seed makes the identifiers of its requests differ from other daemons'.
-func NewFront(driver *Driver, engine *core.Engine, clock clockwork.Clock, log hclog.Logger, limits FrontLimits, keeper Gatekeeper, seed uint64) *Front {
-	return &Front{
+// NewFrontend returns the callers' side of a daemon; seed makes the identifiers of its requests differ from other daemons'.
+func NewFrontend(driver *Driver, engine *core.Engine, clock clockwork.Clock, log hclog.Logger, limits FrontendLimits, keeper ReadinessChecker, seed uint64) *Frontend {
+	return &Frontend{
 		driver: driver, engine: engine, clock: clock, log: log, limits: limits, keeper: keeper,
 		random: rand.New(rand.NewPCG(seed, uint64(clock.Now().UnixNano()))),
 	}
 }
 
 // Handler returns the callers' routes and those that the platform's balancer asks.
-func (f *Front) Handler() http.Handler {
+func (f *Frontend) Handler() http.Handler {
 	e := echo.New()
 	e.HideBanner = true
 	e.HTTPErrorHandler = f.httpError
@@ -85,17 +85,17 @@
 	return e
 }
 
-func (f *Front) readyz(c echo.Context) error {
+func (f *Frontend) readyz(c echo.Context) error {
 	if ok, reason := f.keeper.Ready(); !ok {
 		return c.String(http.StatusServiceUnavailable, reason+"\n")
 	}
 	return c.String(http.StatusOK, "ready\n")
 }
 
-// Open returns the number of callers' requests in progress.
-func (f *Front) Open() int64 { return f.open.Load() }
+// OpenRequests returns the number of callers' requests in progress.
+func (f *Frontend) OpenRequests() int64 { return f.open.Load() }
 
-func (f *Front) httpError(err error, c echo.Context) {
+func (f *Frontend) httpError(err error, c echo.Context) {
 	failure := &proto.Failure{Kind: proto.FailureBadRequest, Outcome: proto.OutcomeNotRun, Detail: err.Error()}
 	var httpErr *echo.HTTPError
 	if errors.As(err, &httpErr) && (httpErr.Code == http.StatusNotFound || httpErr.Code == http.StatusMethodNotAllowed) {
@@ -107,7 +107,7 @@
 	}
 }
 
-func (f *Front) problem(c echo.Context, failure *proto.Failure, id string) error {
+func (f *Frontend) problem(c echo.Context, failure *proto.Failure, id string) error {
 	if failure.RetryAfter > 0 {
 		c.Response().Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(failure.RetryAfter.Seconds()))))
 	}
@@ -120,8 +120,8 @@
 	return &proto.Failure{Kind: kind, Outcome: proto.OutcomeNotRun, Detail: detail}
 }
 
-func (f *Front) request(c echo.Context) error {
-	if f.open.Add(1) > f.limits.Open {
+func (f *Frontend) request(c echo.Context) error {
+	if f.open.Add(1) > f.limits.MaxOpenRequests {
 		f.open.Add(-1)
 		failure := refusal(proto.FailureOverloaded, "too many requests are in progress")
 		failure.RetryAfter = time.Second
@@ -147,10 +147,10 @@
 }
 
 // read checks everything about a request that can be checked before it is run.
-func (f *Front) read(c echo.Context) (*core.Arrival, *proto.Failure) {
+func (f *Frontend) read(c echo.Context) (*core.Arrival, *proto.Failure) {
 	workspace := c.Param("workspace")
 	if !f.authentic(c.Request(), workspace) {
-		return nil, refusal(proto.FailureForbidden, "the bearer key is not one of the workspace's")
+		return nil, refusal(proto.FailureUnauthorized, "the bearer key is not one of the workspace's")
 	}
 	if failure := f.keeper.Accepts(); failure != nil {
 		return nil, failure
@@ -168,14 +168,14 @@
 	return a, nil
 }
 
-func (f *Front) newID() proto.RequestID {
+func (f *Frontend) newID() proto.RequestID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return core.NewRequestID(f.clock.Now(), f.random)
 }
 
 // authentic looks the key up by its hash; the comparison of the workspace takes the same time whatever it is.
-func (f *Front) authentic(r *http.Request, workspace string) bool {
+func (f *Frontend) authentic(r *http.Request, workspace string) bool {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || key == "" {
 		return false
@@ -210,12 +210,12 @@
 	return nil
 }
 
-func (f *Front) readBody(c echo.Context, a *core.Arrival) *proto.Failure {
-	_ = http.NewResponseController(c.Response()).SetReadDeadline(time.Now().Add(f.limits.ReadWait))
-	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, f.limits.Body))
+func (f *Frontend) readBody(c echo.Context, a *core.Arrival) *proto.Failure {
+	_ = http.NewResponseController(c.Response()).SetReadDeadline(time.Now().Add(f.limits.ReadTimeout))
+	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, f.limits.MaxBodyBytes))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return refusal(proto.FailureTooLarge, "the body is larger than "+strconv.FormatInt(f.limits.Body, 10)+" bytes")
+		return refusal(proto.FailureTooLarge, "the body is larger than "+strconv.FormatInt(f.limits.MaxBodyBytes, 10)+" bytes")
 	}
 	if err != nil {
 		return refusal(proto.FailureBadRequest, "the body did not arrive in time or broke off")
@@ -241,19 +241,19 @@
 }
 
 // answer passes on what comes until the request ends or the caller leaves.
-func (f *Front) answer(c echo.Context, w *Waiter, a *core.Arrival) *proto.Failure {
+func (f *Frontend) answer(c echo.Context, w *Waiter, a *core.Arrival) *proto.Failure {
 	gone := c.Request().Context().Done()
 	for {
 		select {
 		case <-w.Wake():
 		case <-gone:
-			f.driver.Do(core.CallerLeft{Request: a.ID})
+			f.driver.HandleEvent(core.CallerLeft{Request: a.ID})
 			gone = nil
 			continue
 		}
 		chunks, end := w.Take()
 		if err := f.pass(c, chunks); err != nil {
-			f.driver.Do(core.CallerLeft{Request: a.ID, Slow: true})
+			f.driver.HandleEvent(core.CallerLeft{Request: a.ID, Slow: true})
 		}
 		if end == nil {
 			continue
@@ -265,7 +265,7 @@
 }
 
 // pass writes all chunks that have come since the last time, and sends them with one flush.
-func (f *Front) pass(c echo.Context, chunks []core.Chunk) error {
+func (f *Frontend) pass(c echo.Context, chunks []core.Chunk) error {
 	if len(chunks) == 0 {
 		return nil
 	}
@@ -293,7 +293,7 @@
 	Tokens int    `json:"tokens"`
 }
 
-func (f *Front) end(c echo.Context, a *core.Arrival, end *core.Finish) {
+func (f *Frontend) end(c echo.Context, a *core.Arrival, end *core.Finish) {
 	switch {
 	case end.Failure != nil && c.Response().Committed:
 		_ = f.event(c, "error", -1, proto.NewProblem(end.Failure, a.ID.String()))
@@ -306,7 +306,7 @@
 	}
 }
 
-func (f *Front) event(c echo.Context, name string, id int, value any) error {
+func (f *Frontend) event(c echo.Context, name string, id int, value any) error {
 	return f.write(c, func() error {
 		defer c.Response().Flush()
 		return writeEvent(c.Response(), name, id, value)
@@ -314,8 +314,8 @@
 }
 
 // write bounds how long a caller that does not read can hold the handler.
-func (f *Front) write(c echo.Context, fn func() error) error {
-	_ = http.NewResponseController(c.Response()).SetWriteDeadline(time.Now().Add(f.limits.WriteWait))
+func (f *Frontend) write(c echo.Context, fn func() error) error {
+	_ = http.NewResponseController(c.Response()).SetWriteDeadline(time.Now().Add(f.limits.WriteTimeout))
 	return fn()
 }
 
@@ -341,7 +341,7 @@
 }
 
 // WaitIdle waits until no caller's request is in progress; it fails with KindUnavailable when the context ends.
-func (f *Front) WaitIdle(ctx context.Context) error {
+func (f *Frontend) WaitIdle(ctx context.Context) error {
 	ticker := f.clock.NewTicker(20 * time.Millisecond)
 	defer ticker.Stop()
 	for f.open.Load() > 0 {
--- a/wire/keepalive.go
+++ b/wire/keepalive.go
@@ -23,9 +23,9 @@
 // library names it for no system.
 const tcpUserTimeout = 18
 
-// Dialer returns a dialer whose connections fail by themselves when their other end falls silent; timeout bounds the
+// NewDialer returns a dialer whose connections fail by themselves when their other end falls silent; timeout bounds the
 // opening of one.
-func Dialer(timeout time.Duration) *net.Dialer {
+func NewDialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:         timeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: quietProbe, Interval: quietProbe, Count: quietProbes},
--- a/wire/keepalive_test.go
+++ b/wire/keepalive_test.go
@@ -14,7 +14,7 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	conn, err := Dialer(time.Second).DialContext(t.Context(), "tcp4", listener.Addr().String())
+	conn, err := NewDialer(time.Second).DialContext(t.Context(), "tcp4", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/wire/linkauth.go
+++ b/wire/linkauth.go
@@ -37,8 +37,8 @@
 	return subtle.ConstantTimeCompare([]byte(given), []byte("Bearer "+l.key)) == 1
 }
 
-// Renew ends all connections, so that each is made anew with the credentials of now.
-func (l *Links) Renew() {
+// Reconnect ends all connections, so that each is made anew with the credentials of now.
+func (l *Links) Reconnect() {
 	l.mu.Lock()
 	for _, lk := range l.links {
 		lk.cancel()
--- a/wire/links.go
+++ b/wire/links.go
@@ -70,7 +70,7 @@
 type LinksConfig struct {
 	Self proto.VM
 	// Key is the shared key that daemons on loopback authenticate with.
-	Key string
+	SharedKey string
 	// TLS holds the certificate and the authority for mutual authentication, if set.
 	TLS *tls.Config
 	// Credentials are used in place of TLS, if set.
@@ -79,13 +79,13 @@
 	Resolve     func(proto.VM) (proto.Alive, bool)
 	Handle      func(context.Context, proto.VM, proto.Message) proto.Message
 	// Gate runs before each message is taken in.
-	Gate func()
+	BeforeMessage func()
 }
 
 // NewLinks returns links that dial when something is sent.
 func NewLinks(c LinksConfig) *Links {
 	l := &Links{
-		self: c.Self, key: c.Key, tls: c.TLS, log: c.Log, resolve: c.Resolve, handle: c.Handle, gate: c.Gate,
+		self: c.Self, key: c.SharedKey, tls: c.TLS, log: c.Log, resolve: c.Resolve, handle: c.Handle, gate: c.BeforeMessage,
 		links: map[proto.VM]*link{}, cut: map[proto.VM]bool{}, accepted: map[*websocket.Conn]bool{}, refused: map[proto.VM]bool{}, credentials: c.Credentials,
 	}
 	if l.credentials != nil {
@@ -94,7 +94,7 @@
 	if l.gate == nil {
 		l.gate = func() {}
 	}
-	l.client = &http.Client{Transport: &http.Transport{TLSClientConfig: l.tls, DialContext: dialFunc(Dialer(dialTimeout).DialContext).anew(linkConnect)}}
+	l.client = &http.Client{Transport: &http.Transport{TLSClientConfig: l.tls, DialContext: dialFunc(NewDialer(dialTimeout).DialContext).anew(linkConnect)}}
 	return l
 }
 
@@ -110,8 +110,8 @@
 	}
 }
 
-// Cut drops everything to and from a daemon, or stops doing so; tests use it.
-func (l *Links) Cut(vm proto.VM, cut bool) {
+// SetPartitioned drops everything to and from a daemon, or stops doing so; tests use it.
+func (l *Links) SetPartitioned(vm proto.VM, cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut[vm] = cut
@@ -315,7 +315,7 @@
 	if resp.Body != nil {
 		_ = resp.Body.Close()
 	}
-	conn.SetReadLimit(proto.MaxMessage)
+	conn.SetReadLimit(proto.MaxMessageSize)
 	return conn, nil
 }
 
--- a/wire/operator.go
+++ b/wire/operator.go
@@ -30,19 +30,19 @@
 
 // Status is what a daemon tells operators about itself.
 type Status struct {
-	VM         proto.VM            `json:"vm"`
-	Zone       proto.Zone          `json:"zone"`
-	Version    string              `json:"version"`
-	Ready      bool                `json:"ready"`
-	Reason     string              `json:"reason,omitempty"`
-	Generation proto.Generation    `json:"generation"`
-	Open       int64               `json:"openRequests"`
-	StoreSeen  time.Time           `json:"storeSeen"`
-	Daemons    []DaemonStatus      `json:"daemons"`
-	Members    coord.MemberCounts  `json:"members"`
-	Claims     coord.ReplicaCounts `json:"claims"`
-	Links      LinkCounts          `json:"links"`
-	Pools      []core.PoolStatus   `json:"pools"`
+	VM            proto.VM            `json:"vm"`
+	Zone          proto.Zone          `json:"zone"`
+	Version       string              `json:"version"`
+	Ready         bool                `json:"ready"`
+	Reason        string              `json:"reason,omitempty"`
+	Generation    proto.Generation    `json:"generation"`
+	OpenRequests  int64               `json:"openRequests"`
+	LastStoreRead time.Time           `json:"storeSeen"`
+	Daemons       []DaemonStatus      `json:"daemons"`
+	Members       coord.MemberCounts  `json:"members"`
+	Claims        coord.ReplicaCounts `json:"claims"`
+	Links         LinkCounts          `json:"links"`
+	Pools         []core.PoolStatus   `json:"pools"`
 }
 
 // DaemonStatus is how a daemon sees another.
@@ -75,21 +75,21 @@
 	Error string     `json:"error"`
 }
 
-// Operator serves operators by HTTP.
-type Operator struct {
+// OperatorAPI serves operators by HTTP.
+type OperatorAPI struct {
 	node   *coord.Node
 	key    string
 	log    hclog.Logger
 	status func() Status
 }
 
-// NewOperator returns the operators' side of a daemon.
-func NewOperator(node *coord.Node, key string, log hclog.Logger, status func() Status) *Operator {
-	return &Operator{node: node, key: key, log: log, status: status}
+// NewOperatorAPI returns the operators' side of a daemon.
+func NewOperatorAPI(node *coord.Node, key string, log hclog.Logger, status func() Status) *OperatorAPI {
+	return &OperatorAPI{node: node, key: key, log: log, status: status}
 }
 
 // Handler returns the operators' routes.
-func (o *Operator) Handler() http.Handler {
+func (o *OperatorAPI) Handler() http.Handler {
 	e := echo.New()
 	e.HideBanner = true
 	e.Use(o.authenticate)
@@ -103,7 +103,7 @@
 	return e
 }
 
-func (o *Operator) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
+func (o *OperatorAPI) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		given := c.Request().Header.Get("Authorization")
 		if o.key != "" && subtle.ConstantTimeCompare([]byte(given), []byte("Bearer "+o.key)) != 1 {
@@ -113,7 +113,7 @@
 	}
 }
 
-func (o *Operator) config(c echo.Context) error {
+func (o *OperatorAPI) config(c echo.Context) error {
 	snapshot := o.node.Config.Snapshot()
 	s := ConfigStatus{Generation: snapshot.Generation, Files: []FileStatus{}, Stops: []proto.StopPlan{}}
 	for _, change := range o.node.Config.Files() {
@@ -129,7 +129,7 @@
 	return io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, proto.MaxFileSize+1))
 }
 
-func (o *Operator) check(c echo.Context) error {
+func (o *OperatorAPI) check(c echo.Context) error {
 	body, err := readFileBody(c)
 	if err != nil {
 		return c.JSON(http.StatusBadRequest, OperatorError{Kind: proto.KindTooLarge, Error: err.Error()})
@@ -141,7 +141,7 @@
 	return c.JSON(http.StatusOK, coord.ApplyResult{Faults: faults})
 }
 
-func (o *Operator) apply(c echo.Context) error {
+func (o *OperatorAPI) apply(c echo.Context) error {
 	body, err := readFileBody(c)
 	if err != nil {
 		return c.JSON(http.StatusBadRequest, OperatorError{Kind: proto.KindTooLarge, Error: err.Error()})
@@ -159,7 +159,7 @@
 	return o.answer(c, applied, err)
 }
 
-func (o *Operator) planStop(c echo.Context) error {
+func (o *OperatorAPI) planStop(c echo.Context) error {
 	var plan proto.StopPlan
 	if err := c.Bind(&plan); err != nil || plan.VM == "" {
 		return c.JSON(http.StatusBadRequest, OperatorError{Kind: proto.KindInvalid, Error: "a stop plan needs a VM"})
@@ -168,7 +168,7 @@
 	return o.answer(c, applied, err)
 }
 
-func (o *Operator) answer(c echo.Context, applied coord.ApplyResult, err error) error {
+func (o *OperatorAPI) answer(c echo.Context, applied coord.ApplyResult, err error) error {
 	if err != nil {
 		status := http.StatusServiceUnavailable
 		if proto.KindOf(err) == proto.KindUnknown {
--- a/wire/platform.go
+++ b/wire/platform.go
@@ -22,19 +22,19 @@
 
 // PlatformLimits bound what one daemon asks of the platform.
 type PlatformLimits struct {
-	Reads  float64 // a second
-	Writes float64 // a second
-	Burst  int
-	Wait   time.Duration // the longest that one call may take, retries included
+	ReadsPerSecond  float64 // a second
+	WritesPerSecond float64 // a second
+	Burst           int
+	CallTimeout     time.Duration // the longest that one call may take, retries included
 }
 
 // DefaultPlatformLimits returns limits under which eight daemons stay far below the platform's own.
 func DefaultPlatformLimits() PlatformLimits {
-	return PlatformLimits{Reads: 20, Writes: 5, Burst: 20, Wait: 2 * time.Second}
+	return PlatformLimits{ReadsPerSecond: 20, WritesPerSecond: 5, Burst: 20, CallTimeout: 2 * time.Second}
 }
 
-// Platform is a client of the platform's table service, object store and VM list.
-type Platform struct {
+// PlatformClient is a client of the platform's table service, object store and VM list.
+type PlatformClient struct {
 	base    string
 	name    string
 	client  *http.Client
@@ -45,20 +45,20 @@
 	written atomic.Int64
 }
 
-// NewPlatform returns a client; name identifies the daemon to the platform.
-func NewPlatform(base, name string, limits PlatformLimits) *Platform {
-	return &Platform{
+// NewPlatformClient returns a client; name identifies the daemon to the platform.
+func NewPlatformClient(base, name string, limits PlatformLimits) *PlatformClient {
+	return &PlatformClient{
 		base:   base,
 		name:   name,
 		client: &http.Client{},
 		limits: limits,
-		reads:  rate.NewLimiter(rate.Limit(limits.Reads), limits.Burst),
-		writes: rate.NewLimiter(rate.Limit(limits.Writes), limits.Burst),
+		reads:  rate.NewLimiter(rate.Limit(limits.ReadsPerSecond), limits.Burst),
+		writes: rate.NewLimiter(rate.Limit(limits.WritesPerSecond), limits.Burst),
 	}
 }
 
 // Counts returns the reads and writes sent so far.
-func (p *Platform) Counts() (reads, writes int64) { return p.asked.Load(), p.written.Load() }
+func (p *PlatformClient) Counts() (reads, writes int64) { return p.asked.Load(), p.written.Load() }
 
 type platformCall struct {
 	op     string
@@ -70,8 +70,8 @@
 }
 
 // do sends a call. Reads, and writes that were certainly not sent, are tried again with jitter until the wait is over.
-func (p *Platform) do(ctx context.Context, call platformCall) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, p.limits.Wait)
+func (p *PlatformClient) do(ctx context.Context, call platformCall) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, p.limits.CallTimeout)
 	defer cancel()
 	ctx, s := span(ctx, "platform", trace.SpanKindClient, attribute.String("emberlead.op", call.op))
 	policy := backoff.NewExponentialBackOff()
@@ -87,7 +87,7 @@
 			return nil, backoff.Permanent(err)
 		}
 		return data, err
-	}, backoff.WithBackOff(policy), backoff.WithMaxElapsedTime(p.limits.Wait))
+	}, backoff.WithBackOff(policy), backoff.WithMaxElapsedTime(p.limits.CallTimeout))
 	if err != nil && last != nil {
 		err = last
 	}
@@ -98,7 +98,7 @@
 	return data, err
 }
 
-func (p *Platform) once(ctx context.Context, call platformCall) ([]byte, error) {
+func (p *PlatformClient) once(ctx context.Context, call platformCall) ([]byte, error) {
 	limiter, counter := p.reads, &p.asked
 	if call.write {
 		limiter, counter = p.writes, &p.written
@@ -168,20 +168,20 @@
 }
 
 // Read returns a row; one that does not exist has version 0. It fails with KindUnavailable.
-func (p *Platform) Read(ctx context.Context, key string) (proto.Row, error) {
+func (p *PlatformClient) Read(ctx context.Context, key string) (proto.Row, error) {
 	data, err := p.do(ctx, platformCall{op: "read row", method: http.MethodGet, path: proto.PathRows, query: url.Values{"key": {key}}})
 	return decode[proto.Row]("read row", data, err)
 }
 
 // List returns a page of rows in key order. It fails with KindUnavailable.
-func (p *Platform) List(ctx context.Context, prefix, after string, limit int) (proto.RowList, error) {
+func (p *PlatformClient) List(ctx context.Context, prefix, after string, limit int) (proto.RowList, error) {
 	query := url.Values{"prefix": {prefix}, "after": {after}, "limit": {strconv.Itoa(limit)}}
 	data, err := p.do(ctx, platformCall{op: "list rows", method: http.MethodGet, path: proto.PathRows, query: query})
 	return decode[proto.RowList]("list rows", data, err)
 }
 
 // Transact carries out a transaction; it fails with KindConflict, KindUnavailable, or KindUnknown if the answer was lost.
-func (p *Platform) Transact(ctx context.Context, tx proto.Transaction) error {
+func (p *PlatformClient) Transact(ctx context.Context, tx proto.Transaction) error {
 	body, err := json.Marshal(tx)
 	if err != nil {
 		return &Error{Op: "transact", Kind: proto.KindInvalid, Err: err}
@@ -191,7 +191,7 @@
 }
 
 // Put stores an object under its hash; storing it twice is harmless, so a lost answer is tried again.
-func (p *Platform) Put(ctx context.Context, hash string, data []byte) error {
+func (p *PlatformClient) Put(ctx context.Context, hash string, data []byte) error {
 	_, err := p.do(ctx, platformCall{op: "put object", method: http.MethodPut, path: proto.PathObjects + "/" + hash, body: data, write: true})
 	if proto.KindOf(err) == proto.KindUnknown {
 		_, err = p.do(ctx, platformCall{op: "put object", method: http.MethodPut, path: proto.PathObjects + "/" + hash, body: data, write: true})
@@ -200,12 +200,12 @@
 }
 
 // Get returns the object with the hash; it fails with KindNotFound or KindUnavailable.
-func (p *Platform) Get(ctx context.Context, hash string) ([]byte, error) {
+func (p *PlatformClient) Get(ctx context.Context, hash string) ([]byte, error) {
 	return p.do(ctx, platformCall{op: "get object", method: http.MethodGet, path: proto.PathObjects + "/" + hash})
 }
 
 // VMs returns the platform's VM list, which is late. It fails with KindUnavailable.
-func (p *Platform) VMs(ctx context.Context) (proto.VMList, error) {
+func (p *PlatformClient) VMs(ctx context.Context) (proto.VMList, error) {
 	data, err := p.do(ctx, platformCall{op: "list vms", method: http.MethodGet, path: proto.PathVMs})
 	return decode[proto.VMList]("list vms", data, err)
 }
--- a/wire/severed_test.go
+++ b/wire/severed_test.go
@@ -97,7 +97,7 @@
 func TestALinkThatFallsSilentIsMadeAnew(t *testing.T) {
 	var heard atomic.Int64
 	other := NewLinks(LinksConfig{
-		Self: "b", Key: "k", Log: hclog.NewNullLogger(), Resolve: func(proto.VM) (proto.Alive, bool) { return proto.Alive{}, false },
+		Self: "b", SharedKey: "k", Log: hclog.NewNullLogger(), Resolve: func(proto.VM) (proto.Alive, bool) { return proto.Alive{}, false },
 		Handle: func(context.Context, proto.VM, proto.Message) proto.Message {
 			heard.Add(1)
 			return proto.Done{}
@@ -107,7 +107,7 @@
 	t.Cleanup(server.Close)
 	path := newSeverable(t, server.Listener.Addr().String())
 	l := NewLinks(LinksConfig{
-		Self: "a", Key: "k", Log: hclog.NewNullLogger(), Handle: func(context.Context, proto.VM, proto.Message) proto.Message { return proto.Done{} },
+		Self: "a", SharedKey: "k", Log: hclog.NewNullLogger(), Handle: func(context.Context, proto.VM, proto.Message) proto.Message { return proto.Done{} },
 		Resolve: func(proto.VM) (proto.Alive, bool) {
 			return proto.Alive{VM: "b", Peer: netip.MustParseAddrPort(path.listener.Addr().String())}, true
 		},
--- a/wire/targets.go
+++ b/wire/targets.go
@@ -44,23 +44,23 @@
 	return c.Conn.Write(p)
 }
 
-// Targets runs attempts at targets by HTTP.
-type Targets struct {
+// TargetClient runs attempts at targets by HTTP.
+type TargetClient struct {
 	reused *http.Client
 	fresh  *http.Client
 	life   context.Context
 	abort  context.CancelFunc
 }
 
-// NewTargets returns a client of targets.
-func NewTargets() *Targets {
-	t := &Targets{reused: targetClient(false), fresh: targetClient(true)}
+// NewTargetClient returns a client of targets.
+func NewTargetClient() *TargetClient {
+	t := &TargetClient{reused: targetClient(false), fresh: targetClient(true)}
 	t.life, t.abort = context.WithCancel(context.Background())
 	return t
 }
 
 // Abort breaks all connections to targets, as the end of the process would.
-func (t *Targets) Abort() { t.abort() }
+func (t *TargetClient) Abort() { t.abort() }
 
 func targetClient(fresh bool) *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
@@ -103,7 +103,7 @@
 }
 
 // Run carries out an attempt and feeds chunks and its end to emit; the end is the last event.
-func (t *Targets) Run(ctx context.Context, start *core.Start, mayRepeat bool, emit func(core.Event)) {
+func (t *TargetClient) Run(ctx context.Context, start *core.Start, mayRepeat bool, emit func(core.Event)) {
 	ctx, s := span(ctx, "attempt", trace.SpanKindClient,
 		attribute.String("emberlead.stage", start.Stage.Name),
 		attribute.String("emberlead.target", start.Target.Name),
@@ -118,7 +118,7 @@
 	emit(ended)
 }
 
-func (t *Targets) run(ctx context.Context, start *core.Start, mayRepeat bool, emit func(core.Event)) core.AttemptEnded {
+func (t *TargetClient) run(ctx context.Context, start *core.Start, mayRepeat bool, emit func(core.Event)) core.AttemptEnded {
 	ctx, cancel := context.WithDeadline(ctx, start.Deadline.Add(attemptAllowance))
 	defer cancel()
 	defer context.AfterFunc(t.life, cancel)()
@@ -181,7 +181,7 @@
 	return (&url.URL{Scheme: "http", Host: address.String(), Path: path}).String()
 }
 
-func (t *Targets) read(resp *http.Response, start *core.Start, emit func(core.Event)) core.AttemptEnded {
+func (t *TargetClient) read(resp *http.Response, start *core.Start, emit func(core.Event)) core.AttemptEnded {
 	if resp.StatusCode != http.StatusOK {
 		return readRefusal(resp)
 	}
@@ -272,7 +272,7 @@
 }
 
 // Cancel tells a target that an attempt is no longer wanted; a failure is of no consequence, since its answer is dropped anyway.
-func (t *Targets) Cancel(ctx context.Context, address netip.AddrPort, attempt proto.AttemptID) {
+func (t *TargetClient) Cancel(ctx context.Context, address netip.AddrPort, attempt proto.AttemptID) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	u := targetURL(address, proto.PathCancel) + "?attempt=" + url.QueryEscape(attempt.String())
@@ -280,7 +280,7 @@
 }
 
 // Load reads a target's load report; it fails with KindUnavailable.
-func (t *Targets) Load(ctx context.Context, address netip.AddrPort) (proto.Load, error) {
+func (t *TargetClient) Load(ctx context.Context, address netip.AddrPort) (proto.Load, error) {
 	var load proto.Load
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
@@ -295,11 +295,11 @@
 }
 
 // CacheEvents reads a target's cache events after a sequence number; it fails with KindUnavailable.
-func (t *Targets) CacheEvents(ctx context.Context, address netip.AddrPort, after uint64) ([]proto.CacheEvent, error) {
+func (t *TargetClient) CacheEvents(ctx context.Context, address netip.AddrPort, after uint64) ([]proto.CacheEvent, error) {
 	var events []proto.CacheEvent
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	data, err := t.control(ctx, http.MethodGet, targetURL(address, proto.PathCaches)+"?after="+strconv.FormatUint(after, 10), nil)
+	data, err := t.control(ctx, http.MethodGet, targetURL(address, proto.PathCacheEvents)+"?after="+strconv.FormatUint(after, 10), nil)
 	if err != nil {
 		return nil, err
 	}
@@ -310,7 +310,7 @@
 }
 
 // Export asks a target to export the KV cache of an attempt and returns its handle; it fails with KindUnavailable.
-func (t *Targets) Export(ctx context.Context, address netip.AddrPort, attempt proto.AttemptID) (string, error) {
+func (t *TargetClient) Export(ctx context.Context, address netip.AddrPort, attempt proto.AttemptID) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	data, err := t.control(ctx, http.MethodPost, targetURL(address, proto.PathExport)+"?attempt="+url.QueryEscape(attempt.String()), nil)
@@ -325,25 +325,25 @@
 }
 
 // Order sends a fenced order; it fails with KindDenied if the target has seen a newer epoch.
-func (t *Targets) Order(ctx context.Context, address netip.AddrPort, order proto.Order) error {
+func (t *TargetClient) Order(ctx context.Context, address netip.AddrPort, order proto.Order) error {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	body, err := json.Marshal(order)
 	if err != nil {
 		return &Error{Op: "encode order", Kind: proto.KindInvalid, Err: err}
 	}
-	_, err = t.control(ctx, http.MethodPost, targetURL(address, proto.PathOrder), body)
+	_, err = t.control(ctx, http.MethodPost, targetURL(address, proto.PathOrders), body)
 	return err
 }
 
-// Ask sends a request outside the targets' protocol, as trials by hand do; it fails with KindUnavailable.
-func (t *Targets) Ask(ctx context.Context, method string, address netip.AddrPort, path string, body []byte) ([]byte, error) {
+// SendRequest sends a request outside the targets' protocol, as trials by hand do; it fails with KindUnavailable.
+func (t *TargetClient) SendRequest(ctx context.Context, method string, address netip.AddrPort, path string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	return t.control(ctx, method, targetURL(address, path), body)
 }
 
-func (t *Targets) control(ctx context.Context, method, u string, body []byte) ([]byte, error) {
+func (t *TargetClient) control(ctx context.Context, method, u string, body []byte) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, u, bytes.NewReader(body))
 	if err != nil {
 		return nil, &Error{Op: "control", Kind: proto.KindInvalid, Err: err}
--- a/wire/trace.go
+++ b/wire/trace.go
@@ -28,8 +28,8 @@
 
 var propagator = propagation.TraceContext{}
 
-// Tracing returns a tracer provider for an exporter, whose Shutdown sends what is left; it fails with KindInvalid.
-func Tracing(ctx context.Context, exporter Exporter, endpoint string, fraction float64) (*sdktrace.TracerProvider, error) {
+// NewTracerProvider returns a tracer provider for an exporter, whose Shutdown sends what is left; it fails with KindInvalid.
+func NewTracerProvider(ctx context.Context, exporter Exporter, endpoint string, fraction float64) (*sdktrace.TracerProvider, error) {
 	sampler := sdktrace.ParentBased(sdktrace.TraceIDRatioBased(fraction))
 	switch exporter {
 	case ExporterStdout:
@@ -48,8 +48,8 @@
 	return sdktrace.NewTracerProvider(sdktrace.WithSampler(sdktrace.NeverSample())), nil
 }
 
-// SetTracing makes a provider the one that all spans go to.
-func SetTracing(provider *sdktrace.TracerProvider) { otel.SetTracerProvider(provider) }
+// SetTracerProvider makes a provider the one that all spans go to.
+func SetTracerProvider(provider *sdktrace.TracerProvider) { otel.SetTracerProvider(provider) }
 
 func span(ctx context.Context, name string, kind trace.SpanKind, attrs ...attribute.KeyValue) (context.Context, trace.Span) {
 	return otel.Tracer(tracerName).Start(ctx, name, trace.WithSpanKind(kind), trace.WithAttributes(attrs...))
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -38,9 +38,9 @@
 		status                int
 		kind                  proto.FailureKind
 	}{
-		{"no key", "w/services/s", "", "{}", nil, 401, proto.FailureForbidden},
-		{"wrong key", "w/services/s", "nope", "{}", nil, 401, proto.FailureForbidden},
-		{"another workspace", "x/services/s", "key", "{}", nil, 401, proto.FailureForbidden},
+		{"no key", "w/services/s", "", "{}", nil, 401, proto.FailureUnauthorized},
+		{"wrong key", "w/services/s", "nope", "{}", nil, 401, proto.FailureUnauthorized},
+		{"another workspace", "x/services/s", "key", "{}", nil, 401, proto.FailureUnauthorized},
 		{"no such service", "w/services/none", "key", "{}", nil, 404, proto.FailureNotFound},
 		{"not JSON", "w/services/s", "key", "{", nil, 400, proto.FailureBadRequest},
 		{"too large", "w/services/s", "key", `"` + strings.Repeat("x", 1<<20) + `"`, nil, 413, proto.FailureTooLarge},
@@ -82,7 +82,7 @@
 func runOnce(address netip.AddrPort, mayRepeat bool) core.AttemptEnded {
 	var last core.AttemptEnded
 	start := &core.Start{ID: proto.AttemptID{Request: uuid.New(), Number: 1}, Target: proto.Target{Address: address}, Input: []byte("{}"), Deadline: time.Now().Add(2 * time.Second)}
-	NewTargets().Run(context.Background(), start, mayRepeat, func(ev core.Event) {
+	NewTargetClient().Run(context.Background(), start, mayRepeat, func(ev core.Event) {
 		if ended, ok := ev.(core.AttemptEnded); ok {
 			last = ended
 		}
@@ -152,8 +152,8 @@
 	server := httptest.NewServer(fakes.NewPlatform(store).Handler())
 	defer server.Close()
 	limits := DefaultPlatformLimits()
-	limits.Wait = 300 * time.Millisecond
-	p := NewPlatform(server.URL, "test", limits)
+	limits.CallTimeout = 300 * time.Millisecond
+	p := NewPlatformClient(server.URL, "test", limits)
 	ctx := context.Background()
 	write := func(version uint64) error {
 		return p.Transact(ctx, proto.Transaction{
@@ -161,7 +161,7 @@
 			Writes:     []proto.Write{{Key: "a", Value: []byte("x")}},
 		})
 	}
-	store.LoseAnswers(1)
+	store.LoseResponses(1)
 	if kind := proto.KindOf(write(0)); kind != proto.KindUnknown {
 		t.Fatalf("lost answer: %q", kind)
 	}
@@ -187,13 +187,13 @@
 	answer := func(_ context.Context, from proto.VM, _ proto.Message) proto.Message {
 		return proto.ChangesAnswer{Generation: proto.Generation(len(from))}
 	}
-	server := NewLinks(LinksConfig{Self: "b", Key: "right", Log: hclog.NewNullLogger(), Handle: answer})
+	server := NewLinks(LinksConfig{Self: "b", SharedKey: "right", Log: hclog.NewNullLogger(), Handle: answer})
 	listener := httptest.NewServer(server.Handler())
 	defer listener.Close()
 	resolve := func(proto.VM) (proto.Alive, bool) { return proto.Alive{Peer: addressOf(listener.URL)}, true }
 	for key, want := range map[string]bool{"right": true, "wrong": false, "": false} {
 		var log bytes.Buffer
-		client := NewLinks(LinksConfig{Self: "abc", Key: key, Log: hclog.New(&hclog.LoggerOptions{Output: &log}), Resolve: resolve, Handle: answer})
+		client := NewLinks(LinksConfig{Self: "abc", SharedKey: key, Log: hclog.New(&hclog.LoggerOptions{Output: &log}), Resolve: resolve, Handle: answer})
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		m, err := client.Call(ctx, "b", proto.ChangesAsk{})
 		cancel()
@@ -211,8 +211,8 @@
 // Each hop has a span in the caller's trace, and the target is given the context.
 func TestTraceGoesThrough(t *testing.T) {
 	recorder := tracetest.NewSpanRecorder()
-	SetTracing(sdktrace.NewTracerProvider(sdktrace.WithSpanProcessor(recorder)))
-	defer SetTracing(sdktrace.NewTracerProvider(sdktrace.WithSampler(sdktrace.NeverSample())))
+	SetTracerProvider(sdktrace.NewTracerProvider(sdktrace.WithSpanProcessor(recorder)))
+	defer SetTracerProvider(sdktrace.NewTracerProvider(sdktrace.WithSampler(sdktrace.NeverSample())))
 	front := newBenchFront(t, 1)
 	req, err := http.NewRequest(http.MethodPost, front.URL+"/v1/workspaces/w/services/s/requests", strings.NewReader("{}"))
 	if err != nil {
