--- a/serve/daemon.go
+++ b/serve/daemon.go
@@ -31,25 +31,25 @@
 	log      hclog.Logger
 	gate     func()
 
-	engine   *core.Engine
-	node     *coord.Node
-	links    *wire.Links
-	targets  *wire.TargetClient
-	platform *wire.PlatformClient
-	driver   *wire.Driver
-	front    *wire.Frontend
-	loads    *loadReader
-	orders   *coord.PlacementController
-
-	callers   net.Listener
-	peers     net.Listener
-	operators net.Listener
-	servers   []*http.Server
-
-	unready  atomic.Bool
-	refusing atomic.Bool
-	stopOnce sync.Once
-	stop     chan struct{}
+	engine       *core.Engine
+	node         *coord.Node
+	links        *wire.Links
+	targetClient *wire.TargetClient
+	platform     *wire.PlatformClient
+	driver       *wire.Driver
+	frontend     *wire.Frontend
+	loads        *loadCollector
+	placement    *coord.PlacementController
+
+	callerListener   net.Listener
+	peerListener     net.Listener
+	operatorListener net.Listener
+	servers          []*http.Server
+
+	unready   atomic.Bool
+	rejecting atomic.Bool
+	stopOnce  sync.Once
+	stop      chan struct{}
 }
 
 // Option changes a Daemon at construction.
@@ -78,13 +78,13 @@
 
 func (d *Daemon) listen() error {
 	var err error
-	if d.callers, err = openListener(d.settings.Callers.Listen); err != nil {
+	if d.callerListener, err = openListener(d.settings.Callers.Listen); err != nil {
 		return err
 	}
-	if d.peers, err = openListener(d.settings.Peers.Listen); err != nil {
+	if d.peerListener, err = openListener(d.settings.Peers.Listen); err != nil {
 		return err
 	}
-	d.operators, err = openListener(d.settings.Operators.Listen)
+	d.operatorListener, err = openListener(d.settings.Operators.Listen)
 	return err
 }
 
@@ -101,13 +101,13 @@
 }
 
 // CallerAddr returns the address of the callers' listener.
-func (d *Daemon) CallerAddr() netip.AddrPort { return addrOf(d.callers) }
+func (d *Daemon) CallerAddr() netip.AddrPort { return addrOf(d.callerListener) }
 
 // PeerAddr returns the address of the peers' listener.
-func (d *Daemon) PeerAddr() netip.AddrPort { return addrOf(d.peers) }
+func (d *Daemon) PeerAddr() netip.AddrPort { return addrOf(d.peerListener) }
 
 // OperatorAddr returns the address of the operators' listener.
-func (d *Daemon) OperatorAddr() netip.AddrPort { return addrOf(d.operators) }
+func (d *Daemon) OperatorAddr() netip.AddrPort { return addrOf(d.operatorListener) }
 
 // Node returns the daemon's part in acting together with the others.
 func (d *Daemon) Node() *coord.Node { return d.node }
@@ -133,9 +133,9 @@
 		advertised = d.PeerAddr()
 	}
 	d.engine = core.New(core.WithZone(s.Zone), core.WithSeed(seed))
-	d.targets = wire.NewTargetClient()
+	d.targetClient = wire.NewTargetClient()
 	d.platform = wire.NewPlatformClient(s.Platform.Address, string(s.VM), wire.PlatformLimits{
-		ReadsPerSecond: s.Platform.Reads, WritesPerSecond: s.Platform.Writes, Burst: wire.DefaultPlatformLimits().Burst, CallTimeout: s.Platform.Wait.Std(),
+		ReadsPerSecond: s.Platform.ReadsPerSecond, WritesPerSecond: s.Platform.WritesPerSecond, Burst: wire.DefaultPlatformLimits().Burst, CallTimeout: s.Platform.CallTimeout.Std(),
 	})
 	d.links = wire.NewLinks(wire.LinksConfig{
 		Self: s.VM, SharedKey: s.Peers.SharedKey, TLS: peerTLS, Log: d.log.Named("links"), BeforeMessage: d.gate,
@@ -150,13 +150,13 @@
 	}
 	deps := coord.Deps{Self: self, Clock: d.clock, Log: d.log.Named("node"), Platform: d.platform, Peers: d.links}
 	d.node = coord.NewNode(deps, d.nodeOptions()...)
-	d.orders = coord.NewPlacementController(deps, d.node, d.targets, core.NewPlacement(core.DefaultPlacementTuning()), coord.DefaultLeaseTiming())
-	d.driver = wire.NewDriver(d.engine, d.clock, d.targets, d.node.Claimer, d.log.Named("driver"), s.Limits.BufferedBytes, d.gate)
-	d.front = wire.NewFrontend(d.driver, d.engine, d.clock, d.log.Named("front"), wire.FrontendLimits{
+	d.placement = coord.NewPlacementController(deps, d.node, d.targetClient, core.NewPlacement(core.DefaultPlacementTuning()), coord.DefaultLeaseTiming())
+	d.driver = wire.NewDriver(d.engine, d.clock, d.targetClient, d.node.Claimer, d.log.Named("driver"), s.Limits.BufferedBytes, d.gate)
+	d.frontend = wire.NewFrontend(d.driver, d.engine, d.clock, d.log.Named("front"), wire.FrontendLimits{
 		MaxBodyBytes: s.Limits.BodyBytes, MaxOpenRequests: s.Limits.OpenRequests, MaxBufferedBytes: s.Limits.BufferedBytes,
-		ReadTimeout: s.Limits.ReadWait.Std(), WriteTimeout: s.Limits.WriteWait.Std(),
+		ReadTimeout: s.Limits.ReadTimeout.Std(), WriteTimeout: s.Limits.WriteTimeout.Std(),
 	}, d, seed)
-	d.loads = newLoadReader(d)
+	d.loads = newLoadCollector(d)
 	return nil
 }
 
@@ -165,35 +165,35 @@
 	member := coord.DefaultMemberTiming()
 	member.HeartbeatInterval, member.SilenceTimeout = t.Heartbeat.Std(), t.Silence.Std()
 	claim := coord.DefaultClaimTiming()
-	claim.Retention = t.Retention.Std()
+	claim.Retention = t.KeyRetention.Std()
 	node := coord.DefaultNodeTiming()
-	node.PollInterval, node.RosterInterval = t.PollStore.Std(), t.ReviseWait.Std()
+	node.PollInterval, node.RosterInterval = t.PollInterval.Std(), t.RosterInterval.Std()
 	return []coord.NodeOption{
 		coord.WithMemberTiming(member), coord.WithClaimTiming(claim), coord.WithNodeTiming(node),
-		coord.WithSnapshotHandler(d.adopted),
+		coord.WithSnapshotHandler(d.applySnapshot),
 		coord.WithReportHandlers(
-			func(rows []proto.UsageRow) { d.takeUsage(rows) },
-			func(loads proto.Loads) { d.loads.take(loads) },
+			func(rows []proto.UsageRow) { d.recordUsage(rows) },
+			func(loads proto.Loads) { d.loads.apply(loads) },
 		),
-		coord.WithDemandHandler(func(rows []proto.DemandRow) { d.orders.AddDemand(rows) }),
+		coord.WithDemandHandler(func(rows []proto.DemandRow) { d.placement.AddDemand(rows) }),
 	}
 }
 
 // adopted puts a snapshot in force here, with the targets that this daemon uses.
-func (d *Daemon) adopted(s *proto.Snapshot) {
-	mine := *s
-	mine.Pools = make(map[string]*proto.Pool, len(s.Pools))
+func (d *Daemon) applySnapshot(s *proto.Snapshot) {
+	subset := *s
+	subset.Pools = make(map[string]*proto.Pool, len(s.Pools))
 	for name, pool := range s.Pools {
-		own := *pool
-		own.Targets = coord.Subset(d.settings.VM, d.settings.Zone, pool.Targets, d.settings.Limits.Subset)
-		mine.Pools[name] = &own
+		subsetPool := *pool
+		subsetPool.Targets = coord.Subset(d.settings.VM, d.settings.Zone, pool.Targets, d.settings.Limits.Subset)
+		subset.Pools[name] = &subsetPool
 	}
-	if d.engine.Configure(&mine, d.clock.Now(), d.settings.Timing.StopLead.Std()) {
+	if d.engine.Configure(&subset, d.clock.Now(), d.settings.Timing.StopLead.Std()) {
 		d.log.Info("configuration is in force", "generation", s.Generation)
 	}
 }
 
-func (d *Daemon) takeUsage(rows []proto.UsageRow) {
+func (d *Daemon) recordUsage(rows []proto.UsageRow) {
 	for _, row := range rows {
 		d.driver.HandleEvent(core.UsageReported{Pool: row.Pool, Workspace: row.Workspace, Spent: row.Spent})
 	}
@@ -212,7 +212,7 @@
 	now := d.clock.Now()
 	failure := &proto.Failure{Outcome: proto.OutcomeNotRun, RetryAfter: time.Second}
 	switch {
-	case d.refusing.Load():
+	case d.rejecting.Load():
 		failure.Kind, failure.Detail = proto.FailureStopping, "the daemon is stopping"
 	case !d.node.Config.Synced():
 		failure.Kind, failure.Detail = proto.FailureIsolated, "the daemon does not know its configuration yet"
@@ -229,14 +229,14 @@
 
 // Kill ends the daemon at once, as a crash would; Run need not return after it.
 func (d *Daemon) Kill() {
-	for _, l := range []net.Listener{d.callers, d.peers, d.operators} {
+	for _, l := range []net.Listener{d.callerListener, d.peerListener, d.operatorListener} {
 		_ = l.Close()
 	}
 	for _, s := range d.servers {
 		_ = s.Close()
 	}
 	d.links.Close()
-	d.targets.Abort()
+	d.targetClient.Abort()
 }
 
 // Run serves until Stop is called or the context ends, and then stops in order.
@@ -244,12 +244,12 @@
 	var g run.Group
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	d.publish()
+	d.publishVars()
 	if err := d.addServers(&g); err != nil {
 		return err
 	}
-	work, endWork := context.WithCancel(context.WithoutCancel(ctx))
-	defer endWork()
+	work, cancelWork := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancelWork()
 	d.addLoops(work, &g)
 	g.Add(func() error {
 		select {
@@ -276,33 +276,33 @@
 }
 
 // drain stops in order: /readyz fails, others take over what the daemon owns, then new requests are refused and those in progress end.
-func (d *Daemon) drain(work context.Context) {
+func (d *Daemon) drain(parent context.Context) {
 	d.log.Info("stopping")
 	d.unready.Store(true)
 	d.node.Stop()
-	d.wait(work, d.settings.Timing.Unready.Std())
-	d.refusing.Store(true)
-	ctx, cancel := context.WithTimeout(work, d.settings.Timing.Drain.Std())
+	d.sleep(parent, d.settings.Timing.UnreadyTime.Std())
+	d.rejecting.Store(true)
+	ctx, cancel := context.WithTimeout(parent, d.settings.Timing.DrainTimeout.Std())
 	defer cancel()
-	if err := d.front.WaitIdle(ctx); err != nil {
+	if err := d.frontend.WaitIdle(ctx); err != nil {
 		d.log.Warn("stopping with requests in progress", "error", err)
 	}
-	d.handOver(work)
+	d.handOver(parent)
 }
 
-const handOverMost = 6 * time.Second
+const maxHandOverTime = 6 * time.Second
 
 // handOver waits until others keep the claims that this daemon kept; with the store out that cannot be, and most of each group remains.
-func (d *Daemon) handOver(work context.Context) {
-	deadline := d.clock.Now().Add(handOverMost)
+func (d *Daemon) handOver(ctx context.Context) {
+	deadline := d.clock.Now().Add(maxHandOverTime)
 	for d.clock.Now().Before(deadline) && d.node.HasTransferableClaims() {
-		d.wait(work, 100*time.Millisecond)
+		d.sleep(ctx, 100*time.Millisecond)
 	}
 }
 
-func (d *Daemon) wait(ctx context.Context, length time.Duration) {
+func (d *Daemon) sleep(ctx context.Context, duration time.Duration) {
 	select {
-	case <-d.clock.After(length):
+	case <-d.clock.After(duration):
 	case <-ctx.Done():
 	}
 }
@@ -325,19 +325,19 @@
 		listener net.Listener
 		server   *http.Server
 	}{
-		{d.callers, &http.Server{Handler: d.front.Handler(), TLSConfig: callerTLS, MaxHeaderBytes: d.settings.Limits.HeaderBytes}},
-		{d.peers, &http.Server{Handler: d.links.Handler(), TLSConfig: peerTLS}},
-		{d.operators, &http.Server{Handler: operator.Handler(), TLSConfig: operatorTLS}},
+		{d.callerListener, &http.Server{Handler: d.frontend.Handler(), TLSConfig: callerTLS, MaxHeaderBytes: d.settings.Limits.HeaderBytes}},
+		{d.peerListener, &http.Server{Handler: d.links.Handler(), TLSConfig: peerTLS}},
+		{d.operatorListener, &http.Server{Handler: operator.Handler(), TLSConfig: operatorTLS}},
 	} {
 		d.addServer(g, s.listener, s.server)
 	}
 	return nil
 }
 
-const shutdownWait = 2 * time.Second
+const shutdownTimeout = 2 * time.Second
 
 func (d *Daemon) addServer(g *run.Group, l net.Listener, s *http.Server) {
-	s.ReadHeaderTimeout = d.settings.Limits.ReadWait.Std()
+	s.ReadHeaderTimeout = d.settings.Limits.ReadTimeout.Std()
 	d.servers = append(d.servers, s)
 	s.ErrorLog = d.log.StandardLogger(&hclog.StandardLoggerOptions{InferLevels: true})
 	g.Add(func() error {
@@ -346,7 +346,7 @@
 		}
 		return s.Serve(l)
 	}, func(error) {
-		ctx, cancel := context.WithTimeout(context.Background(), shutdownWait)
+		ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
 		wire.Shutdown(ctx, s)
 	})
@@ -357,7 +357,7 @@
 	ready, reason := d.Ready()
 	s := wire.Status{
 		VM: d.settings.VM, Zone: d.settings.Zone, Version: Version, Ready: ready, Reason: reason,
-		Generation: d.node.Config.Generation(), OpenRequests: d.front.OpenRequests(), LastStoreRead: d.node.LastStoreRead(),
+		Generation: d.node.Config.Generation(), OpenRequests: d.frontend.OpenRequests(), LastStoreRead: d.node.LastStoreRead(),
 		Members: d.node.Members.Counts(), Claims: d.node.Replica.Counts(), Links: d.links.Counts(), Pools: d.engine.Pools(now),
 	}
 	for _, alive := range d.node.Members.Live() {
@@ -370,22 +370,22 @@
 type Vars struct {
 	core.Report
 	Generation     proto.Generation      `json:"generation"`
-	Open           int64                 `json:"openRequests"`
+	OpenRequests   int64                 `json:"openRequests"`
 	Members        coord.MemberCounts    `json:"members"`
 	Claims         coord.ReplicaCounts   `json:"claims"`
 	Links          wire.LinkCounts       `json:"links"`
-	Orders         coord.PlacementCounts `json:"orders"`
+	Placement      coord.PlacementCounts `json:"orders"`
 	PlatformReads  int64                 `json:"platformReads"`
 	PlatformWrites int64                 `json:"platformWrites"`
 }
 
-func (d *Daemon) publish() {
+func (d *Daemon) publishVars() {
 	wire.PublishVars(string(d.settings.VM), func() any {
 		reads, writes := d.platform.Counts()
 		return Vars{
-			Report: d.engine.Stats().Report(), Generation: d.node.Config.Generation(), Open: d.front.OpenRequests(),
+			Report: d.engine.Stats().Report(), Generation: d.node.Config.Generation(), OpenRequests: d.frontend.OpenRequests(),
 			Members: d.node.Members.Counts(), Claims: d.node.Replica.Counts(), Links: d.links.Counts(),
-			Orders: d.orders.Counts(), PlatformReads: reads, PlatformWrites: writes,
+			Placement: d.placement.Counts(), PlatformReads: reads, PlatformWrites: writes,
 		}
 	})
 }
--- a/serve/logsink.go
+++ b/serve/logsink.go
@@ -9,24 +9,24 @@
 
 const (
 	// logLines is how many lines may wait for the reader of the log: some seconds of a busy daemon.
-	logLines = 4096
+	maxQueuedLines = 4096
 	// logReport is how often dropped lines are reported.
-	logReport = time.Second
+	dropReportInterval = time.Second
 )
 
 // LogSink writes log lines without ever holding up who logs: when the reader is slow, lines are dropped and counted.
 type LogSink struct {
-	lines   chan []byte
-	dropped atomic.Int64
-	total   atomic.Int64
-	done    chan struct{}
+	lines           chan []byte
+	unreportedDrops atomic.Int64
+	totalDrops      atomic.Int64
+	done            chan struct{}
 }
 
 // NewLogSink returns a sink that writes to out from a goroutine of its own.
 func NewLogSink(out io.Writer) *LogSink { return newLogSink(out, time.Now) }
 
 func newLogSink(out io.Writer, now func() time.Time) *LogSink {
-	s := &LogSink{lines: make(chan []byte, logLines), done: make(chan struct{})}
+	s := &LogSink{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go s.run(out, now)
 	return s
 }
@@ -36,33 +36,33 @@
 	select {
 	case s.lines <- append([]byte(nil), p...):
 	default:
-		s.dropped.Add(1)
-		s.total.Add(1)
+		s.unreportedDrops.Add(1)
+		s.totalDrops.Add(1)
 	}
 	return len(p), nil
 }
 
 // Dropped returns the number of lines dropped since the start.
-func (s *LogSink) Dropped() int64 { return s.total.Load() }
+func (s *LogSink) Dropped() int64 { return s.totalDrops.Load() }
 
 // Close waits for the lines that are queued, but no longer than a moment.
-func (s *LogSink) Close(wait time.Duration) {
+func (s *LogSink) Close(timeout time.Duration) {
 	close(s.lines)
 	select {
 	case <-s.done:
-	case <-time.After(wait):
+	case <-time.After(timeout):
 	}
 }
 
-func (s *LogSink) run(out io.Writer, clock func() time.Time) {
+func (s *LogSink) run(out io.Writer, now func() time.Time) {
 	defer close(s.done)
-	reported := clock()
+	reportedAt := now()
 	for line := range s.lines {
 		// Nobody could be told of a log that cannot be written.
 		_, _ = out.Write(line)
-		if now := clock(); now.Sub(reported) > logReport {
-			reported = now
-			if n := s.dropped.Swap(0); n > 0 {
+		if current := now(); current.Sub(reportedAt) > dropReportInterval {
+			reportedAt = current
+			if n := s.unreportedDrops.Swap(0); n > 0 {
 				_, _ = fmt.Fprintf(out, "{\"@level\":\"warn\",\"@message\":\"log lines were dropped\",\"lines\":%d}\n", n)
 			}
 		}
--- a/serve/logsink_test.go
+++ b/serve/logsink_test.go
@@ -9,58 +9,58 @@
 )
 
 // stuckWriter blocks each write until it is released.
-type stuckWriter struct {
+type blockingWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
-	got     bytes.Buffer
+	written bytes.Buffer
 }
 
-func (w *stuckWriter) Write(p []byte) (int, error) {
+func (w *blockingWriter) Write(p []byte) (int, error) {
 	<-w.release
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.got.Write(p)
+	return w.written.Write(p)
 }
 
 // TestABlockedReaderOfTheLogHoldsNobodyUp writes far more lines than may wait while nothing is read.
-func TestABlockedReaderOfTheLogHoldsNobodyUp(t *testing.T) {
-	w := &stuckWriter{release: make(chan struct{})}
+func TestBlockedLogReaderDoesNotBlockWriters(t *testing.T) {
+	w := &blockingWriter{release: make(chan struct{})}
 	s := NewLogSink(w)
-	const lines = 3 * logLines
+	const lines = 3 * maxQueuedLines
 	for range lines {
 		if n, err := s.Write([]byte("line\n")); n != 5 || err != nil {
 			t.Fatalf("wrote %d, %v", n, err)
 		}
 	}
 	dropped := s.Dropped()
-	if dropped < lines-logLines-1 || dropped > lines-logLines {
-		t.Errorf("%d lines dropped, want about %d", dropped, lines-logLines)
+	if dropped < lines-maxQueuedLines-1 || dropped > lines-maxQueuedLines {
+		t.Errorf("%d lines dropped, want about %d", dropped, lines-maxQueuedLines)
 	}
 	close(w.release)
 	s.Close(time.Minute)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if got := strings.Count(w.got.String(), "line\n"); int64(got) != lines-dropped {
+	if got := strings.Count(w.written.String(), "line\n"); int64(got) != lines-dropped {
 		t.Errorf("%d lines were written, %d not dropped", got, lines-dropped)
 	}
 }
 
 // TestDroppedLinesAreReported lets a second pass between writes, by the clock that the sink is given.
 func TestDroppedLinesAreReported(t *testing.T) {
-	w := &stuckWriter{release: make(chan struct{})}
+	w := &blockingWriter{release: make(chan struct{})}
 	now := time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC)
 	s := newLogSink(w, func() time.Time {
-		now = now.Add(logReport)
+		now = now.Add(dropReportInterval)
 		return now
 	})
-	for range 2 * logLines {
+	for range 2 * maxQueuedLines {
 		_, _ = s.Write([]byte("line\n"))
 	}
 	close(w.release)
 	s.Close(time.Minute)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !strings.Contains(w.got.String(), `"log lines were dropped","lines":`) {
+	if !strings.Contains(w.written.String(), `"log lines were dropped","lines":`) {
 		t.Error("nothing tells how many lines were dropped")
 	}
 }
--- a/serve/loops.go
+++ b/serve/loops.go
@@ -12,12 +12,12 @@
 )
 
 // orderEvery is how often models are placed and leases looked at.
-const orderEvery = 2 * time.Second
+const placementInterval = 2 * time.Second
 
 func (d *Daemon) addLoops(ctx context.Context, g *run.Group) {
 	t := &d.settings.Timing
 	node := coord.DefaultNodeTiming()
-	d.addLoop(ctx, g, t.Tick.Std(), func(context.Context) { d.driver.HandleEvent(core.Tick{}) })
+	d.addLoop(ctx, g, t.TickInterval.Std(), func(context.Context) { d.driver.HandleEvent(core.Tick{}) })
 	d.addLoop(ctx, g, node.TickInterval, func(context.Context) {
 		d.gate()
 		d.node.Tick(d.clock.Now())
@@ -27,23 +27,23 @@
 		d.gate()
 		d.node.TransferClaims(ctx)
 	})
-	d.addLoop(ctx, g, t.PollStore.Std(), func(ctx context.Context) {
+	d.addLoop(ctx, g, t.PollInterval.Std(), func(ctx context.Context) {
 		d.gate()
 		d.node.Poll(ctx)
 	})
-	d.addLoop(ctx, g, t.ReviseWait.Std(), func(ctx context.Context) {
+	d.addLoop(ctx, g, t.RosterInterval.Std(), func(ctx context.Context) {
 		d.gate()
 		d.node.ReviseRoster(ctx)
 	})
-	d.addLoop(ctx, g, orderEvery, func(ctx context.Context) {
+	d.addLoop(ctx, g, placementInterval, func(ctx context.Context) {
 		d.gate()
-		d.orders.ReportDemand(d.engine.TakeDemand())
-		d.orders.Reconcile(ctx, d.node.Stopping())
+		d.placement.ReportDemand(d.engine.TakeDemand())
+		d.placement.Reconcile(ctx, d.node.Stopping())
 	})
-	d.addLoop(ctx, g, t.Load.Std(), func(ctx context.Context) {
+	d.addLoop(ctx, g, t.LoadInterval.Std(), func(ctx context.Context) {
 		d.gate()
 		d.shareUsage()
-		d.loads.read(ctx)
+		d.loads.collect(ctx)
 	})
 	d.addLoop(ctx, g, node.TickInterval, func(context.Context) {
 		d.gate()
--- a/serve/relay.go
+++ b/serve/relay.go
@@ -24,33 +24,33 @@
 
 const (
 	// memoryShare is the part of a VM's memory that the garbage collector aims to stay below.
-	memoryShare = 0.6
+	memoryFraction = 0.6
 	// collectPercent lets the heap double twice before it is collected, since the live heap is a few megabytes.
-	collectPercent = 300
+	gcPercent = 300
 	// openPerMB bounds open requests by memory: each has some tens of kilobytes at most.
-	openPerMB = 5
+	maxOpenPerMB = 5
 	// unreadyLeast is how long a stopping daemon goes on taking requests: the balancer asks every second and takes a
 	// daemon out after two misses.
-	unreadyLeast = 3500 * time.Millisecond
+	minUnreadyTime = 3500 * time.Millisecond
 	// stopMargin is how long before the kill a stopping daemon begins to close its listeners.
 	stopMargin = 700 * time.Millisecond
 	// closeWait bounds the closing of the listeners, which lets answers go out that are being written.
-	closeWait = 400 * time.Millisecond
+	closeTimeout = 400 * time.Millisecond
 	// sweepEvery is how often lapsed targets and resting connections are looked at.
-	sweepEvery = 200 * time.Millisecond
+	sweepInterval = 200 * time.Millisecond
 	// statusEvery is how often the counters are logged, so that a log alone tells how much work there was.
-	statusEvery = 10 * time.Second
+	statusInterval = 10 * time.Second
 	// settingsEvery is how often the settings file is looked at, since it may change without a signal.
-	settingsEvery = 2 * time.Second
+	settingsInterval = 2 * time.Second
 	// rowsWait is how long a daemon that knows what to serve holds requests for the list of daemons, by which it knows who does what
 	// for all. It comes within some ten milliseconds, or the store is out; each request that is held would be late by that.
-	rowsWait = 250 * time.Millisecond
+	rowsTimeout = 250 * time.Millisecond
 	// headWait bounds the reading of a request's head before a configuration states it.
-	headWait = 3 * time.Second
+	headerTimeout = 3 * time.Second
 	// idleWait is how long callers' connections may rest before a configuration states it.
-	idleWait = 15 * time.Second
+	idleTimeout = 15 * time.Second
 	// headMost bounds a request's head before a configuration states it, in bytes.
-	headMost = 16 << 10
+	maxHeaderBytes = 16 << 10
 )
 
 // Relay is a daemon that passes requests on to targets on a platform that keeps the configuration.
@@ -63,49 +63,49 @@
 	sink         *LogSink
 	self         proto.Alive
 
-	store    *platform.Store
-	tables   *relay.Tables
-	fleet    *relay.Fleet
-	exchange *wire.TargetTransport
-	pieces   *relay.PieceScheduler
-	placer   *relay.Placer
-	server   *relay.Server
-	peers    *relayPeers
-	docs     documents
+	store     *platform.Store
+	tables    *relay.Tables
+	fleet     *relay.Fleet
+	transport *wire.TargetTransport
+	pieces    *relay.PieceScheduler
+	placer    *relay.Placer
+	server    *relay.Server
+	peers     *relayPeers
+	documents documentCache
 	// crashes are the ends of targets under requests, ends finds them out, and endNews passes them on.
-	crashes *relay.CrashTracker
-	ends    *relay.CrashDetector
-	endNews *endNews
+	crashTracker  *relay.CrashTracker
+	crashDetector *relay.CrashDetector
+	endGossip     *endGossip
 	// noticeNews passes on what targets say of themselves.
-	noticeNews *noticeNews
+	noticeGossip *noticeGossip
 	// endRows tells them to daemons that this one does not reach.
-	endRows *endRows
+	endRowSync *endRowSync
 	// routingView and targetsView say how old what is known of the store's tables is.
-	routingView, targetsView view
+	routingFreshness, targetsFreshness tableFreshness
 
 	linkKey string
 	// credentials are the certificates between daemons; nil if they show each other a key.
 	credentials *wire.Credentials
 	zoneCosts   relay.ZoneCosts
 	// census divides what all daemons are allowed together; lastShare is the part that was logged last.
-	census    *coord.ShareTracker
-	lastShare coord.Share
+	shareTracker *coord.ShareTracker
+	loggedShare  coord.Share
 	// badSettings and badCredentials are only used by the loop that watches the settings.
-	badSettings, badCredentials bool
+	settingsFailed, credentialsFailed bool
 
 	// restored is sent to when the store is in a newer era, for the loop that keeps the own row.
-	restored     chan struct{}
+	eraChanged   chan struct{}
 	targetsKnown atomic.Bool
 	// rowsRead says that the store's list of daemons was read, so that the daemon knows who does what for all.
 	rowsRead atomic.Bool
 	started  chan struct{}
 	// learned is closed once the other daemons were asked for what the store holds.
-	learned   chan struct{}
-	startOnce sync.Once
+	bootstrapped chan struct{}
+	startOnce    sync.Once
 	// waitOnce begins the wait for the list of daemons.
-	waitOnce sync.Once
-	pulling  atomic.Bool
-	stopping atomic.Bool
+	rowsTimeoutOnce sync.Once
+	pulling         atomic.Bool
+	stopping        atomic.Bool
 }
 
 // MemberCount returns the number of live daemons that this one knows, itself included.
@@ -146,37 +146,37 @@
 	for _, option := range options {
 		option(d)
 	}
-	d.started, d.learned, d.restored = make(chan struct{}), make(chan struct{}), make(chan struct{}, 1)
-	d.store.OnRestored(d.storeRestored)
-	d.docs.targets = map[string]proto.TargetDocument{}
+	d.started, d.bootstrapped, d.eraChanged = make(chan struct{}), make(chan struct{}), make(chan struct{}, 1)
+	d.store.OnRestored(d.handleStoreRestored)
+	d.documents.targets = map[string]proto.TargetDocument{}
 	d.self = proto.Alive{
 		VM: proto.VM(settings.VM), Zone: proto.Zone(settings.Region + "/" + settings.Zone), Peer: settings.PeerAddr,
 		Incarnation: proto.Incarnation(clock.Now().UnixNano()), Sequence: 1,
 	}
-	d.exchange = wire.NewTargetTransport(clock)
+	d.transport = wire.NewTargetTransport(clock)
 	d.fleet = relay.NewFleet(func(pool string) { d.pieces.TargetsChanged(pool) }, relay.WithZoneCosts(d.zoneCosts),
-		relay.WithColdConfig(relay.ColdConfig{Factor: settings.ColdFactor, Slack: settings.ColdSlack}), relay.WithNoticeHandler(d.noteNotices))
-	d.census = coord.NewShareTracker(d.self.VM, censusTiming(settings))
-	d.newPeers()
+		relay.WithColdConfig(relay.ColdConfig{Factor: settings.ColdFactor, Slack: settings.ColdSlack}), relay.WithNoticeHandler(d.forwardNotices))
+	d.shareTracker = coord.NewShareTracker(d.self.VM, shareTiming(settings))
+	d.initPeers()
 	dialect := platform.Dialect{}
-	d.noticeNews = newNoticeNews(clock, func(m proto.TargetNotices) { d.peers.tellLinks(m) })
-	d.endNews = newEndNews(clock, func(m proto.TargetEnds) { d.peers.tellLinks(m) })
-	d.endRows = newEndRows(d)
-	d.crashes = relay.NewCrashTracker(d.self.VM, clock, log.Named("crashes"), d.ended)
-	d.ends = relay.NewCrashDetector(clock, log.Named("crashes"), d.exchange, d.crashes)
-	d.pieces = relay.NewPieceScheduler(d.self.VM, clock, log.Named("pieces"), dialect, d.exchange, d.peers, d.fleet, d.tables, relay.WithCrashDetection(d.crashes, d.ends))
+	d.noticeGossip = newNoticeGossip(clock, func(m proto.TargetNotices) { d.peers.sendToLinks(m) })
+	d.endGossip = newEndGossip(clock, func(m proto.TargetEnds) { d.peers.sendToLinks(m) })
+	d.endRowSync = newEndRowSync(d)
+	d.crashTracker = relay.NewCrashTracker(d.self.VM, clock, log.Named("crashes"), d.handleEnds)
+	d.crashDetector = relay.NewCrashDetector(clock, log.Named("crashes"), d.transport, d.crashTracker)
+	d.pieces = relay.NewPieceScheduler(d.self.VM, clock, log.Named("pieces"), dialect, d.transport, d.peers, d.fleet, d.tables, relay.WithCrashDetection(d.crashTracker, d.crashDetector))
 	d.placer = relay.NewPlacer(d.self.VM, clock, log.Named("place"), d.fleet, d.peers)
 	d.server = relay.NewServer(relay.ServerConfig{
-		Clock: clock, Log: log.Named("relay"), Dialect: dialect, Sender: d.exchange, Fleet: d.fleet, Tables: d.tables,
+		Clock: clock, Log: log.Named("relay"), Dialect: dialect, Sender: d.transport, Fleet: d.fleet, Tables: d.tables,
 		Pieces: d.pieces, Placer: d.placer, Peers: d.peers, Zone: settings.Zone,
 		Budget:       relay.RetryBudgetConfig{Ratio: settings.RetryRatio, Slack: settings.RetrySlack, Window: settings.RetryWindow},
-		CrashTracker: d.crashes, CrashDetector: d.ends, Started: d.started, Limits: relay.Limits{MaxOpen: max(64, settings.MemoryBytes/1_000_000*openPerMB)},
+		CrashTracker: d.crashTracker, CrashDetector: d.crashDetector, Started: d.started, Limits: relay.Limits{MaxOpen: max(64, settings.MemoryBytes/1_000_000*maxOpenPerMB)},
 	})
 	return d
 }
 
-func (d *Relay) newPeers() {
-	d.peers = &relayPeers{clock: d.clock, log: d.log.Named("peers"), self: d.self, census: d.census, seeds: map[proto.VM]proto.Alive{}, newer: map[proto.VM]time.Time{}, voidAsked: map[proto.VM]time.Time{}}
+func (d *Relay) initPeers() {
+	d.peers = &relayPeers{clock: d.clock, log: d.log.Named("peers"), self: d.self, shareTracker: d.shareTracker, seeds: map[proto.VM]proto.Alive{}, newerSince: map[proto.VM]time.Time{}, invalidAskedAt: map[proto.VM]time.Time{}}
 	for _, seed := range d.settings.Seeds {
 		if seed != d.self.Peer {
 			d.peers.seeds[proto.VM("seed "+seed.String())] = proto.Alive{Peer: seed}
@@ -191,7 +191,7 @@
 
 func (d *Relay) heartbeat() proto.Heartbeat {
 	return proto.Heartbeat{
-		Incarnation: d.self.Incarnation, Stopping: d.stopping.Load(), Routing: d.tables.Version(), Targets: d.fleet.Version(), EndsDigest: d.crashes.Digest(), InvalidDigest: d.fleet.InvalidDigest(),
+		Incarnation: d.self.Incarnation, Stopping: d.stopping.Load(), Routing: d.tables.Version(), Targets: d.fleet.Version(), EndsDigest: d.crashTracker.Digest(), InvalidDigest: d.fleet.InvalidDigest(),
 		NoticesDigest: d.fleet.NoticeDigest(), Evacuations: d.fleet.EvacuationsVersion(),
 	}
 }
@@ -204,16 +204,16 @@
 		d.peers.members.HandleHeartbeat(now, from, msg)
 		d.store.ObserveEra(msg.Targets.Era)
 		newer := msg.Routing > d.tables.Version() || msg.Targets.After(d.fleet.Version()) || msg.Evacuations.After(d.fleet.EvacuationsVersion())
-		if d.peers.sawNewer(from, newer, newer && d.isReader()) {
-			go d.pull(from)
+		if d.peers.shouldPull(from, newer, newer && d.isReader()) {
+			go d.pullFrom(from)
 		}
-		if d.peers.mayAskVoid(now, from, d.fleet.InvalidDigest(), msg.InvalidDigest) {
-			go d.pull(from)
+		if d.peers.shouldAskInvalid(now, from, d.fleet.InvalidDigest(), msg.InvalidDigest) {
+			go d.pullFrom(from)
 		}
-		if d.endNews.differs(now, from, d.crashes.Digest(), msg.EndsDigest, d.crashes.Stats().Ends) {
-			go d.tellEnds(from)
+		if d.endGossip.shouldSendAll(now, from, d.crashTracker.Digest(), msg.EndsDigest, d.crashTracker.Stats().Ends) {
+			go d.sendAllEnds(from)
 		}
-		if d.noticeNews.differs(now, from, d.fleet.NoticeDigest(), msg.NoticesDigest) {
+		if d.noticeGossip.shouldSendAll(now, from, d.fleet.NoticeDigest(), msg.NoticesDigest) {
 			d.peers.Send(from, proto.TargetNotices{Notices: d.fleet.Notices()})
 		}
 	case proto.Alive:
@@ -225,7 +225,7 @@
 	case proto.News:
 		d.peers.members.HandleNews(now, msg, from)
 	case proto.RoutingAsk:
-		return d.answerAsk(msg)
+		return d.answerRoutingAsk(msg)
 	case proto.PiecesAsk:
 		return d.pieces.RunLocally(ctx, msg, now.Add(msg.DueIn), now.Add(msg.TimeLeft))
 	case proto.PiecesDrop:
@@ -237,26 +237,26 @@
 	case proto.PermitAsk:
 		return d.placer.HandlePermitAsk(from, msg)
 	case proto.TargetNotices:
-		d.learnNotices(now, msg.Notices, from)
+		d.mergeNotices(now, msg.Notices, from)
 	case proto.AdmitAsk:
 		return d.placer.DecideAdmission(msg)
 	case proto.Confirmed:
-		d.takeRelayedViews(now, msg)
+		d.applyPeerConfirmation(now, msg)
 	case proto.TargetEnds:
-		d.crashes.Merge(msg, from)
+		d.crashTracker.Merge(msg, from)
 	}
 	return proto.Done{}
 }
 
 // noteStart lets requests in once the daemon knows the configuration, the targets and the other daemons. One that the store turns
 // away has the first two from others, and does not wait for the list of daemons for long.
-func (d *Relay) noteStart() {
+func (d *Relay) startWhenReady() {
 	switch {
-	case !d.known():
+	case !d.hasTables():
 	case d.rowsRead.Load():
 		d.start()
 	default:
-		d.waitOnce.Do(func() { d.clock.AfterFunc(rowsWait, d.start) })
+		d.rowsTimeoutOnce.Do(func() { d.clock.AfterFunc(rowsTimeout, d.start) })
 	}
 }
 
@@ -281,24 +281,24 @@
 }
 
 // pause waits, or returns early when the context ends.
-func (d *Relay) pause(ctx context.Context, length time.Duration) {
-	if length <= 0 {
+func (d *Relay) sleep(ctx context.Context, duration time.Duration) {
+	if duration <= 0 {
 		return
 	}
 	select {
-	case <-d.clock.After(length):
+	case <-d.clock.After(duration):
 	case <-ctx.Done():
 	}
 }
 
 // Run serves until the platform asks the process to stop, and then stops in order.
 func (d *Relay) Run(ctx context.Context) error {
-	debug.SetMemoryLimit(int64(memoryShare * float64(d.settings.MemoryBytes)))
-	debug.SetGCPercent(collectPercent)
+	debug.SetMemoryLimit(int64(memoryFraction * float64(d.settings.MemoryBytes)))
+	debug.SetGCPercent(gcPercent)
 	d.log.Info("starting", "version", Version, "incarnation", d.self.Incarnation, "zone", d.self.Zone, "callers", d.settings.CallerAddr,
 		"health", d.settings.HealthAddr, "peers", d.settings.PeerAddr, "metrics", d.settings.MetricsAddr, "store", d.settings.StoreAddr,
-		"seeds", len(d.settings.Seeds), "memory", d.settings.MemoryBytes, "openMost", max(64, d.settings.MemoryBytes/1_000_000*openPerMB))
-	d.noteLinkAuth()
+		"seeds", len(d.settings.Seeds), "memory", d.settings.MemoryBytes, "openMost", max(64, d.settings.MemoryBytes/1_000_000*maxOpenPerMB))
+	d.logLinkAuth()
 	var g run.Group
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -319,32 +319,32 @@
 
 func (d *Relay) addRelayLoops(ctx context.Context, cancel func(), g *run.Group) {
 	routing := &watcher{
-		daemon: d, name: "routing", table: d.store.Routing(), view: &d.routingView, reads: d.isReader, checked: d.tellReaders,
-		whole: d.routingWhole, change: d.routingChanged,
+		daemon: d, name: "routing", table: d.store.Routing(), freshness: &d.routingFreshness, isReader: d.isReader, onConfirmed: d.notifyReaders,
+		replace: d.handleRoutingTable, apply: d.handleRoutingChanges,
 	}
 	targets := &watcher{
-		daemon: d, name: "targets", table: d.store.Targets(), pace: watchPace, follows: routing, view: &d.targetsView, reads: d.isReader, checked: d.tellReaders,
-		whole: d.targetsWhole, change: d.targetsChanged, seen: d.storeSeen,
+		daemon: d, name: "targets", table: d.store.Targets(), minInterval: minWatchInterval, leader: routing, freshness: &d.targetsFreshness, isReader: d.isReader, onConfirmed: d.notifyReaders,
+		replace: d.handleTargetTable, apply: d.handleTargetChanges, onStep: d.recordStoreState,
 	}
 	for _, loop := range []func(context.Context){
-		d.learn, d.afterLearning(routing.run), d.afterLearning(targets.run), d.list, d.watchSettings, d.endRows.read,
-		d.every(peerTick, func() {
+		d.bootstrap, d.afterBootstrap(routing.run), d.afterBootstrap(targets.run), d.maintainRow, d.watchSettings, d.endRowSync.watch,
+		d.periodic(peerTickInterval, func() {
 			d.peers.members.Tick(d.clock.Now())
-			d.peers.meet()
-			d.reportShare()
+			d.peers.announceToSeeds()
+			d.updateShare()
 		}),
-		d.every(sweepEvery, func() {
-			d.noteFleet(d.fleet.Sweep(d.clock.Now()), "time")
-			d.judgeAnew(d.fleet.ExpireInvalid(d.restoreClock.Now()))
-			d.endHeldEvacuations(d.restoreClock.Now())
-			d.exchange.CloseExpired()
+		d.periodic(sweepInterval, func() {
+			d.handleFleetEvents(d.fleet.Sweep(d.clock.Now()), "time")
+			d.reapplyExpired(d.fleet.ExpireInvalid(d.restoreClock.Now()))
+			d.expireEvacuations(d.restoreClock.Now())
+			d.transport.CloseExpired()
 			d.placer.Sweep()
-			d.ends.Sweep()
-			d.reportViews()
+			d.crashDetector.Sweep()
+			d.logFreshness()
 		}),
-		d.every(forgetEvery, d.crashes.Sweep),
-		d.every(endRowEvery, d.endRows.write),
-		d.every(statusEvery, d.logStatus),
+		d.periodic(forgetInterval, d.crashTracker.Sweep),
+		d.periodic(endRowInterval, d.endRowSync.writeIfDue),
+		d.periodic(statusInterval, d.logStatus),
 	} {
 		g.Add(func() error {
 			loop(ctx)
@@ -355,9 +355,9 @@
 	}
 }
 
-func (d *Relay) every(length time.Duration, fn func()) func(context.Context) {
+func (d *Relay) periodic(interval time.Duration, fn func()) func(context.Context) {
 	return func(ctx context.Context) {
-		ticker := d.clock.NewTicker(length)
+		ticker := d.clock.NewTicker(interval)
 		defer ticker.Stop()
 		for {
 			select {
@@ -380,7 +380,7 @@
 		select {
 		case <-hangup:
 			cause = "signal"
-		case <-d.clock.After(settingsEvery):
+		case <-d.clock.After(settingsInterval):
 		case <-ctx.Done():
 			return
 		}
@@ -393,13 +393,13 @@
 	d.reloadCredentials(cause)
 	settings, err := platform.LoadSettings()
 	if err != nil {
-		if !d.badSettings {
+		if !d.settingsFailed {
 			d.log.Warn("the settings cannot be read again, the old ones stay", "cause", cause, "error", err)
 		}
-		d.badSettings = true
+		d.settingsFailed = true
 		return
 	}
-	d.badSettings = false
+	d.settingsFailed = false
 	added := d.peers.addSeeds(settings.Seeds)
 	if cause == "signal" || added > 0 {
 		d.log.Info("settings read again", "cause", cause, "newSeeds", added)
@@ -422,18 +422,18 @@
 }
 
 // stop ends in order: the health check fails, other daemons take over, requests go on until none is left.
-func (d *Relay) stop(work context.Context) {
-	began := d.clock.Now()
+func (d *Relay) stop(ctx context.Context) {
+	startedAt := d.clock.Now()
 	d.log.Info("stopping", "open", d.server.OpenRequests())
 	d.stopping.Store(true)
-	last := began.Add(d.settings.GracePeriod - stopMargin)
-	d.server.Stop(began, last)
+	deadline := startedAt.Add(d.settings.GracePeriod - stopMargin)
+	d.server.Stop(startedAt, deadline)
 	d.peers.members.AnnounceStop()
-	for now := began; now.Before(last); now = d.clock.Now() {
-		if now.Sub(began) >= unreadyLeast && d.server.OpenRequests() == 0 {
+	for now := startedAt; now.Before(deadline); now = d.clock.Now() {
+		if now.Sub(startedAt) >= minUnreadyTime && d.server.OpenRequests() == 0 {
 			break
 		}
-		d.pause(work, sweepEvery/4)
+		d.sleep(ctx, sweepInterval/4)
 	}
-	d.log.Info("closing", "open", d.server.OpenRequests(), "after", d.clock.Now().Sub(began).String())
+	d.log.Info("closing", "open", d.server.OpenRequests(), "after", d.clock.Now().Sub(startedAt).String())
 }
--- a/serve/relayclock_test.go
+++ b/serve/relayclock_test.go
@@ -17,7 +17,7 @@
 var clockStart = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // suspendable returns the clock of a VM, and a function that suspends it: its steady clock stands still meanwhile.
-func suspendable() (*state.Clock, *clockwork.FakeClock, func(time.Duration)) {
+func newSuspendableClock() (*state.Clock, *clockwork.FakeClock, func(time.Duration)) {
 	steady := clockwork.NewFakeClockAt(clockStart)
 	var suspended atomic.Int64
 	clock := state.NewClock(state.WithSources(steady,
@@ -31,7 +31,7 @@
 
 // TestWhatOthersCountOnIsRightAfterASuspension has a VM be suspended for longer than something holds that other daemons, or
 // the limits that all keep together, count on. Each is checked to hold before, so that the suspension ends it.
-func TestWhatOthersCountOnIsRightAfterASuspension(t *testing.T) {
+func TestStateExpiresDuringSuspension(t *testing.T) {
 	const window = 10 * time.Second
 	timing := coord.ShareTiming{Window: window, Lease: 10 * time.Minute, MaxReadAge: 2 * time.Minute}
 	target := proto.RelayTarget{ID: "t", Pool: "p", Zone: "z", Slots: 1}
@@ -39,7 +39,7 @@
 		name    string
 		suspend time.Duration
 		// begin sets something up, and returns what tells whether it holds.
-		begin func(clock *state.Clock, steady *clockwork.FakeClock) (holds func() bool)
+		begin func(clock *state.Clock, steady *clockwork.FakeClock) (isValid func() bool)
 	}{
 		{"the share of common limits, by the own row", timing.Lease, func(clock *state.Clock, steady *clockwork.FakeClock) func() bool {
 			c := coord.NewShareTracker("vm", timing)
@@ -60,18 +60,18 @@
 			c.ObserveRows(clock.Now(), clock.Now(), 0, nil)
 			return func() bool { return c.Share(clock.Now()).Usable }
 		}},
-		{"what is known of the store", staleMost, func(clock *state.Clock, _ *clockwork.FakeClock) func() bool {
-			v := &view{}
+		{"what is known of the store", maxStateAge, func(clock *state.Clock, _ *clockwork.FakeClock) func() bool {
+			v := &tableFreshness{}
 			v.confirm(clock.Now())
 			return func() bool {
 				age, known := v.age(clock.Now())
-				return known && age <= staleMost
+				return known && age <= maxStateAge
 			}
 		}},
-		{"what a daemon tells of the store", staleMost, func(clock *state.Clock, _ *clockwork.FakeClock) func() bool {
-			v := &view{}
+		{"what a daemon tells of the store", maxStateAge, func(clock *state.Clock, _ *clockwork.FakeClock) func() bool {
+			v := &tableFreshness{}
 			v.confirm(clock.Now())
-			return func() bool { return v.ownAge(clock.Now()) <= staleMost }
+			return func() bool { return v.ownAge(clock.Now()) <= maxStateAge }
 		}},
 		{"the wait for an entry that lapsed", 3 * time.Second, func(clock *state.Clock, _ *clockwork.FakeClock) func() bool {
 			f := relay.NewFleet(func(string) {})
@@ -109,13 +109,13 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			clock, steady, suspend := suspendable()
-			holds := s.begin(clock, steady)
-			if !holds() {
+			clock, steady, suspend := newSuspendableClock()
+			isValid := s.begin(clock, steady)
+			if !isValid() {
 				t.Fatal("it does not hold before the suspension")
 			}
 			suspend(s.suspend + time.Millisecond)
-			if holds() {
+			if isValid() {
 				t.Error("it holds after the suspension")
 			}
 		})
--- a/serve/relaydocs.go
+++ b/serve/relaydocs.go
@@ -12,69 +12,69 @@
 )
 
 // documents keeps the platform's own form of what is in force, for daemons that the store does not answer.
-type documents struct {
+type documentCache struct {
 	mu      sync.Mutex
 	routing []byte
 	// targets holds removed entries too, from since on.
-	targets map[string]proto.TargetDocument
-	since   proto.Revision
+	targets       map[string]proto.TargetDocument
+	completeSince proto.Revision
 	// gave is when a daemon that knew nothing was given all of them last.
-	gave time.Time
+	lastFullSend time.Time
 }
 
 // giveEvery is how often a daemon that knows nothing is given the whole list of targets; others read it from the store. At
 // 3,000 targets a list takes 7 ms of a whole core to make and to send, and where all daemons start together those that
 // are in the settings of all would do nothing else, and hold many lists in memory.
-const giveEvery = 50 * time.Millisecond
+const fullListInterval = 50 * time.Millisecond
 
 // givesAll tells whether a daemon that knows nothing is given all now.
-func (s *documents) givesAll(now time.Time) bool {
-	if now.Sub(s.gave) < giveEvery {
+func (s *documentCache) allowFullSend(now time.Time) bool {
+	if now.Sub(s.lastFullSend) < fullListInterval {
 		return false
 	}
-	s.gave = now
+	s.lastFullSend = now
 	return true
 }
 
 // routingChanged takes in rows of the operator's table that changed.
-func (d *Relay) routingChanged(e platform.RowSet) {
-	d.takeEvacuations(d.evacuationsOf(e), "store")
-	d.adoptRoutingOf(e)
+func (d *Relay) handleRoutingChanges(rows platform.RowSet) {
+	d.applyEvacuations(d.parseEvacuations(rows), "store")
+	d.applyRoutingFrom(rows)
 }
 
 // adoptRoutingOf puts the configuration among rows in force, if it is there.
-func (d *Relay) adoptRoutingOf(e platform.RowSet) {
-	for i := range e.Rows {
-		if e.Rows[i].IsRouting() && !e.Rows[i].Removed {
-			d.adoptRouting(e.Rows[i].Body, "store")
+func (d *Relay) applyRoutingFrom(rows platform.RowSet) {
+	for i := range rows.Rows {
+		if rows.Rows[i].IsRouting() && !rows.Rows[i].Removed {
+			d.applyRouting(rows.Rows[i].Body, "store")
 		}
 	}
 }
 
 // routingWhole takes in all rows of the operator's table; zones that have none are not evacuated.
-func (d *Relay) routingWhole(e platform.RowSet) bool {
-	d.takeEvacuations(d.fleet.EvacuationsFromList(e.Version, d.evacuationsOf(e)), "store")
-	d.adoptRoutingOf(e)
+func (d *Relay) handleRoutingTable(rows platform.RowSet) bool {
+	d.applyEvacuations(d.fleet.EvacuationsFromList(rows.Version, d.parseEvacuations(rows)), "store")
+	d.applyRoutingFrom(rows)
 	return true
 }
 
-func (d *Relay) adoptRouting(body []byte, from string) {
+func (d *Relay) applyRouting(body []byte, from string) {
 	r, err := platform.ParseRouting(body)
 	if err != nil {
 		d.log.Error("a configuration cannot be read", "from", from, "error", err)
 		return
 	}
-	old := d.tables.Version()
+	oldVersion := d.tables.Version()
 	if !d.tables.ReplaceIfNewer(r) {
-		d.log.Debug("configuration ignored", "from", from, "version", r.Version, "inForce", old)
+		d.log.Debug("configuration ignored", "from", from, "version", r.Version, "inForce", oldVersion)
 		return
 	}
-	d.docs.mu.Lock()
+	d.documents.mu.Lock()
 	if r.Version == d.tables.Version() {
-		d.docs.routing = body
+		d.documents.routing = body
 	}
-	d.docs.mu.Unlock()
-	d.log.Info("configuration in force", "from", from, "version", r.Version, "before", old, "routes", len(r.Routes), "pools", len(r.Pools), "workspaces", len(r.Workspaces))
+	d.documents.mu.Unlock()
+	d.log.Info("configuration in force", "from", from, "version", r.Version, "before", oldVersion, "routes", len(r.Routes), "pools", len(r.Pools), "workspaces", len(r.Workspaces))
 	for name, pool := range r.Pools {
 		if pool.Engine != nil {
 			d.fleet.SetCacheTokens(name, pool.Engine.CacheTokens)
@@ -83,11 +83,11 @@
 	}
 	d.pieces.RoutingChanged()
 	d.peers.members.SendHeartbeats(d.clock.Now())
-	d.noteStart()
+	d.startWhenReady()
 }
 
 // changeOf reads one entry of the targets' table. One that cannot be read names no target, and the others hold.
-func (d *Relay) changeOf(doc proto.TargetDocument, from string) relay.FleetChange {
+func (d *Relay) fleetChange(doc proto.TargetDocument, from string) relay.FleetChange {
 	c := relay.FleetChange{ID: doc.ID, Version: doc.Version, Removed: doc.Removed, Lapsed: doc.Lapsed}
 	if doc.Removed {
 		return c
@@ -103,16 +103,16 @@
 	return c
 }
 
-func documentsOf(e platform.RowSet) []proto.TargetDocument {
-	docs := make([]proto.TargetDocument, 0, len(e.Rows))
-	for _, entry := range e.Rows {
-		docs = append(docs, proto.TargetDocument{ID: entry.Key, Body: entry.Body, Version: entry.Version, Removed: entry.Removed})
+func targetDocuments(rows platform.RowSet) []proto.TargetDocument {
+	docs := make([]proto.TargetDocument, 0, len(rows.Rows))
+	for _, row := range rows.Rows {
+		docs = append(docs, proto.TargetDocument{ID: row.Key, Body: row.Body, Version: row.Version, Removed: row.Removed})
 	}
 	return docs
 }
 
 // storeSeen tells the fleet how the store is, after what its answer brought was taken in.
-func (d *Relay) storeSeen(now time.Time, answered bool) {
+func (d *Relay) recordStoreState(now time.Time, answered bool) {
 	if answered {
 		d.fleet.MarkStoreUp(now)
 		return
@@ -120,101 +120,103 @@
 	d.fleet.MarkStoreDown(now)
 }
 
-func (d *Relay) targetsWhole(e platform.RowSet) bool {
-	return d.takeTargets(e.Version, documentsOf(e), "store", false)
+func (d *Relay) handleTargetTable(rows platform.RowSet) bool {
+	return d.replaceTargets(rows.Version, targetDocuments(rows), "store", false)
 }
 
 // takeTargets takes in a whole list; one of another daemon is complete up to its version.
-func (d *Relay) takeTargets(asOf proto.Revision, docs []proto.TargetDocument, from string, complete bool) bool {
+func (d *Relay) replaceTargets(asOf proto.Revision, docs []proto.TargetDocument, from string, complete bool) bool {
 	var entries []relay.FleetChange
-	kept := map[string]proto.TargetDocument{}
+	byID := map[string]proto.TargetDocument{}
 	for _, doc := range docs {
-		kept[doc.ID] = doc
-		if c := d.changeOf(doc, from); !c.Removed {
+		byID[doc.ID] = doc
+		if c := d.fleetChange(doc, from); !c.Removed {
 			entries = append(entries, c)
 		}
 	}
-	notes, taken := d.fleet.Replace(d.clock.Now(), asOf, entries, complete)
-	if !taken {
+	events, replaced := d.fleet.Replace(d.clock.Now(), asOf, entries, complete)
+	if !replaced {
 		d.log.Info("list of targets ignored", "from", from, "asOf", asOf, "known", d.fleet.Version())
 		return false
 	}
-	d.docs.mu.Lock()
-	d.docs.targets, d.docs.since = kept, d.fleet.Version()
-	d.docs.mu.Unlock()
-	d.noteFleet(notes, from)
+	d.documents.mu.Lock()
+	d.documents.targets, d.documents.completeSince = byID, d.fleet.Version()
+	d.documents.mu.Unlock()
+	d.handleFleetEvents(events, from)
 	d.targetsKnown.Store(true)
-	d.noteStart()
+	d.startWhenReady()
 	return true
 }
 
-func (d *Relay) targetsChanged(e platform.RowSet) { d.takeChanges(documentsOf(e), "store", false) }
+func (d *Relay) handleTargetChanges(rows platform.RowSet) {
+	d.applyTargetChanges(targetDocuments(rows), "store", false)
+}
 
 // takeChanges takes in entries that changed.
-func (d *Relay) takeChanges(docs []proto.TargetDocument, from string, told bool) {
+func (d *Relay) applyTargetChanges(docs []proto.TargetDocument, from string, fromPeer bool) {
 	var changes []relay.FleetChange
 	for _, doc := range docs {
-		c := d.changeOf(doc, from)
-		c.FromPeer = told
+		c := d.fleetChange(doc, from)
+		c.FromPeer = fromPeer
 		changes = append(changes, c)
 	}
-	notes := d.fleet.ApplyChanges(d.clock.Now(), changes)
+	events := d.fleet.ApplyChanges(d.clock.Now(), changes)
 	lapsed := map[string]bool{}
-	for _, n := range notes {
-		lapsed[n.Target.ID] = n.Outcome == relay.OutcomeLapsed
+	for _, event := range events {
+		lapsed[event.Target.ID] = event.Outcome == relay.OutcomeLapsed
 	}
-	d.docs.mu.Lock()
+	d.documents.mu.Lock()
 	for _, doc := range docs {
 		doc.Lapsed = doc.Removed && lapsed[doc.ID]
-		if !d.docs.targets[doc.ID].Version.After(doc.Version) {
-			d.docs.targets[doc.ID] = doc
+		if !d.documents.targets[doc.ID].Version.After(doc.Version) {
+			d.documents.targets[doc.ID] = doc
 		}
 	}
-	d.docs.mu.Unlock()
-	d.noteFleet(notes, from)
+	d.documents.mu.Unlock()
+	d.handleFleetEvents(events, from)
 }
 
-func (d *Relay) noteFleet(notes []relay.FleetEvent, from string) {
-	for _, n := range notes {
-		if n.Outcome == relay.OutcomeEnded {
-			d.exchange.CloseIdle(n.Target.Address)
+func (d *Relay) handleFleetEvents(events []relay.FleetEvent, from string) {
+	for _, event := range events {
+		if event.Outcome == relay.OutcomeEnded {
+			d.transport.CloseIdle(event.Target.Address)
 		}
-		if n.Crashed() {
-			d.ends.RecordEnd(n.Target, "its entry is gone")
+		if event.Crashed() {
+			d.crashDetector.RecordEnd(event.Target, "its entry is gone")
 		}
-		d.log.Info("target "+n.Outcome, "target", n.Target.ID, "pool", n.Target.Pool, "address", n.Target.Address, "zone", n.Target.Zone, "born", bornText(n.Target.StartedAt), "coldFor", n.Target.ColdRemaining.String(), "version", d.fleet.Version(), "from", from)
+		d.log.Info("target "+event.Outcome, "target", event.Target.ID, "pool", event.Target.Pool, "address", event.Target.Address, "zone", event.Target.Zone, "born", formatStartTime(event.Target.StartedAt), "coldFor", event.Target.ColdRemaining.String(), "version", d.fleet.Version(), "from", from)
 	}
-	if len(notes) > 0 {
+	if len(events) > 0 {
 		d.peers.members.SendHeartbeats(d.clock.Now())
 	}
-	if ids, before := d.fleet.LapsedTargets(notes); len(ids) > 0 {
-		go d.askOfLapsed(ids, before)
+	if ids, beforeVersion := d.fleet.LapsedTargets(events); len(ids) > 0 {
+		go d.resolveLapsed(ids, beforeVersion)
 	}
 }
 
 // bornText is how the log names the start of a target's run; empty if the target does not tell it.
-func bornText(born time.Time) string {
-	if born.IsZero() {
+func formatStartTime(startedAt time.Time) string {
+	if startedAt.IsZero() {
 		return ""
 	}
-	return born.UTC().Format(time.RFC3339Nano)
+	return startedAt.UTC().Format(time.RFC3339Nano)
 }
 
 // askOfLapsed asks the neighbours how they saw entries go that are held to have lapsed: a store that failed for
 // some daemons only went on serving the others, and what went then has left.
-func (d *Relay) askOfLapsed(ids []string, before proto.Revision) {
-	for range lapseAsks {
+func (d *Relay) resolveLapsed(ids []string, beforeVersion proto.Revision) {
+	for range lapsedQueryRounds {
 		for _, vm := range d.peers.members.Links() {
-			go d.askNeighbourOfLapsed(vm, ids, before)
+			go d.askPeerAboutLapsed(vm, ids, beforeVersion)
 		}
-		d.pause(context.Background(), pullAfter)
+		d.sleep(context.Background(), pullDelay)
 	}
 }
 
-func (d *Relay) askNeighbourOfLapsed(vm proto.VM, ids []string, before proto.Revision) {
-	ctx, cancel := context.WithTimeout(context.Background(), pullWait)
+func (d *Relay) askPeerAboutLapsed(vm proto.VM, ids []string, beforeVersion proto.Revision) {
+	ctx, cancel := context.WithTimeout(context.Background(), pullTimeout)
 	defer cancel()
-	m, err := d.peers.Call(ctx, vm, proto.RoutingAsk{Routing: d.tables.Version(), Targets: before, Evacuations: d.fleet.EvacuationsVersion()})
+	m, err := d.peers.Call(ctx, vm, proto.RoutingAsk{Routing: d.tables.Version(), Targets: beforeVersion, Evacuations: d.fleet.EvacuationsVersion()})
 	a, ok := m.(proto.RoutingAnswer)
 	if err != nil || !ok {
 		d.log.Info("a neighbour did not say how lapsed targets went", "from", vm, "error", err)
@@ -222,30 +224,30 @@
 	}
 	for _, doc := range a.TargetEntries {
 		if doc.Removed && !doc.Lapsed && slices.Contains(ids, doc.ID) {
-			d.noteFleet(d.fleet.MarkSuspected(doc.ID), string(vm))
+			d.handleFleetEvents(d.fleet.MarkSuspected(doc.ID), string(vm))
 		}
 	}
 }
 
 // answerAsk gives another daemon what it lacks: what changed since, or the whole list if that is not known.
-func (d *Relay) answerAsk(ask proto.RoutingAsk) proto.RoutingAnswer {
-	d.docs.mu.Lock()
-	defer d.docs.mu.Unlock()
+func (d *Relay) answerRoutingAsk(ask proto.RoutingAsk) proto.RoutingAnswer {
+	d.documents.mu.Lock()
+	defer d.documents.mu.Unlock()
 	a := proto.RoutingAnswer{Routing: d.tables.Version(), Targets: d.fleet.Version(), InvalidEntries: d.fleet.InvalidEntries(), Notices: d.fleet.Notices()}
 	if d.fleet.EvacuationsVersion().After(ask.Evacuations) {
 		a.Evacuations = d.fleet.Evacuations()
 	}
-	if ask == (proto.RoutingAsk{}) && !d.docs.givesAll(d.clock.Now()) {
+	if ask == (proto.RoutingAsk{}) && !d.documents.allowFullSend(d.clock.Now()) {
 		return a
 	}
 	if a.Routing > ask.Routing {
-		a.RoutingBody = d.docs.routing
+		a.RoutingBody = d.documents.routing
 	}
 	if !a.Targets.After(ask.Targets) {
 		return a
 	}
-	a.HasTargets, a.Full = true, d.docs.since.After(ask.Targets)
-	for _, doc := range d.docs.targets {
+	a.HasTargets, a.Full = true, d.documents.completeSince.After(ask.Targets)
+	for _, doc := range d.documents.targets {
 		if a.Full && !doc.Removed || !a.Full && doc.Version.After(ask.Targets) {
 			a.TargetEntries = append(a.TargetEntries, doc)
 		}
@@ -254,12 +256,12 @@
 }
 
 // pull asks another daemon for what it has newer, one at a time, since a list may be large and a link small.
-func (d *Relay) pull(from proto.VM) {
+func (d *Relay) pullFrom(from proto.VM) {
 	if !d.pulling.CompareAndSwap(false, true) {
 		return
 	}
 	defer d.pulling.Store(false)
-	ctx, cancel := context.WithTimeout(context.Background(), pullWait)
+	ctx, cancel := context.WithTimeout(context.Background(), pullTimeout)
 	defer cancel()
 	m, err := d.peers.Call(ctx, from, proto.RoutingAsk{Routing: d.tables.Version(), Targets: d.fleet.Version(), Evacuations: d.fleet.EvacuationsVersion()})
 	a, ok := m.(proto.RoutingAnswer)
@@ -267,19 +269,19 @@
 		d.log.Info("another daemon gave nothing newer", "from", from, "error", err)
 		return
 	}
-	d.noteFleet(d.fleet.MergeInvalid(d.clock.Now(), a.InvalidEntries), string(from))
-	d.takeEvacuations(a.Evacuations, string(from))
-	d.learnNotices(d.clock.Now(), a.Notices, from)
+	d.handleFleetEvents(d.fleet.MergeInvalid(d.clock.Now(), a.InvalidEntries), string(from))
+	d.applyEvacuations(a.Evacuations, string(from))
+	d.mergeNotices(d.clock.Now(), a.Notices, from)
 	if len(a.RoutingBody) > 0 {
-		d.adoptRouting(a.RoutingBody, string(from))
+		d.applyRouting(a.RoutingBody, string(from))
 	}
 	if !a.HasTargets {
 		return
 	}
 	d.log.Info("targets taken from another daemon", "from", from, "version", a.Targets, "entries", len(a.TargetEntries), "whole", a.Full)
 	if a.Full {
-		d.takeTargets(a.Targets, a.TargetEntries, string(from), true)
+		d.replaceTargets(a.Targets, a.TargetEntries, string(from), true)
 		return
 	}
-	d.takeChanges(a.TargetEntries, string(from), true)
+	d.applyTargetChanges(a.TargetEntries, string(from), true)
 }
--- a/serve/relaydocs_test.go
+++ b/serve/relaydocs_test.go
@@ -6,19 +6,19 @@
 )
 
 // TestDaemonsThatKnowNothingAreGivenAllInTurn has hundreds of daemons start together and ask the same one.
-func TestDaemonsThatKnowNothingAreGivenAllInTurn(t *testing.T) {
-	var s documents
+func TestFullListsAreRateLimited(t *testing.T) {
+	var s documentCache
 	now := time.Unix(1_700_000_000, 0)
-	given := 0
+	sent := 0
 	for range 300 {
-		if s.givesAll(now) {
-			given++
+		if s.allowFullSend(now) {
+			sent++
 		}
 	}
-	if given != 1 {
-		t.Errorf("%d daemons were given all at once", given)
+	if sent != 1 {
+		t.Errorf("%d daemons were given all at once", sent)
 	}
-	if s.givesAll(now.Add(giveEvery-1)) || !s.givesAll(now.Add(giveEvery)) {
+	if s.allowFullSend(now.Add(fullListInterval-1)) || !s.allowFullSend(now.Add(fullListInterval)) {
 		t.Error("the next one is not given all after the time between two")
 	}
 }
--- a/serve/relayendrows_test.go
+++ b/serve/relayendrows_test.go
@@ -9,13 +9,13 @@
 	"emberlead/proto"
 )
 
-func oneEnd(run proto.RunName, requests int) proto.TargetEnds {
+func newEnd(run proto.RunName, requests int) proto.TargetEnds {
 	return proto.TargetEnds{Ends: []proto.TargetEnd{{Run: run, Requests: make([]proto.RequestDigest, requests)}}}
 }
 
 // TestEndsAreWrittenToTheStoreOnlyWhileNotAllAreReached goes through the moments at which a row is due.
-func TestEndsAreWrittenToTheStoreOnlyWhileNotAllAreReached(t *testing.T) {
-	const pace = endRowEvery
+func TestEndRowIsWrittenOnlyWhilePartitioned(t *testing.T) {
+	const interval = endRowInterval
 	type look struct {
 		after time.Duration
 		// saw is how many requests were at work at a target that ended; 0 if none did.
@@ -29,23 +29,23 @@
 		looks []look
 	}{
 		{"all are reached", []look{{0, 3, false, -1}, {time.Minute, 3, false, -1}}},
-		{"some are not", []look{{0, 3, true, 1}, {pace, 0, true, -1}, {pace, 2, true, 2}}},
+		{"some are not", []look{{0, 3, true, 1}, {interval, 0, true, -1}, {interval, 2, true, 2}}},
 		{"nothing ended", []look{{0, 0, true, -1}}},
 		{"some cease to be reached", []look{{0, 3, false, -1}, {time.Second, 0, true, 1}, {time.Second, 0, true, -1}}},
 		{"they are reached again, and not again", []look{{0, 3, true, 1}, {time.Second, 0, false, -1}, {time.Second, 0, true, 1}}},
-		{"ends come faster than the pace", []look{{0, 1, true, 1}, {pace / 2, 1, true, -1}, {pace / 2, 1, true, 3}}},
-		{"more than a row holds", []look{{0, endRowMost, false, -1}, {time.Second, 1, true, 1}}},
+		{"ends come faster than the pace", []look{{0, 1, true, 1}, {interval / 2, 1, true, -1}, {interval / 2, 1, true, 3}}},
+		{"more than a row holds", []look{{0, maxEndRowRequests, false, -1}, {time.Second, 1, true, 1}}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			clock := clockwork.NewFakeClockAt(clockStart)
-			r := &endRows{daemon: &Relay{clock: clock}}
+			r := &endRowSync{daemon: &Relay{clock: clock}}
 			for n, look := range s.looks {
 				clock.Advance(look.after)
 				if look.saw > 0 {
-					r.saw(oneEnd("t", look.saw))
+					r.recordOwn(newEnd("t", look.saw))
 				}
-				m, due := r.due(clock.Now(), look.apart, pace)
+				m, due := r.takeDue(clock.Now(), look.apart, interval)
 				if due != (look.ends >= 0) || due && len(m.Ends) != look.ends {
 					t.Fatalf("look %d: due %v with %d ends", n, due, len(m.Ends))
 				}
@@ -57,20 +57,20 @@
 	}
 }
 
-func TestARowOfEndsFitsTheStore(t *testing.T) {
-	const rowMost = 64 << 10
-	r := &endRows{daemon: &Relay{clock: clockwork.NewFakeClockAt(clockStart)}}
-	for n := range 3 * endRowMost {
-		m := oneEnd(proto.RunName("target-with-a-long-name@1790000000000"), 1)
+func TestEndRowFitsStoreLimit(t *testing.T) {
+	const maxRowBytes = 64 << 10
+	r := &endRowSync{daemon: &Relay{clock: clockwork.NewFakeClockAt(clockStart)}}
+	for n := range 3 * maxEndRowRequests {
+		m := newEnd(proto.RunName("target-with-a-long-name@1790000000000"), 1)
 		m.Ends[0].Requests[0] = proto.RequestDigest(uint64(n) * 0x9e3779b97f4a7c15)
-		r.saw(m)
+		r.recordOwn(m)
 	}
-	m, due := r.due(clockStart, true, 0)
+	m, due := r.takeDue(clockStart, true, 0)
 	body, err := proto.Encode(m, 0, false, "")
-	if !due || err != nil || len(body) > rowMost {
+	if !due || err != nil || len(body) > maxRowBytes {
 		t.Errorf("due %v, %d bytes, %v", due, len(body), err)
 	}
-	if len(m.Ends) != endRowMost {
+	if len(m.Ends) != maxEndRowRequests {
 		t.Errorf("%d ends", len(m.Ends))
 	}
 }
--- a/serve/relayends_test.go
+++ b/serve/relayends_test.go
@@ -17,64 +17,64 @@
 const (
 	// contact is for how long a daemon must have been undisturbed to count as in touch, and runsAfter how many further
 	// targets a request may reach, sent by such daemons that long after it has ended its third.
-	contact   = 3 * time.Second
-	runsAfter = 3
+	contactTime    = 3 * time.Second
+	maxLateTargets = 3
 	// endSeen is when an end is known to the daemon that sent the request, and hop what a message takes.
-	endSeen  = 150 * time.Millisecond
-	hop      = 5 * time.Millisecond
-	netTick  = 10 * time.Millisecond
-	netRings = 4
+	endDelay = 150 * time.Millisecond
+	hopDelay = 5 * time.Millisecond
+	simTick  = 10 * time.Millisecond
+	simRings = 4
 )
 
 // netDaemon is a daemon as far as it learns of ends of targets.
-type netDaemon struct {
-	vm      proto.VM
-	crashes *relay.CrashTracker
-	news    *endNews
-	links   []int
-	beat    time.Time
+type simDaemon struct {
+	vm            proto.VM
+	crashes       *relay.CrashTracker
+	gossip        *endGossip
+	links         []int
+	nextHeartbeat time.Time
 	// disturbed is when the daemon last was frozen, cut off or not running.
-	disturbed time.Time
-	frozen    bool
-	cut       bool
+	disturbedAt time.Time
+	frozen      bool
+	cut         bool
 	// inbox holds what comes while it is frozen, and later.
-	inbox []netMessage
+	inbox []simMessage
 }
 
-type netMessage struct {
+type simMessage struct {
 	at   time.Time
 	from int
 	m    proto.Message
 }
 
 // endNet is a deployment of daemons that tell each other of ends of targets, under a clock of its own.
-type endNet struct {
+type simNetwork struct {
 	t       *testing.T
 	random  *rand.Rand
 	clock   *clockwork.FakeClock
-	daemons []*netDaemon
+	daemons []*simDaemon
 	// told and bytes are what daemons sent each other beside heartbeats.
-	told, bytes int
+	sentMessages, sentBytes int
 	// ended are the ends that the sender of the request has still to see.
-	ended []func()
-	due   []time.Time
+	ends []func()
+	due  []time.Time
 }
 
-func newEndNet(t *testing.T, seed uint64, daemons int) *endNet {
-	n := &endNet{t: t, random: rand.New(rand.NewPCG(seed, 3)), clock: clockwork.NewFakeClockAt(time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC))}
+func newSimNetwork(t *testing.T, seed uint64, daemons int) *simNetwork {
+	n := &simNetwork{t: t, random: rand.New(rand.NewPCG(seed, 3)), clock: clockwork.NewFakeClockAt(time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC))}
 	for i := range daemons {
-		d := &netDaemon{vm: proto.VM(fmt.Sprintf("vm-%d", i)), beat: n.clock.Now().Add(time.Duration(n.random.Int64N(int64(peerHeartbeat))))}
+		d := &simDaemon{vm: proto.VM(fmt.Sprintf("vm-%d", i)), nextHeartbeat: n.clock.Now().Add(time.Duration(n.random.Int64N(int64(peerHeartbeatInterval))))}
 		n.daemons = append(n.daemons, d)
-		n.begin(i)
+		n.start(i)
 	}
-	for range netRings {
+	for range simRings {
 		n.link(n.random.Perm(daemons))
 	}
 	return n
 }
 
 // link has each daemon link to the two beside it in a ring.
-func (n *endNet) link(ring []int) {
+func (n *simNetwork) link(ring []int) {
 	for k, i := range ring {
 		next := ring[(k+1)%len(ring)]
 		if next == i || slices.Contains(n.daemons[i].links, next) {
@@ -86,10 +86,10 @@
 }
 
 // begin starts a daemon that knows nothing.
-func (n *endNet) begin(i int) {
+func (n *simNetwork) start(i int) {
 	d := n.daemons[i]
 	d.inbox = nil
-	d.news = newEndNews(n.clock, func(m proto.TargetEnds) {
+	d.gossip = newEndGossip(n.clock, func(m proto.TargetEnds) {
 		for _, to := range d.links {
 			n.send(i, to, m)
 		}
@@ -97,12 +97,12 @@
 	d.crashes = relay.NewCrashTracker(d.vm, n.clock, hclog.NewNullLogger(), func(m proto.TargetEnds, _ proto.VM) {
 		// The real one gathers by a timer of the clock, whose goroutine would make the order of things depend on luck.
 		for _, end := range m.Ends {
-			d.news.waiting = append(d.news.waiting, waitingEnd{end, n.clock.Now()})
+			d.gossip.pending = append(d.gossip.pending, pendingEnd{end, n.clock.Now()})
 		}
 	})
 }
 
-func (n *endNet) send(from, to int, m proto.Message) {
+func (n *simNetwork) send(from, to int, m proto.Message) {
 	if n.daemons[from].cut != n.daemons[to].cut {
 		return
 	}
@@ -111,34 +111,34 @@
 		if err != nil {
 			n.t.Fatal(err)
 		}
-		n.told++
-		n.bytes += len(data)
+		n.sentMessages++
+		n.sentBytes += len(data)
 	}
-	n.daemons[to].inbox = append(n.daemons[to].inbox, netMessage{n.clock.Now().Add(hop), from, m})
+	n.daemons[to].inbox = append(n.daemons[to].inbox, simMessage{n.clock.Now().Add(hopDelay), from, m})
 }
 
-func (n *endNet) step() {
-	n.clock.Advance(netTick)
+func (n *simNetwork) step() {
+	n.clock.Advance(simTick)
 	now := n.clock.Now()
 	for i, due := range n.due {
 		if !due.IsZero() && !now.Before(due) {
 			n.due[i] = time.Time{}
-			n.ended[i]()
+			n.ends[i]()
 		}
 	}
 	for i, d := range n.daemons {
 		if d.frozen || d.cut {
-			d.disturbed = now
+			d.disturbedAt = now
 		}
 		if d.frozen {
 			continue
 		}
 		n.receive(i)
-		if len(d.news.waiting) > 0 && now.UnixMilli()%endsGather.Milliseconds() == 0 {
-			d.news.flush()
+		if len(d.gossip.pending) > 0 && now.UnixMilli()%endsBatchDelay.Milliseconds() == 0 {
+			d.gossip.flush()
 		}
-		if !now.Before(d.beat) {
-			d.beat = now.Add(peerHeartbeat)
+		if !now.Before(d.nextHeartbeat) {
+			d.nextHeartbeat = now.Add(peerHeartbeatInterval)
 			for _, to := range d.links {
 				n.send(i, to, proto.Heartbeat{EndsDigest: d.crashes.Digest()})
 			}
@@ -146,10 +146,10 @@
 	}
 }
 
-func (n *endNet) receive(i int) {
+func (n *simNetwork) receive(i int) {
 	d := n.daemons[i]
 	now := n.clock.Now()
-	later := slices.IndexFunc(d.inbox, func(m netMessage) bool { return m.at.After(now) })
+	later := slices.IndexFunc(d.inbox, func(m simMessage) bool { return m.at.After(now) })
 	if later < 0 {
 		later = len(d.inbox)
 	}
@@ -160,7 +160,7 @@
 		case proto.TargetEnds:
 			d.crashes.Merge(msg, n.daemons[m.from].vm)
 		case proto.Heartbeat:
-			if d.news.differs(now, n.daemons[m.from].vm, d.crashes.Digest(), msg.EndsDigest, d.crashes.Stats().Ends) {
+			if d.gossip.shouldSendAll(now, n.daemons[m.from].vm, d.crashes.Digest(), msg.EndsDigest, d.crashes.Stats().Ends) {
 				n.send(i, m.from, d.crashes.Snapshot())
 			}
 		}
@@ -168,25 +168,25 @@
 }
 
 // try has a request come to a daemon, which sends it to a target unless it refuses, and tells whether it did.
-func (n *endNet) try(i int, request proto.RequestDigest, target int) bool {
+func (n *simNetwork) try(i int, request proto.RequestDigest, target int) bool {
 	d := n.daemons[i]
 	if _, refused := d.crashes.Blocks(request); refused || d.frozen {
 		return false
 	}
 	crashes := d.crashes
-	n.due = append(n.due, n.clock.Now().Add(endSeen))
-	n.ended = append(n.ended, func() {
+	n.due = append(n.due, n.clock.Now().Add(endDelay))
+	n.ends = append(n.ends, func() {
 		crashes.RecordEnd(proto.RunName(fmt.Sprintf("t-%d", target)), n.clock.Now(), []proto.RequestDigest{request})
 	})
 	return true
 }
 
-func (n *endNet) inTouch(i int) bool {
-	return n.clock.Now().Sub(n.daemons[i].disturbed) >= contact
+func (n *simNetwork) isConnected(i int) bool {
+	return n.clock.Now().Sub(n.daemons[i].disturbedAt) >= contactTime
 }
 
 // disturb freezes, cuts off or restarts a daemon, or ends that.
-func (n *endNet) disturb() {
+func (n *simNetwork) disturb() {
 	i := n.random.IntN(len(n.daemons))
 	d := n.daemons[i]
 	switch n.random.IntN(3) {
@@ -195,56 +195,56 @@
 	case 1:
 		d.cut = !d.cut
 	default:
-		d.frozen, d.cut, d.disturbed = false, false, n.clock.Now()
-		n.begin(i)
+		d.frozen, d.cut, d.disturbedAt = false, false, n.clock.Now()
+		n.start(i)
 	}
 }
 
 // TestWhatOneDaemonLearnsAllInTouchUse has a request that ends each target come to random daemons, while daemons freeze, are
 // cut off and start again: from three seconds after its third target's end on, those in touch send it to three more at most.
-func TestWhatOneDaemonLearnsAllInTouchUse(t *testing.T) {
+func TestEndsReachAllConnectedDaemons(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			n := newEndNet(t, seed, 6+int(seed%20))
+			n := newSimNetwork(t, seed, 6+int(seed%20))
 			ends, after := 0, 0
-			var third time.Time
-			quiet := n.clock.Now().Add(20 * time.Second)
-			for n.clock.Now().Before(quiet.Add(5 * time.Second)) {
+			var thirdEnd time.Time
+			faultsEnd := n.clock.Now().Add(20 * time.Second)
+			for n.clock.Now().Before(faultsEnd.Add(5 * time.Second)) {
 				n.step()
 				// Half of the histories have faults; in all, the last seconds have none.
-				if seed%2 == 1 && n.random.IntN(60) == 0 && n.clock.Now().Before(quiet) {
+				if seed%2 == 1 && n.random.IntN(60) == 0 && n.clock.Now().Before(faultsEnd) {
 					n.disturb()
 				}
 				if n.random.IntN(25) != 0 {
 					continue
 				}
 				i := n.random.IntN(len(n.daemons))
-				late := !third.IsZero() && n.clock.Now().Sub(third) > contact
+				late := !thirdEnd.IsZero() && n.clock.Now().Sub(thirdEnd) > contactTime
 				if !n.try(i, 7, ends) {
 					continue
 				}
 				ends++
 				if ends == 3 {
-					third = n.clock.Now().Add(endSeen)
+					thirdEnd = n.clock.Now().Add(endDelay)
 				}
-				if late && n.inTouch(i) {
+				if late && n.isConnected(i) {
 					after++
 				}
 			}
 			if ends < 3 {
 				t.Fatalf("only %d targets ended", ends)
 			}
-			if after > runsAfter {
-				t.Errorf("%d targets ended; %d of them later than %s after the third", ends, after, contact)
+			if after > maxLateTargets {
+				t.Errorf("%d targets ended; %d of them later than %s after the third", ends, after, contactTime)
 			}
 		})
 	}
 }
 
 // TestTellingOfEndsIsCheapInALargeDeployment ends twenty of a pool's targets at once, with 48 requests each of other daemons.
-func TestTellingOfEndsIsCheapInALargeDeployment(t *testing.T) {
+func TestEndGossipIsCheapInLargeDeployment(t *testing.T) {
 	const daemons, targets, each = 300, 20, 48
-	n := newEndNet(t, 1, daemons)
+	n := newSimNetwork(t, 1, daemons)
 	for range 100 {
 		n.step()
 	}
@@ -255,9 +255,9 @@
 		}
 	}
 	steps := 0
-	for !n.agrees(targets * each) {
+	for !n.converged(targets * each) {
 		n.step()
-		if steps++; steps > int(contact/netTick) {
+		if steps++; steps > int(contactTime/simTick) {
 			t.Fatal("not all daemons know all in three seconds")
 		}
 	}
@@ -265,18 +265,18 @@
 		n.step()
 	}
 	t.Logf("known to all after %s; a daemon sent %d messages and %d bytes for %d ends under %d requests",
-		time.Duration(steps)*netTick, n.told/daemons, n.bytes/daemons, targets, targets*each)
+		time.Duration(steps)*simTick, n.sentMessages/daemons, n.sentBytes/daemons, targets, targets*each)
 	// Each daemon sends what it learns in one gathering over eight links, and learns all in a few of them.
-	if most := 2 * netRings * 12; n.told/daemons > most {
-		t.Errorf("a daemon sent %d messages, want %d at most", n.told/daemons, most)
+	if most := 2 * simRings * 12; n.sentMessages/daemons > most {
+		t.Errorf("a daemon sent %d messages, want %d at most", n.sentMessages/daemons, most)
 	}
-	if most := 2 * netRings * targets * each * 24; n.bytes/daemons > most {
-		t.Errorf("a daemon sent %d bytes, want %d at most", n.bytes/daemons, most)
+	if most := 2 * simRings * targets * each * 24; n.sentBytes/daemons > most {
+		t.Errorf("a daemon sent %d bytes, want %d at most", n.sentBytes/daemons, most)
 	}
 }
 
 // agrees tells whether all daemons know so many ends, and the same.
-func (n *endNet) agrees(ends int) bool {
+func (n *simNetwork) converged(ends int) bool {
 	for _, d := range n.daemons {
 		if d.crashes.Stats().Ends != ends || d.crashes.Digest() != n.daemons[0].crashes.Digest() {
 			return false
@@ -286,25 +286,25 @@
 }
 
 // TestAnEndIsAsOldForThoseWhoAreToldOfIt gathers an end for a while before it is told.
-func TestAnEndIsAsOldForThoseWhoAreToldOfIt(t *testing.T) {
+func TestForwardedEndKeepsItsAge(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(clockStart)
-	var told []proto.TargetEnds
-	e := newEndNews(clock, func(m proto.TargetEnds) { told = append(told, m) })
+	var sent []proto.TargetEnds
+	e := newEndGossip(clock, func(m proto.TargetEnds) { sent = append(sent, m) })
 	e.add(proto.TargetEnds{Ends: []proto.TargetEnd{{Run: "a", Age: time.Second}}})
-	clock.Advance(endsGather / 2)
+	clock.Advance(endsBatchDelay / 2)
 	e.add(proto.TargetEnds{Ends: []proto.TargetEnd{{Run: "b", Age: time.Minute}}})
-	clock.Advance(endsGather / 4)
+	clock.Advance(endsBatchDelay / 4)
 	e.flush()
-	if len(told) != 1 || len(told[0].Ends) != 2 {
-		t.Fatalf("told %v", told)
+	if len(sent) != 1 || len(sent[0].Ends) != 2 {
+		t.Fatalf("told %v", sent)
 	}
-	if a, b := told[0].Ends[0].Age, told[0].Ends[1].Age; a != time.Second+endsGather*3/4 || b != time.Minute+endsGather/4 {
+	if a, b := sent[0].Ends[0].Age, sent[0].Ends[1].Age; a != time.Second+endsBatchDelay*3/4 || b != time.Minute+endsBatchDelay/4 {
 		t.Errorf("ages %v and %v", a, b)
 	}
 }
 
 // TestWhoKnowsOtherEndsIsToldThem follows the digests in a linked daemon's heartbeats.
-func TestWhoKnowsOtherEndsIsToldThem(t *testing.T) {
+func TestDaemonWithDifferentEndsIsSentAll(t *testing.T) {
 	scenarios := []struct {
 		name        string
 		own, theirs uint64
@@ -314,24 +314,24 @@
 		{"they know the same", 5, 5, time.Minute, false},
 		{"this daemon knows nothing", 0, 5, time.Minute, false},
 		{"they know nothing", 5, 0, 0, true},
-		{"they have known others for a moment", 5, 6, endsDiffer - time.Millisecond, false},
-		{"they have known others for long", 5, 6, endsDiffer, true},
+		{"they have known others for a moment", 5, 6, endsDigestGrace - time.Millisecond, false},
+		{"they have known others for long", 5, 6, endsDigestGrace, true},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			clock := clockwork.NewFakeClockAt(clockStart)
-			e := newEndNews(clock, nil)
-			first := e.differs(clock.Now(), "vm", s.own, s.theirs, 10)
+			e := newEndGossip(clock, nil)
+			first := e.shouldSendAll(clock.Now(), "vm", s.own, s.theirs, 10)
 			clock.Advance(s.after)
-			if told := first || e.differs(clock.Now(), "vm", s.own, s.theirs, 10); told != s.told {
-				t.Errorf("told: %v", told)
+			if sent := first || e.shouldSendAll(clock.Now(), "vm", s.own, s.theirs, 10); sent != s.told {
+				t.Errorf("told: %v", sent)
 			}
-			clock.Advance(endsAgain / 2)
-			if s.told && e.differs(clock.Now(), "vm", s.own, s.theirs, 10) {
+			clock.Advance(endsResendInterval / 2)
+			if s.told && e.shouldSendAll(clock.Now(), "vm", s.own, s.theirs, 10) {
 				t.Error("told twice within a second")
 			}
-			clock.Advance(endsAgain)
-			if s.told && !e.differs(clock.Now(), "vm", s.own, s.theirs, 10) {
+			clock.Advance(endsResendInterval)
+			if s.told && !e.shouldSendAll(clock.Now(), "vm", s.own, s.theirs, 10) {
 				t.Error("not told again while they differ")
 			}
 		})
@@ -339,18 +339,18 @@
 }
 
 // TestDaemonsThatForgotDifferentEndsTellEachOtherSeldom has two daemons differ for ever, with as many ends as are remembered.
-func TestDaemonsThatForgotDifferentEndsTellEachOtherSeldom(t *testing.T) {
+func TestDaemonsThatForgotDifferentEndsRarelyResend(t *testing.T) {
 	const known, minute = 8000, 60
 	clock := clockwork.NewFakeClockAt(clockStart)
-	e := newEndNews(clock, nil)
-	told := 0
-	for range minute * time.Second / peerHeartbeat {
-		if e.differs(clock.Now(), "vm", 5, 6, known) {
-			told++
+	e := newEndGossip(clock, nil)
+	sent := 0
+	for range minute * time.Second / peerHeartbeatInterval {
+		if e.shouldSendAll(clock.Now(), "vm", 5, 6, known) {
+			sent++
 		}
-		clock.Advance(peerHeartbeat)
+		clock.Advance(peerHeartbeatInterval)
 	}
-	if most := minute*endsPace/known + 1; told == 0 || told > most {
-		t.Errorf("told %d times in a minute, want %d at most", told, most)
+	if maxSent := minute*maxEndsPerSecond/known + 1; sent == 0 || sent > maxSent {
+		t.Errorf("told %d times in a minute, want %d at most", sent, maxSent)
 	}
 }
--- a/serve/relayera.go
+++ b/serve/relayera.go
@@ -6,29 +6,29 @@
 
 // storeRestored takes in that the store is in a newer era than was known. Its tables are read anew by their watchers, whose versions
 // are of the earlier era; what this daemon wrote there is written again.
-func (d *Relay) storeRestored(era uint64) {
+func (d *Relay) handleStoreRestored(era uint64) {
 	d.log.Warn("the store is in a new era", "era", era, "routing", d.tables.Version(), "targets", d.fleet.Version(), "evacuations", d.fleet.EvacuationsVersion())
-	d.census.StoreRestored(d.clock.Now(), era)
-	d.endRows.restored()
+	d.shareTracker.StoreRestored(d.clock.Now(), era)
+	d.endRowSync.handleRestore()
 	select {
-	case d.restored <- struct{}{}:
+	case d.eraChanged <- struct{}{}:
 	default:
 		// The loop has not taken up the last one yet.
 	}
 }
 
 // judgeAnew takes in entries again that counted as left over from before targets left, and that are still listed.
-func (d *Relay) judgeAnew(ids []string) {
+func (d *Relay) reapplyExpired(ids []string) {
 	if len(ids) == 0 {
 		return
 	}
 	var docs []proto.TargetDocument
-	d.docs.mu.Lock()
+	d.documents.mu.Lock()
 	for _, id := range ids {
-		if doc, listed := d.docs.targets[id]; listed && !doc.Removed {
+		if doc, listed := d.documents.targets[id]; listed && !doc.Removed {
 			docs = append(docs, doc)
 		}
 	}
-	d.docs.mu.Unlock()
-	d.takeChanges(docs, "time", false)
+	d.documents.mu.Unlock()
+	d.applyTargetChanges(docs, "time", false)
 }
--- a/serve/relayhttp.go
+++ b/serve/relayhttp.go
@@ -33,7 +33,7 @@
 	metrics := echo.New()
 	metrics.HideBanner, metrics.HidePort = true, true
 	metrics.GET("/debug/vars", echo.WrapHandler(expvar.Handler()))
-	d.publishRelay()
+	d.publishVars()
 	for _, s := range []struct {
 		address netip.AddrPort
 		handler http.Handler
@@ -58,7 +58,7 @@
 		return &Error{Op: "listen", Kind: proto.KindUnavailable, Err: err}
 	}
 	server := &http.Server{
-		Handler: handler, ReadHeaderTimeout: headWait, IdleTimeout: idleWait, MaxHeaderBytes: headMost,
+		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: d.log.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug}),
 	}
 	if config != nil {
@@ -76,7 +76,7 @@
 	g.Add(serve, func(error) {
 		go func() {
 			defer close(closed)
-			ctx, cancel := context.WithTimeout(context.Background(), closeWait)
+			ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 			defer cancel()
 			wire.Shutdown(ctx, server)
 		}()
@@ -86,11 +86,11 @@
 
 // RelayVars are the measures of a relaying daemon at /debug/vars.
 type RelayVars struct {
-	Requests relay.RequestStats   `json:"requests"`
-	Pieces   relay.PieceStats     `json:"pieces"`
-	Targets  wire.TransportCounts `json:"targetConnections"`
-	Links    wire.LinkCounts      `json:"links"`
-	Members  coord.MemberCounts   `json:"members"`
+	Requests          relay.RequestStats   `json:"requests"`
+	Pieces            relay.PieceStats     `json:"pieces"`
+	TargetConnections wire.TransportCounts `json:"targetConnections"`
+	Links             wire.LinkCounts      `json:"links"`
+	Members           coord.MemberCounts   `json:"members"`
 	// Share is the daemon's part of what all daemons are allowed together.
 	Share   relay.Share `json:"share"`
 	Routing uint64      `json:"routing"`
@@ -113,28 +113,28 @@
 	// Notices counts the targets that leave, name a limit or want rest by their answers.
 	Notices relay.NoticeStats `json:"notices"`
 	// Permits counts what this daemon handed out for targets that name a limit.
-	Permits relay.PermitStats `json:"permits"`
-	Open    int64             `json:"openRequests"`
+	Permits      relay.PermitStats `json:"permits"`
+	OpenRequests int64             `json:"openRequests"`
 	// Store counts the calls to the store by table and kind.
-	Store   platform.CallCounts `json:"store"`
-	Dropped int64               `json:"logLinesDropped"`
+	Store           platform.CallCounts `json:"store"`
+	LogLinesDropped int64               `json:"logLinesDropped"`
 }
 
-func (d *Relay) publishRelay() {
+func (d *Relay) publishVars() {
 	wire.PublishVars(d.settings.VM, func() any { return d.vars() })
 }
 
 func (d *Relay) vars() RelayVars {
 	now := d.clock.Now()
 	return RelayVars{
-		RoutingAge: ageVar(&d.routingView, now), TargetsAge: ageVar(&d.targetsView, now),
-		Requests: d.server.Counts().Stats(), Pieces: d.pieces.Stats(), Targets: d.exchange.Counts(), Links: d.peers.links.Counts(),
-		Members: d.peers.members.Counts(), Share: d.peers.Share(), Routing: d.tables.Version(), Fleet: d.fleet.Version().String(), Era: d.store.Era(), Evacuated: d.fleet.EvacuatedZones(), Open: d.server.OpenRequests(),
-		LinkAuth: d.linkAuth(), Crashes: d.crashes.Stats(), Cold: d.placer.ColdStats(), Notices: d.fleet.NoticeStats(now), Permits: d.placer.PermitStats(), Store: d.store.Counts(), Dropped: d.sink.Dropped(),
+		RoutingAge: ageMillis(&d.routingFreshness, now), TargetsAge: ageMillis(&d.targetsFreshness, now),
+		Requests: d.server.Counts().Stats(), Pieces: d.pieces.Stats(), TargetConnections: d.transport.Counts(), Links: d.peers.links.Counts(),
+		Members: d.peers.members.Counts(), Share: d.peers.Share(), Routing: d.tables.Version(), Fleet: d.fleet.Version().String(), Era: d.store.Era(), Evacuated: d.fleet.EvacuatedZones(), OpenRequests: d.server.OpenRequests(),
+		LinkAuth: d.linkAuth(), Crashes: d.crashTracker.Stats(), Cold: d.placer.ColdStats(), Notices: d.fleet.NoticeStats(now), Permits: d.placer.PermitStats(), Store: d.store.Counts(), LogLinesDropped: d.sink.Dropped(),
 	}
 }
 
-func ageVar(v *view, now time.Time) int64 {
+func ageMillis(v *tableFreshness, now time.Time) int64 {
 	age, known := v.age(now)
 	if !known {
 		return -1
@@ -144,6 +144,6 @@
 
 func (d *Relay) logStatus() {
 	v := d.vars()
-	d.log.Info("status", "requests", v.Requests, "pieces", v.Pieces, "connections", v.Targets, "links", v.Links, "members", v.Members, "share", v.Share,
-		"routing", v.Routing, "routingAgeMs", v.RoutingAge, "targets", v.Fleet, "targetsAgeMs", v.TargetsAge, "storeEra", v.Era, "evacuated", v.Evacuated, "linkAuth", v.LinkAuth, "crashes", v.Crashes, "cold", v.Cold, "notices", v.Notices, "permits", v.Permits, "open", v.Open, "store", v.Store, "dropped", v.Dropped)
+	d.log.Info("status", "requests", v.Requests, "pieces", v.Pieces, "connections", v.TargetConnections, "links", v.Links, "members", v.Members, "share", v.Share,
+		"routing", v.Routing, "routingAgeMs", v.RoutingAge, "targets", v.Fleet, "targetsAgeMs", v.TargetsAge, "storeEra", v.Era, "evacuated", v.Evacuated, "linkAuth", v.LinkAuth, "crashes", v.Crashes, "cold", v.Cold, "notices", v.Notices, "permits", v.Permits, "open", v.OpenRequests, "store", v.Store, "dropped", v.LogLinesDropped)
 }
--- a/serve/relaylinks.go
+++ b/serve/relaylinks.go
@@ -28,11 +28,11 @@
 }
 
 // noteLinkAuth logs at the start how daemons know each other, and whether that keeps anybody out.
-func (d *Relay) noteLinkAuth() {
+func (d *Relay) logLinkAuth() {
 	switch d.linkAuth() {
 	case authCertificates:
 		d.log.Info("daemons know each other by certificates", "expiry", d.credentials.Expiry())
-		d.noteExpiry()
+		d.logExpiry()
 	case authKey:
 		d.log.Warn("daemons know each other by a key that passes over their links unencrypted")
 	case authStore:
@@ -40,7 +40,7 @@
 	}
 }
 
-func (d *Relay) noteExpiry() {
+func (d *Relay) logExpiry() {
 	if expiry := d.credentials.Expiry(); expiry.Sub(d.clock.Now()) < expiryNotice {
 		d.log.Warn("the certificate of this daemon expires soon", "expiry", expiry)
 	}
@@ -54,15 +54,15 @@
 	changed, err := d.credentials.Reload()
 	switch {
 	case err != nil:
-		if !d.badCredentials {
+		if !d.credentialsFailed {
 			d.log.Warn("the certificates between daemons cannot be read again, the old ones stay", "cause", cause, "error", err)
 		}
-		d.badCredentials = true
+		d.credentialsFailed = true
 		return
 	case changed:
 		d.log.Info("certificates between daemons read again", "cause", cause, "expiry", d.credentials.Expiry())
-		d.noteExpiry()
+		d.logExpiry()
 		d.peers.links.Reconnect()
 	}
-	d.badCredentials = false
+	d.credentialsFailed = false
 }
--- a/serve/relaylist.go
+++ b/serve/relaylist.go
@@ -15,23 +15,23 @@
 const (
 	// listEvery is how often the daemons' table is read, for daemons that no other knows. All daemons do so, which at some
 	// hundred of them is several calls a second.
-	listEvery = time.Minute
+	rowReadInterval = time.Minute
 	// listRetry bounds how long the table is not read after a call that failed, unless another call to the store succeeds:
 	// daemons that all start during an outage would ask in vain several times a second each.
-	listRetry = 3 * time.Second
+	maxRowRetryWait = 3 * time.Second
 	// rowLease is how long a daemon may use its share of common limits after a write of its row, and about how long others
 	// count a VM that has died for good: until then they have a smaller share each, by one in the number of VMs.
 	rowLease = 10 * time.Minute
 	// rowEvery is how often a daemon writes its row anew; with three times in a lease, two may fail. At 2,000 daemons this
 	// comes to ten writes a second.
-	rowEvery = rowLease / 3
+	rowWriteInterval = rowLease / 3
 	// shareSpread is how much longer than the window of the retry budget a started daemon waits before it uses a share,
 	// for attempts of its last run that are still on their way.
-	shareSpread = time.Second
+	shareDelay = time.Second
 	// readMost is how old the last read of the daemons' rows may be: two of them, and an outage of the store of 5 s.
-	readMost = 2*listEvery + 5*time.Second
+	maxReadAge = 2*rowReadInterval + 5*time.Second
 	// taskOldRows names the task of removing the rows of VMs that are gone.
-	taskOldRows = "remove old rows"
+	taskRemoveOldRows = "remove old rows"
 )
 
 // daemonRow is what a daemon says of itself in the store, for daemons that start when all seeds are gone.
@@ -48,88 +48,88 @@
 }
 
 // list keeps the daemons' table: it reads the others' rows and renews the own one.
-func (d *Relay) list(ctx context.Context) {
-	l := &rowList{daemon: d}
+func (d *Relay) maintainRow(ctx context.Context) {
+	l := &rowMaintainer{daemon: d}
 	for ctx.Err() == nil {
 		select {
 		case <-d.clock.After(l.step(ctx)):
-		case <-d.restored:
+		case <-d.eraChanged:
 		case <-ctx.Done():
 		}
 	}
 }
 
 // rowList is the state of the loop that keeps the daemons' table.
-type rowList struct {
+type rowMaintainer struct {
 	daemon *Relay
 	// wrote is when the own row was sent that the store has, and counted what that said.
-	wrote   time.Time
-	counted bool
+	writtenAt      time.Time
+	writtenCounted bool
 	// known says that the others knew of this VM when the daemon started.
-	known bool
+	knownToOthers bool
 	// era is that of the store in which the own row was last looked at.
 	era uint64
 	// again says that the rows were read a second time in the first start of all daemons.
-	again bool
+	reread bool
 }
 
 // step reads the rows, writes the own one if that is due, and returns how long to wait then.
-func (l *rowList) step(ctx context.Context) time.Duration {
+func (l *rowMaintainer) step(ctx context.Context) time.Duration {
 	d := l.daemon
-	l.restored(d.store.Era())
+	l.resetOnNewEra(d.store.Era())
 	read := l.read(ctx)
-	written := !l.due() || l.write(ctx)
+	written := !l.writeDue() || l.write(ctx)
 	switch {
 	case !read || !written:
-		d.awaitStore(ctx, listRetry)
-		return retryFirst
-	case d.settings.FirstStart && !l.again:
+		d.waitForStore(ctx, maxRowRetryWait)
+		return initialRetryDelay
+	case d.settings.FirstStart && !l.reread:
 		// All have written their rows by then, and none uses a share yet.
-		l.again = true
+		l.reread = true
 		return d.settings.RetryWindow / 2
 	}
-	return listEvery
+	return rowReadInterval
 }
 
 // restored forgets what was known of the own row in an earlier era of the store.
-func (l *rowList) restored(era uint64) {
+func (l *rowMaintainer) resetOnNewEra(era uint64) {
 	if era == l.era {
 		return
 	}
 	l.era = era
-	l.wrote, l.counted, l.known = time.Time{}, false, false
+	l.writtenAt, l.writtenCounted, l.knownToOthers = time.Time{}, false, false
 }
 
-func (l *rowList) due() bool {
+func (l *rowMaintainer) writeDue() bool {
 	now := l.daemon.clock.Now()
-	return l.wrote.IsZero() || now.Sub(l.wrote) >= rowEvery || l.isCounted(now) && !l.counted
+	return l.writtenAt.IsZero() || now.Sub(l.writtenAt) >= rowWriteInterval || l.isCounted(now) && !l.writtenCounted
 }
 
 // takeOver keeps the row of the VM's last run, if that is not due to be written anew and says the same of the VM: other
 // daemons learn of the new run over their links.
-func (l *rowList) takeOver(now time.Time, row daemonRow) {
+func (l *rowMaintainer) adoptPreviousRow(now time.Time, row daemonRow) {
 	d := l.daemon
 	age := now.Sub(row.Written)
-	if !l.wrote.IsZero() || row.Zone != d.self.Zone || row.Peer != d.self.Peer || age < 0 || age >= rowEvery || row.Era != l.era {
+	if !l.writtenAt.IsZero() || row.Zone != d.self.Zone || row.Peer != d.self.Peer || age < 0 || age >= rowWriteInterval || row.Era != l.era {
 		return
 	}
-	l.wrote, l.counted = now.Add(-age), row.Counted
-	d.census.RowWritten(l.wrote, l.era)
+	l.writtenAt, l.writtenCounted = now.Add(-age), row.Counted
+	d.shareTracker.RowWritten(l.writtenAt, l.era)
 }
 
 // isCounted tells whether the others know of this VM.
-func (l *rowList) isCounted(now time.Time) bool {
-	return l.known || l.daemon.census.Share(now).Usable
+func (l *rowMaintainer) isCounted(now time.Time) bool {
+	return l.knownToOthers || l.daemon.shareTracker.Share(now).Usable
 }
 
-func (l *rowList) write(ctx context.Context) bool {
+func (l *rowMaintainer) write(ctx context.Context) bool {
 	d := l.daemon
-	ctx, cancel := context.WithTimeout(ctx, readWait)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	sent := d.clock.Now()
+	sentAt := d.clock.Now()
 	row := daemonRow{
 		Zone: d.self.Zone, Peer: d.self.Peer, Incarnation: d.peers.announcement().Incarnation,
-		Written: sent.UTC().Round(0), Counted: l.isCounted(sent), Era: l.era,
+		Written: sentAt.UTC().Round(0), Counted: l.isCounted(sentAt), Era: l.era,
 	}
 	body, err := json.Marshal(row)
 	era := l.era
@@ -144,22 +144,22 @@
 		d.log.Debug("the own row is not written", "error", err)
 		return false
 	}
-	l.wrote, l.counted = sent, row.Counted
-	d.census.RowWritten(sent, era)
+	l.writtenAt, l.writtenCounted = sentAt, row.Counted
+	d.shareTracker.RowWritten(sentAt, era)
 	return true
 }
 
-func (l *rowList) read(ctx context.Context) bool {
+func (l *rowMaintainer) read(ctx context.Context) bool {
 	d := l.daemon
-	ctx, cancel := context.WithTimeout(ctx, wholeWait)
+	ctx, cancel := context.WithTimeout(ctx, tableReadTimeout)
 	defer cancel()
-	asked := d.clock.Now()
+	sentAt := d.clock.Now()
 	rows, err := d.store.Daemons().Read(ctx)
 	if err != nil {
 		d.log.Debug("the list of daemons is not read", "error", err)
 		return false
 	}
-	l.restored(rows.Version.Era)
+	l.resetOnNewEra(rows.Version.Era)
 	now := d.clock.Now()
 	versions := map[proto.VM]proto.Revision{}
 	known := d.settings.FirstStart
@@ -167,22 +167,22 @@
 	for _, entry := range rows.Rows {
 		vm := proto.VM(entry.Key)
 		versions[vm] = entry.Version
-		if row, ok := d.takeRow(now, entry); ok && vm == d.self.VM {
+		if row, ok := d.handleRow(now, entry); ok && vm == d.self.VM {
 			own = row
 		}
 	}
-	known = known || own.Counted && own.Era == l.era && now.Sub(own.Written) < censusTiming(d.settings).MaxRowAge()
-	l.known = l.known || known && !d.rowsRead.Load()
-	l.takeOver(now, own)
-	d.census.Start(now, known)
-	d.removeOld(d.census.ObserveRows(asked, now, rows.Version.Era, versions), versions)
+	known = known || own.Counted && own.Era == l.era && now.Sub(own.Written) < shareTiming(d.settings).MaxRowAge()
+	l.knownToOthers = l.knownToOthers || known && !d.rowsRead.Load()
+	l.adoptPreviousRow(now, own)
+	d.shareTracker.Start(now, known)
+	d.removeExpiredRows(d.shareTracker.ObserveRows(sentAt, now, rows.Version.Era, versions), versions)
 	d.rowsRead.Store(true)
-	d.noteStart()
+	d.startWhenReady()
 	return true
 }
 
 // takeRow learns of a daemon by its row. The own row may still be that of the last run, whose number must be lower.
-func (d *Relay) takeRow(now time.Time, entry platform.Row) (daemonRow, bool) {
+func (d *Relay) handleRow(now time.Time, entry platform.Row) (daemonRow, bool) {
 	var row daemonRow
 	if err := json.Unmarshal(entry.Body, &row); err != nil {
 		d.log.Warn("a daemon's row cannot be read", "vm", entry.Key, "error", err)
@@ -193,10 +193,10 @@
 }
 
 // removeOld removes the rows of VMs whose leases are over, which one daemon does for all.
-func (d *Relay) removeOld(over []proto.VM, versions map[proto.VM]proto.Revision) {
-	for _, vm := range over {
+func (d *Relay) removeExpiredRows(expired []proto.VM, versions map[proto.VM]proto.Revision) {
+	for _, vm := range expired {
 		d.log.Info("a daemon's row is too old to count", "vm", vm, "version", versions[vm], "lease", rowLease.String())
-		if versions[vm].IsZero() || d.peers.Owner(taskOldRows, nil) != d.self.VM {
+		if versions[vm].IsZero() || d.peers.Owner(taskRemoveOldRows, nil) != d.self.VM {
 			continue
 		}
 		go d.removeRow(vm, versions[vm])
@@ -204,19 +204,19 @@
 }
 
 func (d *Relay) removeRow(vm proto.VM, version proto.Revision) {
-	ctx, cancel := context.WithTimeout(context.Background(), readWait)
+	ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
 	defer cancel()
 	err := d.store.Daemons().Remove(ctx, string(vm), version)
 	d.log.Info("an old row is removed", "vm", vm, "version", version, "error", err)
 }
 
-func censusTiming(s platform.Settings) coord.ShareTiming {
-	return coord.ShareTiming{Window: s.RetryWindow + shareSpread, Lease: rowLease, MaxReadAge: readMost}
+func shareTiming(s platform.Settings) coord.ShareTiming {
+	return coord.ShareTiming{Window: s.RetryWindow + shareDelay, Lease: rowLease, MaxReadAge: maxReadAge}
 }
 
 // Share returns this daemon's part of what all daemons together are allowed.
 func (p *relayPeers) Share() relay.Share {
-	s := p.census.Share(p.clock.Now())
+	s := p.shareTracker.Share(p.clock.Now())
 	share := relay.Share{VMCount: s.VMCount, Live: p.Count(), Reason: string(s.Reason)}
 	if s.Usable {
 		share.Fraction = 1 / float64(s.VMCount)
@@ -226,23 +226,23 @@
 
 // Sole tells whether this daemon may do now what only one of all may do at a time.
 func (p *relayPeers) OwnsExclusively(task string, settle time.Duration) bool {
-	return p.census.OwnsExclusively(p.clock.Now(), task, settle)
+	return p.shareTracker.OwnsExclusively(p.clock.Now(), task, settle)
 }
 
 // reportShare counts the daemons that have come to be known, and logs when the own part changes.
-func (d *Relay) reportShare() {
+func (d *Relay) updateShare() {
 	now := d.clock.Now()
-	if version := d.peers.members.Version(); version != d.peers.counted {
-		d.peers.counted = version
+	if version := d.peers.members.Version(); version != d.peers.countedVersion {
+		d.peers.countedVersion = version
 		for _, alive := range d.peers.members.Live() {
-			d.census.ObserveVMs(now, alive.VM)
+			d.shareTracker.ObserveVMs(now, alive.VM)
 		}
 	}
-	s := d.census.Share(now)
-	if s.VMCount == d.lastShare.VMCount && s.Reason == d.lastShare.Reason {
+	s := d.shareTracker.Share(now)
+	if s.VMCount == d.loggedShare.VMCount && s.Reason == d.loggedShare.Reason {
 		return
 	}
-	d.lastShare = s
+	d.loggedShare = s
 	d.log.Info("share of common limits changed", "counted", s.VMCount, "usable", s.Usable, "reason", s.Reason,
 		"rowAge", s.RowAge.String(), "readAge", s.ReadAge.String(), "members", d.peers.Count())
 }
--- a/serve/relaypeers.go
+++ b/serve/relaypeers.go
@@ -16,47 +16,47 @@
 const (
 	// peerHeartbeat is how often daemons hear of each other. Work that waits for a silent daemon is late by its
 	// silence, so this is a fraction of the shortest goal of a request with stages.
-	peerHeartbeat = 300 * time.Millisecond
+	peerHeartbeatInterval = 300 * time.Millisecond
 	// peerSilence is how long a link may be silent: two lost heartbeats and a delay.
-	peerSilence = 900 * time.Millisecond
+	peerSilenceTimeout = 900 * time.Millisecond
 	// peerPause is how late a daemon's own tick may be before it holds itself to have been paused.
-	peerPause = 600 * time.Millisecond
+	peerPauseThreshold = 600 * time.Millisecond
 	// peerTick is how often links are looked at.
-	peerTick = 100 * time.Millisecond
+	peerTickInterval = 100 * time.Millisecond
 	// peerForget is how long a dead daemon stays known.
-	peerForget = 2 * time.Minute
+	peerForgetAfter = 2 * time.Minute
 	// pullAfter is how long another daemon may have newer state before it is asked for it: the own watch of the store
 	// shows the same within some milliseconds, unless the store does not answer this daemon.
-	pullAfter = 250 * time.Millisecond
+	pullDelay = 250 * time.Millisecond
 	// pullWait bounds the asking.
-	pullWait = time.Second
+	pullTimeout = time.Second
 	// voidAgain is how often a daemon is asked whose void entries differ from those known here: what is on its way
 	// arrives within a few heartbeats.
-	voidAgain = time.Second
+	invalidAskInterval = time.Second
 )
 
 func peerTiming() coord.MemberTiming {
-	return coord.MemberTiming{HeartbeatInterval: peerHeartbeat, SilenceTimeout: peerSilence, PauseThreshold: peerPause, MaxListLag: peerForget, ForgetAfter: peerForget}
+	return coord.MemberTiming{HeartbeatInterval: peerHeartbeatInterval, SilenceTimeout: peerSilenceTimeout, PauseThreshold: peerPauseThreshold, MaxListLag: peerForgetAfter, ForgetAfter: peerForgetAfter}
 }
 
 // relayPeers are the other daemons as the relay sees them.
 type relayPeers struct {
-	clock   clockwork.Clock
-	log     hclog.Logger
-	self    proto.Alive
-	members *coord.Members
-	census  *coord.ShareTracker
-	links   *wire.Links
+	clock        clockwork.Clock
+	log          hclog.Logger
+	self         proto.Alive
+	members      *coord.Members
+	shareTracker *coord.ShareTracker
+	links        *wire.Links
 	// counted is the version of the members' view that the census has; only the loop that reports the share uses it.
-	counted uint64
+	countedVersion uint64
 
 	mu sync.Mutex
 	// seeds are addresses of daemons whose names are not known yet, under names made from the addresses.
 	seeds map[proto.VM]proto.Alive
 	// newer is since when another daemon's heartbeats show newer state.
-	newer map[proto.VM]time.Time
+	newerSince map[proto.VM]time.Time
 	// voidAsked is when other daemons were last asked for the void entries that they know of.
-	voidAsked map[proto.VM]time.Time
+	invalidAskedAt map[proto.VM]time.Time
 }
 
 func (p *relayPeers) resolve(vm proto.VM) (proto.Alive, bool) {
@@ -71,15 +71,15 @@
 
 // Owner returns the daemon that does a task for all.
 func (p *relayPeers) Owner(task string, skip map[proto.VM]bool) proto.VM {
-	return p.members.Owner(task, func(vm proto.VM) bool { return skip[vm] || p.silent(vm) })
+	return p.members.Owner(task, func(vm proto.VM) bool { return skip[vm] || p.isSilentPeer(vm) })
 }
 
 // silent is Silent, but for this daemon itself.
-func (p *relayPeers) silent(vm proto.VM) bool { return vm != p.self.VM && p.Silent(vm) }
+func (p *relayPeers) isSilentPeer(vm proto.VM) bool { return vm != p.self.VM && p.Silent(vm) }
 
 // Silent tells whether a daemon has not been heard for longer than a live one is silent.
 func (p *relayPeers) Silent(vm proto.VM) bool {
-	return p.members.IsSilent(p.clock.Now(), vm, peerSilence)
+	return p.members.IsSilent(p.clock.Now(), vm, peerSilenceTimeout)
 }
 
 // Count returns the number of live daemons, this one included.
@@ -94,7 +94,7 @@
 }
 
 // meet announces this daemon to the seeds while it knows nobody else, and to a daemon that the store lists.
-func (p *relayPeers) meet() {
+func (p *relayPeers) announceToSeeds() {
 	if p.Count() > 1 {
 		return
 	}
@@ -113,40 +113,40 @@
 
 // sawNewer notes a heartbeat's versions and tells whether to ask the sender now: at once for a daemon that does not
 // read the store itself.
-func (p *relayPeers) sawNewer(from proto.VM, isNewer, reader bool) bool {
+func (p *relayPeers) shouldPull(from proto.VM, isNewer, isReader bool) bool {
 	now := p.clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !isNewer {
-		delete(p.newer, from)
+		delete(p.newerSince, from)
 		return false
 	}
-	since, ok := p.newer[from]
-	if !ok && !reader {
-		p.newer[from] = now
+	since, ok := p.newerSince[from]
+	if !ok && !isReader {
+		p.newerSince[from] = now
 		return true
 	}
 	if !ok {
-		p.newer[from] = now
+		p.newerSince[from] = now
 		return false
 	}
-	if now.Sub(since) < pullAfter {
+	if now.Sub(since) < pullDelay {
 		return false
 	}
-	p.newer[from] = now
+	p.newerSince[from] = now
 	return true
 }
 
 // mayAskVoid tells whether to ask another daemon now for the void entries that it knows of, by their digests.
-func (p *relayPeers) mayAskVoid(now time.Time, from proto.VM, own, theirs uint64) bool {
-	if theirs == 0 || theirs == own {
+func (p *relayPeers) shouldAskInvalid(now time.Time, from proto.VM, ownDigest, theirDigest uint64) bool {
+	if theirDigest == 0 || theirDigest == ownDigest {
 		return false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now.Sub(p.voidAsked[from]) < voidAgain {
+	if now.Sub(p.invalidAskedAt[from]) < invalidAskInterval {
 		return false
 	}
-	p.voidAsked[from] = now
+	p.invalidAskedAt[from] = now
 	return true
 }
--- a/serve/relaystart.go
+++ b/serve/relaystart.go
@@ -9,18 +9,18 @@
 
 // startAsk bounds how long a daemon that starts waits for others to tell it what the store holds, before it reads that
 // itself: they answer within some milliseconds, and a daemon without a configuration serves nobody.
-const startAsk = 100 * time.Millisecond
+const bootstrapTimeout = 100 * time.Millisecond
 
 // learn asks the daemons that the settings name for the configuration and the targets. A list of 3,000 targets is 0.08 MB
 // from another daemon and more than a megabyte from the store, which all daemons would read when they are restarted. In the
 // first start of all nobody knows anything.
-func (d *Relay) learn(ctx context.Context) {
-	defer close(d.learned)
+func (d *Relay) bootstrap(ctx context.Context) {
+	defer close(d.bootstrapped)
 	seeds := d.peers.seedNames()
 	if d.settings.FirstStart || len(seeds) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, startAsk)
+	ctx, cancel := context.WithTimeout(ctx, bootstrapTimeout)
 	defer cancel()
 	answers := make(chan proto.Message, len(seeds))
 	for _, seed := range seeds {
@@ -35,20 +35,20 @@
 	for range seeds {
 		if a, ok := (<-answers).(proto.RoutingAnswer); ok && len(a.RoutingBody) > 0 && a.Full {
 			d.log.Info("the store's tables are taken from another daemon", "targets", len(a.TargetEntries), "version", a.Targets)
-			d.noteFleet(d.fleet.MergeInvalid(d.clock.Now(), a.InvalidEntries), "another daemon")
-			d.takeEvacuations(a.Evacuations, "another daemon")
-			d.adoptRouting(a.RoutingBody, "another daemon")
-			d.takeTargets(a.Targets, a.TargetEntries, "another daemon", true)
+			d.handleFleetEvents(d.fleet.MergeInvalid(d.clock.Now(), a.InvalidEntries), "another daemon")
+			d.applyEvacuations(a.Evacuations, "another daemon")
+			d.applyRouting(a.RoutingBody, "another daemon")
+			d.replaceTargets(a.Targets, a.TargetEntries, "another daemon", true)
 			break
 		}
 	}
-	d.awaitRows(ctx)
+	d.waitForRows(ctx)
 }
 
 // awaitRows waits for the list of the daemons, which says whether this one reads the store for others.
-func (d *Relay) awaitRows(ctx context.Context) {
-	for d.known() && !d.rowsRead.Load() && ctx.Err() == nil {
-		d.pause(ctx, startAsk/20)
+func (d *Relay) waitForRows(ctx context.Context) {
+	for d.hasTables() && !d.rowsRead.Load() && ctx.Err() == nil {
+		d.sleep(ctx, bootstrapTimeout/20)
 	}
 }
 
@@ -64,10 +64,10 @@
 }
 
 // afterLearning runs a loop once the other daemons were asked.
-func (d *Relay) afterLearning(loop func(context.Context)) func(context.Context) {
+func (d *Relay) afterBootstrap(loop func(context.Context)) func(context.Context) {
 	return func(ctx context.Context) {
 		select {
-		case <-d.learned:
+		case <-d.bootstrapped:
 			loop(ctx)
 		case <-ctx.Done():
 		}
--- a/serve/relayview_test.go
+++ b/serve/relayview_test.go
@@ -29,7 +29,7 @@
 }
 
 func (c *countingTable) Watch(ctx context.Context, _ proto.Revision, wait time.Duration) (platform.RowSet, error) {
-	if wait == watchWait {
+	if wait == watchHold {
 		<-ctx.Done()
 		return platform.RowSet{}, &platform.Error{Op: "watch", Kind: proto.KindUnavailable, Err: ctx.Err()}
 	}
@@ -56,24 +56,24 @@
 
 // checkedWatch is a watcher in the middle of a watch that hangs.
 type checkedWatch struct {
-	table   *countingTable
-	clock   *clockwork.FakeClock
-	watcher *watcher
-	told    chan struct{}
-	changes chan int
-	ended   chan error
+	table         *countingTable
+	clock         *clockwork.FakeClock
+	watcher       *watcher
+	confirmations chan struct{}
+	changes       chan int
+	ended         chan error
 }
 
 func startCheckedWatch(t *testing.T, reads bool) *checkedWatch {
 	c := &checkedWatch{
-		table: &countingTable{}, clock: clockwork.NewFakeClock(), told: make(chan struct{}, 100), changes: make(chan int, 100), ended: make(chan error, 1),
+		table: &countingTable{}, clock: clockwork.NewFakeClock(), confirmations: make(chan struct{}, 100), changes: make(chan int, 100), ended: make(chan error, 1),
 	}
 	c.watcher = &watcher{
-		daemon: &Relay{clock: c.clock, log: hclog.NewNullLogger()}, name: "routing", table: c.table, view: &view{}, up: true,
-		reads: func() bool { return reads }, checked: func() { c.told <- struct{}{} },
-		change: func(e platform.RowSet) { c.changes <- len(e.Rows) },
+		daemon: &Relay{clock: c.clock, log: hclog.NewNullLogger()}, name: "routing", table: c.table, freshness: &tableFreshness{}, storeUp: true,
+		isReader: func() bool { return reads }, onConfirmed: func() { c.confirmations <- struct{}{} },
+		apply: func(e platform.RowSet) { c.changes <- len(e.Rows) },
 	}
-	c.watcher.view.confirm(c.clock.Now())
+	c.watcher.freshness.confirm(c.clock.Now())
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		_, err := c.watcher.watch(ctx, proto.Revision{Version: 7})
@@ -92,17 +92,17 @@
 	c.clock.Advance(length)
 }
 
-func TestAHangingWatchIsCheckedBeside(t *testing.T) {
+func TestHangingWatchIsChecked(t *testing.T) {
 	c := startCheckedWatch(t, true)
 	for range 3 {
-		c.pass(t, checkAfter+checkSpread)
-		<-c.told
+		c.pass(t, checkAfter+checkJitter)
+		<-c.confirmations
 	}
 	if got := c.table.checked(); got != 3 {
 		t.Errorf("%d checks, want 3", got)
 	}
 	c.table.set(func() { c.table.changed = []platform.Row{{Key: "config", Version: proto.Revision{Version: 9}}} })
-	c.pass(t, checkAfter+checkSpread)
+	c.pass(t, checkAfter+checkJitter)
 	if got := <-c.changes; got != 1 {
 		t.Errorf("%d changes, want 1", got)
 	}
@@ -113,11 +113,11 @@
 
 // TestAViewThatAnotherDaemonConfirmedIsNotChecked has another daemon tell again and again that the store
 // has nothing newer.
-func TestAViewThatAnotherDaemonConfirmedIsNotChecked(t *testing.T) {
+func TestCopyConfirmedByPeerIsNotChecked(t *testing.T) {
 	c := startCheckedWatch(t, true)
 	for range 10 {
-		c.watcher.view.relay(c.clock.Now().Add(checkAfter))
-		c.pass(t, checkAfter+checkSpread)
+		c.watcher.freshness.confirmByPeer(c.clock.Now().Add(checkAfter))
+		c.pass(t, checkAfter+checkJitter)
 	}
 	if err := c.clock.BlockUntilContext(t.Context(), 1); err != nil {
 		t.Fatal(err)
@@ -131,7 +131,7 @@
 func TestOnlyReadersCheck(t *testing.T) {
 	c := startCheckedWatch(t, false)
 	for range 3 {
-		c.pass(t, checkAfter+checkSpread)
+		c.pass(t, checkAfter+checkJitter)
 	}
 	if err := c.clock.BlockUntilContext(t.Context(), 1); err != nil {
 		t.Fatal(err)
@@ -143,10 +143,10 @@
 
 // TestACheckWithoutAnAnswerEndsTheWatch has the store turn a check away: what the watch beside it brings cannot be
 // counted on, and the store is asked anew until it answers.
-func TestACheckWithoutAnAnswerEndsTheWatch(t *testing.T) {
+func TestFailedCheckEndsWatch(t *testing.T) {
 	c := startCheckedWatch(t, true)
 	c.table.set(func() { c.table.down = true })
-	c.pass(t, checkAfter+checkSpread)
+	c.pass(t, checkAfter+checkJitter)
 	if err := <-c.ended; err == nil {
 		t.Error("the watch goes on")
 	}
@@ -154,7 +154,7 @@
 
 // TestAHungWatchIsNoOutage tells a watch that ran out of time from a store that is away: entries that go are held to have
 // left after the first, and to come back after the second.
-func TestAHungWatchIsNoOutage(t *testing.T) {
+func TestHungWatchIsNotAnOutage(t *testing.T) {
 	began := time.Unix(1000, 0)
 	late := &platform.Error{Err: context.DeadlineExceeded}
 	refused := &platform.Error{Err: errors.New("refused")}
@@ -172,8 +172,8 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			w := &watcher{daemon: &Relay{log: hclog.NewNullLogger()}, view: &view{confirmed: s.confirmed, relayed: s.relayed}}
-			version, err := w.endWatch(reply{asked: began, err: s.err}, proto.Revision{Version: 7})
+			w := &watcher{daemon: &Relay{log: hclog.NewNullLogger()}, freshness: &tableFreshness{confirmed: s.confirmed, confirmedByPeer: s.relayed}}
+			version, err := w.finishWatch(watchResult{sentAt: began, err: s.err}, proto.Revision{Version: 7})
 			if got := err == nil; got != s.want || version != (proto.Revision{Version: 7}) {
 				t.Errorf("hung: %t, to go on from %s, want %t and 7", got, version, s.want)
 			}
@@ -181,13 +181,13 @@
 	}
 }
 
-func TestOnlyTheStoreItselfIsPassedOn(t *testing.T) {
+func TestOnlyOwnConfirmationsAreForwarded(t *testing.T) {
 	now := time.Unix(1000, 0)
-	v := &view{}
+	v := &tableFreshness{}
 	if got := v.ownAge(now); got != 0 {
 		t.Errorf("age %s before the store answered, want none", got)
 	}
-	v.relay(now)
+	v.confirmByPeer(now)
 	if got := v.ownAge(now); got != 0 {
 		t.Errorf("age %s after another daemon told, want none", got)
 	}
@@ -200,19 +200,19 @@
 	}
 }
 
-func TestAnAgeIsInTheLogOnceEachTime(t *testing.T) {
+func TestStaleStateIsLoggedOnce(t *testing.T) {
 	var text strings.Builder
 	log := hclog.New(&hclog.LoggerOptions{Output: &text})
 	at := time.Unix(1000, 0)
-	v := &view{}
-	v.report(at, log, "routing", proto.Revision{Version: 3})
+	v := &tableFreshness{}
+	v.log(at, log, "routing", proto.Revision{Version: 3})
 	v.confirm(at)
-	for _, age := range []time.Duration{0, staleMost, staleMost + 1, 2 * staleMost} {
-		v.report(at.Add(age), log, "routing", proto.Revision{Version: 3})
+	for _, age := range []time.Duration{0, maxStateAge, maxStateAge + 1, 2 * maxStateAge} {
+		v.log(at.Add(age), log, "routing", proto.Revision{Version: 3})
 	}
-	v.relay(at.Add(2 * staleMost))
-	v.report(at.Add(2*staleMost), log, "routing", proto.Revision{Version: 4})
-	v.report(at.Add(2*staleMost), log, "routing", proto.Revision{Version: 4})
+	v.confirmByPeer(at.Add(2 * maxStateAge))
+	v.log(at.Add(2*maxStateAge), log, "routing", proto.Revision{Version: 4})
+	v.log(at.Add(2*maxStateAge), log, "routing", proto.Revision{Version: 4})
 	if lost, back := strings.Count(text.String(), "not confirmed"), strings.Count(text.String(), "confirmed again"); lost != 1 || back != 1 {
 		t.Errorf("%d lines of an old state and %d of its end, want one of each:\n%s", lost, back, &text)
 	}
@@ -220,7 +220,7 @@
 
 // TestAnOlderStateIsNotConfirmedByOthers has another daemon tell when the store confirmed its state, which this one has,
 // or not yet.
-func TestAnOlderStateIsNotConfirmedByOthers(t *testing.T) {
+func TestPeerConfirmsOnlyKnownVersions(t *testing.T) {
 	now := time.Unix(1000, 0)
 	scenarios := []struct {
 		testName         string
@@ -238,11 +238,11 @@
 		t.Run(s.testName, func(t *testing.T) {
 			d := &Relay{tables: &relay.Tables{}, fleet: relay.NewFleet(func(string) {})}
 			d.tables.ReplaceIfNewer(&proto.Routing{Version: 5})
-			d.takeRelayedViews(now, s.told)
-			if got := d.routingView.asOf().Equal(now.Add(-time.Second)); got != s.routing {
+			d.applyPeerConfirmation(now, s.told)
+			if got := d.routingFreshness.confirmedAt().Equal(now.Add(-time.Second)); got != s.routing {
 				t.Errorf("configuration confirmed: %t, want %t", got, s.routing)
 			}
-			if got := d.targetsView.asOf().Equal(now.Add(-time.Second)); got != s.targets {
+			if got := d.targetsFreshness.confirmedAt().Equal(now.Add(-time.Second)); got != s.targets {
 				t.Errorf("targets confirmed: %t, want %t", got, s.targets)
 			}
 		})
--- a/serve/relaywatch_test.go
+++ b/serve/relaywatch_test.go
@@ -21,7 +21,7 @@
 
 // TestAWatchAfterAFailureIsShort has the store fail once: the next call may be swallowed as well, so it must not be one
 // that is waited for during seconds.
-func TestAWatchAfterAFailureIsShort(t *testing.T) {
+func TestWatchAfterFailureIsShort(t *testing.T) {
 	var waits []string
 	store := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		wait := r.URL.Query().Get("waitMs")
@@ -39,16 +39,16 @@
 	defer store.Close()
 	client := platform.NewStore(netip.MustParseAddrPort(strings.TrimPrefix(store.URL, "http://")))
 	w := &watcher{
-		daemon: &Relay{clock: clockwork.NewRealClock(), log: hclog.NewNullLogger()}, name: "routing", table: client.Routing(), view: &view{},
-		whole: func(platform.RowSet) bool { return true }, change: func(platform.RowSet) {},
+		daemon: &Relay{clock: clockwork.NewRealClock(), log: hclog.NewNullLogger()}, name: "routing", table: client.Routing(), freshness: &tableFreshness{},
+		replace: func(platform.RowSet) bool { return true }, apply: func(platform.RowSet) {},
 	}
 	var version proto.Revision
 	for range 5 {
 		next, err := w.step(context.Background(), version)
-		w.note(err)
+		w.recordResult(err)
 		version = proto.Latest(version, next)
 	}
-	long, short := fmt.Sprint(watchWait.Milliseconds()), fmt.Sprint(probeWait.Milliseconds())
+	long, short := fmt.Sprint(watchHold.Milliseconds()), fmt.Sprint(probeHold.Milliseconds())
 	if got, want := fmt.Sprint(waits), fmt.Sprint([]string{long, long, short, long}); got != want {
 		t.Errorf("the store was asked to hold watches for %s ms, want %s", got, want)
 	}
@@ -56,16 +56,16 @@
 
 // TestOnlyAStoreThatTurnsCallsAwayIsAskedLess has a loop of a daemon that has just started fail while the other loop that it
 // follows has not reached the store either.
-func TestOnlyAStoreThatTurnsCallsAwayIsAskedLess(t *testing.T) {
+func TestOnlyRefusedCallsDelayFollowers(t *testing.T) {
 	scenarios := []struct {
 		name    string
 		err     error
 		reached bool
 		most    time.Duration
 	}{
-		{"no answer", context.DeadlineExceeded, false, retryFirst},
-		{"turned away like the other loop", platform.ErrRefused, false, followWait},
-		{"turned away while the other loop is answered", platform.ErrRefused, true, retryFirst},
+		{"no answer", context.DeadlineExceeded, false, initialRetryDelay},
+		{"turned away like the other loop", platform.ErrRefused, false, maxFollowWait},
+		{"turned away while the other loop is answered", platform.ErrRefused, true, initialRetryDelay},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -76,18 +76,18 @@
 			if s.reached {
 				d.peers = &relayPeers{clock: clock, self: proto.Alive{VM: "a"}, members: coord.NewMembers(proto.Alive{VM: "a"}, peerTiming(), coord.DefaultRings(), nil, nil)}
 			}
-			w := &watcher{daemon: d, follows: leader}
+			w := &watcher{daemon: d, leader: leader}
 			resting, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			began := clock.Now()
 			go func() {
-				w.rest(context.Background(), s.err, retryFirst)
+				w.backOff(context.Background(), s.err, initialRetryDelay)
 				cancel()
 			}()
 			for clock.BlockUntilContext(resting, 1) == nil {
-				clock.Advance(retryFirst)
+				clock.Advance(initialRetryDelay)
 			}
-			if took := clock.Now().Sub(began); took < s.most || took > s.most+2*retryFirst {
+			if took := clock.Now().Sub(began); took < s.most || took > s.most+2*initialRetryDelay {
 				t.Errorf("the loop rested %s, want %s", took, s.most)
 			}
 		})
--- a/serve/relayzones.go
+++ b/serve/relayzones.go
@@ -11,10 +11,10 @@
 
 // evacuationsOf reads the evacuations among the rows of the operator's table. A row evacuates the zone that its key names as
 // long as it is there; what its body holds changes nothing, but is logged if it is no JSON object.
-func (d *Relay) evacuationsOf(e platform.RowSet) []proto.Evacuation {
+func (d *Relay) parseEvacuations(rows platform.RowSet) []proto.Evacuation {
 	var list []proto.Evacuation
-	for i := range e.Rows {
-		row := &e.Rows[i]
+	for i := range rows.Rows {
+		row := &rows.Rows[i]
 		zone, ok := row.EvacuatedZone()
 		if !ok {
 			if !row.IsRouting() {
@@ -31,14 +31,14 @@
 }
 
 // endHeldEvacuations ends those that the store lost in a restoration and that the operator did not ask for again.
-func (d *Relay) endHeldEvacuations(now time.Time) {
+func (d *Relay) expireEvacuations(now time.Time) {
 	if ends := d.fleet.ExpiredEvacuations(now); len(ends) > 0 {
-		d.takeEvacuations(ends, "time")
+		d.applyEvacuations(ends, "time")
 	}
 }
 
 // takeEvacuations puts evacuations and ends of them in force, and has the other daemons hear of what is new.
-func (d *Relay) takeEvacuations(list []proto.Evacuation, from string) {
+func (d *Relay) applyEvacuations(list []proto.Evacuation, from string) {
 	if len(list) == 0 {
 		return
 	}
--- a/serve/settings.go
+++ b/serve/settings.go
@@ -70,10 +70,10 @@
 
 // Platform says where the platform's service is.
 type Platform struct {
-	Address string         `json:"address" validate:"required,url"`
-	Reads   float64        `json:"readsPerSecond" validate:"gt=0"`
-	Writes  float64        `json:"writesPerSecond" validate:"gt=0"`
-	Wait    proto.Duration `json:"wait" validate:"gt=0" jsonschema:"description=Longest time that one call may take with its retries."`
+	Address         string         `json:"address" validate:"required,url"`
+	ReadsPerSecond  float64        `json:"readsPerSecond" validate:"gt=0"`
+	WritesPerSecond float64        `json:"writesPerSecond" validate:"gt=0"`
+	CallTimeout     proto.Duration `json:"wait" validate:"gt=0" jsonschema:"description=Longest time that one call may take with its retries."`
 }
 
 // Limits bound what callers can ask for.
@@ -82,23 +82,23 @@
 	HeaderBytes   int            `json:"headerBytes" validate:"gt=0"`
 	OpenRequests  int64          `json:"openRequests" validate:"gt=0"`
 	BufferedBytes int            `json:"bufferedBytes" validate:"gt=0" jsonschema:"description=Bytes of a stream that may wait for one slow caller."`
-	ReadWait      proto.Duration `json:"readWait" validate:"gt=0"`
-	WriteWait     proto.Duration `json:"writeWait" validate:"gt=0"`
+	ReadTimeout   proto.Duration `json:"readWait" validate:"gt=0"`
+	WriteTimeout  proto.Duration `json:"writeWait" validate:"gt=0"`
 	Subset        int            `json:"subset" validate:"gt=0" jsonschema:"description=Targets of one pool that the daemon uses."`
 }
 
 // Timing holds the daemon's intervals.
 type Timing struct {
-	Tick       proto.Duration `json:"tick" validate:"gt=0" jsonschema:"description=How often deadlines and queues are looked at."`
-	Load       proto.Duration `json:"load" validate:"gt=0" jsonschema:"description=How often targets' load is read and usage is shared."`
-	Heartbeat  proto.Duration `json:"heartbeat" validate:"gt=0"`
-	Silence    proto.Duration `json:"silence" validate:"gtfield=Heartbeat" jsonschema:"description=How long a link may be silent before an alarm."`
-	StopLead   proto.Duration `json:"stopLead" validate:"gte=0" jsonschema:"description=How long before its planned stop a VM gets no new work."`
-	Drain      proto.Duration `json:"drain" validate:"gt=0" jsonschema:"description=Longest time that a stopping daemon waits for its requests."`
-	Unready    proto.Duration `json:"unready" validate:"gte=0" jsonschema:"description=Time between failing /readyz and closing the callers' listener, for the balancer to notice."`
-	Retention  proto.Duration `json:"keyRetention" validate:"gt=0" jsonschema:"description=How long an idempotency key is remembered."`
-	PollStore  proto.Duration `json:"pollStore" validate:"gt=0"`
-	ReviseWait proto.Duration `json:"reviseRoster" validate:"gt=0"`
+	TickInterval   proto.Duration `json:"tick" validate:"gt=0" jsonschema:"description=How often deadlines and queues are looked at."`
+	LoadInterval   proto.Duration `json:"load" validate:"gt=0" jsonschema:"description=How often targets' load is read and usage is shared."`
+	Heartbeat      proto.Duration `json:"heartbeat" validate:"gt=0"`
+	Silence        proto.Duration `json:"silence" validate:"gtfield=Heartbeat" jsonschema:"description=How long a link may be silent before an alarm."`
+	StopLead       proto.Duration `json:"stopLead" validate:"gte=0" jsonschema:"description=How long before its planned stop a VM gets no new work."`
+	DrainTimeout   proto.Duration `json:"drain" validate:"gt=0" jsonschema:"description=Longest time that a stopping daemon waits for its requests."`
+	UnreadyTime    proto.Duration `json:"unready" validate:"gte=0" jsonschema:"description=Time between failing /readyz and closing the callers' listener, for the balancer to notice."`
+	KeyRetention   proto.Duration `json:"keyRetention" validate:"gt=0" jsonschema:"description=How long an idempotency key is remembered."`
+	PollInterval   proto.Duration `json:"pollStore" validate:"gt=0"`
+	RosterInterval proto.Duration `json:"reviseRoster" validate:"gt=0"`
 }
 
 // Log holds the settings of the log.
@@ -118,17 +118,17 @@
 func DefaultSettings() Settings {
 	platform := wire.DefaultPlatformLimits()
 	return Settings{
-		Platform: Platform{Reads: platform.ReadsPerSecond, Writes: platform.WritesPerSecond, Wait: proto.Duration(platform.CallTimeout)},
+		Platform: Platform{ReadsPerSecond: platform.ReadsPerSecond, WritesPerSecond: platform.WritesPerSecond, CallTimeout: proto.Duration(platform.CallTimeout)},
 		Limits: Limits{
 			BodyBytes: 1 << 20, HeaderBytes: 16 << 10, OpenRequests: 10_000, BufferedBytes: 256 << 10,
-			ReadWait: proto.Duration(5 * time.Second), WriteWait: proto.Duration(5 * time.Second), Subset: 48,
+			ReadTimeout: proto.Duration(5 * time.Second), WriteTimeout: proto.Duration(5 * time.Second), Subset: 48,
 		},
 		Timing: Timing{
-			Tick: proto.Duration(10 * time.Millisecond), Load: proto.Duration(500 * time.Millisecond),
+			TickInterval: proto.Duration(10 * time.Millisecond), LoadInterval: proto.Duration(500 * time.Millisecond),
 			Heartbeat: proto.Duration(time.Second), Silence: proto.Duration(3 * time.Second),
-			StopLead: proto.Duration(2 * time.Second), Drain: proto.Duration(time.Minute),
-			Unready: proto.Duration(time.Second), Retention: proto.Duration(time.Hour),
-			PollStore: proto.Duration(time.Second), ReviseWait: proto.Duration(time.Second),
+			StopLead: proto.Duration(2 * time.Second), DrainTimeout: proto.Duration(time.Minute),
+			UnreadyTime: proto.Duration(time.Second), KeyRetention: proto.Duration(time.Hour),
+			PollInterval: proto.Duration(time.Second), RosterInterval: proto.Duration(time.Second),
 		},
 		Log:    Log{Level: "info"},
 		Traces: Traces{Exporter: wire.ExporterNone, Fraction: 1},
@@ -161,42 +161,42 @@
 
 // Validate returns every fault of the settings in one error.
 func (s *Settings) Validate() error {
-	var faults []string
-	check := validator.New(validator.WithRequiredStructEnabled())
-	check.RegisterTagNameFunc(jsonName)
-	if err := check.Struct(s); err != nil {
+	var problems []string
+	validate := validator.New(validator.WithRequiredStructEnabled())
+	validate.RegisterTagNameFunc(jsonName)
+	if err := validate.Struct(s); err != nil {
 		fields, ok := err.(validator.ValidationErrors)
 		if !ok {
 			return &Error{Op: "check settings", Kind: proto.KindInvalid, Err: err}
 		}
 		for _, field := range fields {
 			_, path, _ := strings.Cut(field.Namespace(), ".")
-			faults = append(faults, fmt.Sprintf("%s: must satisfy %q", path, strings.TrimSpace(field.Tag()+" "+field.Param())))
+			problems = append(problems, fmt.Sprintf("%s: must satisfy %q", path, strings.TrimSpace(field.Tag()+" "+field.Param())))
 		}
 	}
-	faults = append(faults, s.checkKeys()...)
-	if len(faults) > 0 {
-		return newError("check settings", proto.KindInvalid, "%s", strings.Join(faults, "; "))
+	problems = append(problems, s.checkCredentials()...)
+	if len(problems) > 0 {
+		return newError("check settings", proto.KindInvalid, "%s", strings.Join(problems, "; "))
 	}
 	return nil
 }
 
 // checkKeys refuses listeners that anyone could reach without credentials.
-func (s *Settings) checkKeys() []string {
-	var faults []string
+func (s *Settings) checkCredentials() []string {
+	var problems []string
 	if s.Peers.TLS.Certificate == "" && s.Peers.SharedKey == "" {
-		faults = append(faults, "peers: needs sharedKey on loopback or tls")
+		problems = append(problems, "peers: needs sharedKey on loopback or tls")
 	}
 	if !s.Peers.Listen.Addr().IsLoopback() && (s.Peers.TLS.Certificate == "" || s.Peers.TLS.Authority == "") {
-		faults = append(faults, "peers.tls: certificate and authority are required off loopback")
+		problems = append(problems, "peers.tls: certificate and authority are required off loopback")
 	}
 	if !s.Operators.Listen.Addr().IsLoopback() && s.Operators.Key == "" {
-		faults = append(faults, "operators.key: is required off loopback")
+		problems = append(problems, "operators.key: is required off loopback")
 	}
 	if !s.Callers.Listen.Addr().IsLoopback() && s.Callers.TLS.Certificate == "" {
-		faults = append(faults, "callers.tls: is required off loopback, since callers' keys pass there")
+		problems = append(problems, "callers.tls: is required off loopback, since callers' keys pass there")
 	}
-	return faults
+	return problems
 }
 
 // advertised is the address that other daemons dial.
