--- a/serve/daemon.go
+++ b/serve/daemon.go
@@ -52,7 +52,7 @@
 	stop      chan struct{}
 }
 
-// Option changes a Daemon at construction.
+// Option configures a Daemon at construction.
 type Option func(*Daemon)
 
 // WithLog sets the logger.
@@ -61,10 +61,10 @@
 // WithClock sets the clock.
 func WithClock(clock clockwork.Clock) Option { return func(d *Daemon) { d.clock = clock } }
 
-// WithGate sets what runs before each message and event, so that a test can hold a daemon up.
+// WithGate sets a function that is called before each message and event, so that a test can block a daemon.
 func WithGate(gate func()) Option { return func(d *Daemon) { d.gate = gate } }
 
-// New returns a daemon whose listeners are open; it fails with KindInvalid or KindUnavailable.
+// New returns a daemon with open listeners; it fails with KindInvalid or KindUnavailable.
 func New(settings Settings, options ...Option) (*Daemon, error) {
 	d := &Daemon{settings: settings, clock: state.NewClock(), log: hclog.NewNullLogger(), gate: func() {}, stop: make(chan struct{})}
 	for _, option := range options {
@@ -109,16 +109,16 @@
 // OperatorAddr returns the address of the operators' listener.
 func (d *Daemon) OperatorAddr() netip.AddrPort { return addrOf(d.operatorListener) }
 
-// Node returns the daemon's part in acting together with the others.
+// Node returns the daemon's coordination node.
 func (d *Daemon) Node() *coord.Node { return d.node }
 
-// Engine returns the daemon's decisions.
+// Engine returns the daemon's decision engine.
 func (d *Daemon) Engine() *core.Engine { return d.engine }
 
-// Links returns the daemon's links.
+// Links returns the links to other daemons.
 func (d *Daemon) Links() *wire.Links { return d.links }
 
-// Platform returns the daemon's client of the platform.
+// Platform returns the client of the platform.
 func (d *Daemon) Platform() *wire.PlatformClient { return d.platform }
 
 func (d *Daemon) assemble() error {
@@ -179,7 +179,7 @@
 	}
 }
 
-// adopted puts a snapshot in force here, with the targets that this daemon uses.
+// applySnapshot puts a configuration snapshot in force, restricted to the targets that this daemon uses.
 func (d *Daemon) applySnapshot(s *proto.Snapshot) {
 	subset := *s
 	subset.Pools = make(map[string]*proto.Pool, len(s.Pools))
@@ -199,7 +199,7 @@
 	}
 }
 
-// Ready tells the platform's balancer whether to send requests here.
+// Ready reports whether the platform's balancer should send requests here, and if not, why.
 func (d *Daemon) Ready() (bool, string) {
 	if d.unready.Load() {
 		return false, "stopping"
@@ -207,7 +207,8 @@
 	return d.node.Ready(d.clock.Now())
 }
 
-// Accepts refuses requests that come before the daemon knows its configuration, while it is cut off, or after it stopped.
+// Accepts returns a failure for requests that arrive before the daemon knows its configuration, while it is isolated,
+// or after it stopped.
 func (d *Daemon) Accepts() *proto.Failure {
 	now := d.clock.Now()
 	failure := &proto.Failure{Outcome: proto.OutcomeNotRun, RetryAfter: time.Second}
@@ -224,10 +225,10 @@
 	return failure
 }
 
-// Stop starts a stop in order; Run returns once it is over.
+// Stop starts a graceful shutdown; Run returns once it is complete.
 func (d *Daemon) Stop() { d.stopOnce.Do(func() { close(d.stop) }) }
 
-// Kill ends the daemon at once, as a crash would; Run need not return after it.
+// Kill stops the daemon at once, like a crash; Run may not return afterwards.
 func (d *Daemon) Kill() {
 	for _, l := range []net.Listener{d.callerListener, d.peerListener, d.operatorListener} {
 		_ = l.Close()
@@ -239,7 +240,7 @@
 	d.targetClient.Abort()
 }
 
-// Run serves until Stop is called or the context ends, and then stops in order.
+// Run serves until Stop is called or the context ends, and then shuts down gracefully.
 func (d *Daemon) Run(ctx context.Context) error {
 	var g run.Group
 	ctx, cancel := context.WithCancel(ctx)
@@ -275,7 +276,8 @@
 	return seeds
 }
 
-// drain stops in order: /readyz fails, others take over what the daemon owns, then new requests are refused and those in progress end.
+// drain shuts down gracefully: /readyz fails, other daemons take over what this daemon owns, and then new requests are
+// rejected while those in progress complete.
 func (d *Daemon) drain(parent context.Context) {
 	d.log.Info("stopping")
 	d.unready.Store(true)
@@ -292,7 +294,8 @@
 
 const maxHandOverTime = 6 * time.Second
 
-// handOver waits until others keep the claims that this daemon kept; with the store out that cannot be, and most of each group remains.
+// handOver waits until other daemons hold the claims that this daemon held. While the store is down this is impossible,
+// but the majority of each group remains.
 func (d *Daemon) handOver(ctx context.Context) {
 	deadline := d.clock.Now().Add(maxHandOverTime)
 	for d.clock.Now().Before(deadline) && d.node.HasTransferableClaims() {
@@ -366,7 +369,7 @@
 	return s
 }
 
-// Vars are the measures of a daemon at /debug/vars.
+// Vars holds the metrics of a daemon at /debug/vars.
 type Vars struct {
 	core.Report
 	Generation     proto.Generation      `json:"generation"`
--- a/serve/digestwatch.go
+++ b/serve/digestwatch.go
@@ -6,9 +6,10 @@
 	"emberlead/proto"
 )
 
-// digestWatch finds out by digests which linked daemons know something else, so that they are to be told all. It has no lock of its own.
+// digestTracker detects by comparing digests which linked daemons have different data, so that all data is sent to
+// them. It has no lock of its own.
 type digestTracker struct {
-	// differ is since when other daemons have another digest, and told when they were last told all.
+	// differSince is since when other daemons have a different digest, and sentAt when all data was last sent to them.
 	differSince, sentAt map[proto.VM]time.Time
 }
 
@@ -16,8 +17,8 @@
 	return digestTracker{differSince: map[proto.VM]time.Time{}, sentAt: map[proto.VM]time.Time{}}
 }
 
-// differs takes in the digest of a linked daemon and tells whether to tell it all now: at once if it knows nothing, as one
-// that has just started. known is how many things it would be told.
+// shouldSendAll records the digest of a linked daemon and reports whether to send it all data now: at once if it has
+// none, like a daemon that has just started. count is the number of items that would be sent.
 func (w *digestTracker) shouldSendAll(now time.Time, from proto.VM, ownDigest, theirDigest uint64, count int) bool {
 	if ownDigest == theirDigest || ownDigest == 0 {
 		delete(w.differSince, from)
--- a/serve/doc.go
+++ b/serve/doc.go
@@ -1,2 +1,2 @@
-// Package serve puts one daemon together from its settings: listeners, links, decisions and coordination, run as one group.
+// Package serve builds a daemon from its settings: it runs listeners, links, decisions and coordination as one group.
 package serve
--- a/serve/errors.go
+++ b/serve/errors.go
@@ -5,7 +5,7 @@
 // source names this package in its errors.
 type source struct{}
 
-// Package returns the package's name.
+// Package returns the name of the package.
 func (source) Package() string { return "serve" }
 
 // Error is the error type of this package.
--- a/serve/loads.go
+++ b/serve/loads.go
@@ -11,12 +11,12 @@
 
 const maxConcurrentLoadReads = 16
 
-// loadReader reads the load of the targets that this daemon collects for all, and passes it on.
+// loadCollector reads the load of the targets that are assigned to this daemon, and sends it to the other daemons.
 type loadCollector struct {
 	daemon *Daemon
 
 	mu               sync.Mutex
-	lastSequence     map[string]uint64 // of cache events, by target
+	lastSequence     map[string]uint64 // last cache event read, by target
 	digestGeneration proto.Generation
 	byDigest         map[uint32]proto.LoadRow
 }
@@ -25,7 +25,7 @@
 	return &loadCollector{daemon: d, lastSequence: map[string]uint64{}}
 }
 
-// collected is what one round read.
+// collectedLoads holds the results of one round of reads.
 type collectedLoads struct {
 	mu          sync.Mutex
 	rows        []proto.LoadRow
@@ -89,7 +89,7 @@
 	return events
 }
 
-// pass sends every other daemon the rows of the targets that it uses.
+// distribute sends each daemon the rows of the targets that it uses.
 func (l *loadCollector) distribute(live []proto.Alive, collected *collectedLoads) {
 	if len(collected.rows) == 0 {
 		return
@@ -141,7 +141,7 @@
 	return []proto.Loads{batch}
 }
 
-// names maps the digests of all targets to their rows; it is made anew with each generation.
+// rowsByDigest maps the digests of all targets to their rows; it is rebuilt for each generation of the configuration.
 func (l *loadCollector) rowsByDigest() map[uint32]proto.LoadRow {
 	snapshot := l.daemon.node.Config.Snapshot()
 	l.mu.Lock()
@@ -159,7 +159,7 @@
 	return l.byDigest
 }
 
-// take feeds loads that this or another daemon read to the engine.
+// apply passes loads that this or another daemon read to the engine.
 func (l *loadCollector) apply(loads proto.Loads) {
 	now := l.daemon.clock.Now()
 	models := map[string][]string{}
--- a/serve/logsink.go
+++ b/serve/logsink.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// logLines is how many lines may wait for the reader of the log: some seconds of a busy daemon.
+	// maxQueuedLines is the number of lines that may wait for a slow reader of the log: some seconds of a busy daemon.
 	maxQueuedLines = 4096
-	// logReport is how often dropped lines are reported.
+	// dropReportInterval is how often dropped lines are reported.
 	dropReportInterval = time.Second
 )
 
-// LogSink writes log lines without ever holding up who logs: when the reader is slow, lines are dropped and counted.
+// LogSink writes log lines without ever blocking the logger: when the reader is slow, lines are dropped and counted.
 type LogSink struct {
 	lines           chan []byte
 	unreportedDrops atomic.Int64
@@ -22,7 +22,7 @@
 	done            chan struct{}
 }
 
-// NewLogSink returns a sink that writes to out from a goroutine of its own.
+// NewLogSink returns a sink that writes to out in its own goroutine.
 func NewLogSink(out io.Writer) *LogSink { return newLogSink(out, time.Now) }
 
 func newLogSink(out io.Writer, now func() time.Time) *LogSink {
@@ -45,7 +45,7 @@
 // Dropped returns the number of lines dropped since the start.
 func (s *LogSink) Dropped() int64 { return s.totalDrops.Load() }
 
-// Close waits for the lines that are queued, but no longer than a moment.
+// Close waits until the queued lines are written, but no longer than the given time.
 func (s *LogSink) Close(timeout time.Duration) {
 	close(s.lines)
 	select {
@@ -58,7 +58,7 @@
 	defer close(s.done)
 	reportedAt := now()
 	for line := range s.lines {
-		// Nobody could be told of a log that cannot be written.
+		// There is nowhere to report that the log cannot be written.
 		_, _ = out.Write(line)
 		if current := now(); current.Sub(reportedAt) > dropReportInterval {
 			reportedAt = current
--- a/serve/logsink_test.go
+++ b/serve/logsink_test.go
@@ -22,7 +22,7 @@
 	return w.written.Write(p)
 }
 
-// TestABlockedReaderOfTheLogHoldsNobodyUp writes far more lines than may wait while nothing is read.
+// TestBlockedLogReaderDoesNotBlockWriters writes far more lines than the queue holds while nothing is read.
 func TestBlockedLogReaderDoesNotBlockWriters(t *testing.T) {
 	w := &blockingWriter{release: make(chan struct{})}
 	s := NewLogSink(w)
@@ -45,7 +45,7 @@
 	}
 }
 
-// TestDroppedLinesAreReported lets a second pass between writes, by the clock that the sink is given.
+// TestDroppedLinesAreReported lets a report interval pass between writes, by the clock of the sink.
 func TestDroppedLinesAreReported(t *testing.T) {
 	w := &blockingWriter{release: make(chan struct{})}
 	now := time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC)
--- a/serve/loops.go
+++ b/serve/loops.go
@@ -11,7 +11,7 @@
 	"emberlead/proto"
 )
 
-// orderEvery is how often models are placed and leases looked at.
+// placementInterval is how often models are placed and leases are checked.
 const placementInterval = 2 * time.Second
 
 func (d *Daemon) addLoops(ctx context.Context, g *run.Group) {
@@ -22,7 +22,7 @@
 		d.gate()
 		d.node.Tick(d.clock.Now())
 	})
-	// Reading claims waits for other daemons, which must not hold up the heartbeats.
+	// Reading claims waits for other daemons, which must not delay the heartbeats.
 	d.addLoop(ctx, g, node.TickInterval, func(ctx context.Context) {
 		d.gate()
 		d.node.TransferClaims(ctx)
@@ -51,7 +51,7 @@
 	})
 }
 
-// addLoop runs a function at once and then at intervals until the context or the group ends.
+// addLoop runs a function immediately and then at intervals, until the context or the group ends.
 func (d *Daemon) addLoop(parent context.Context, g *run.Group, every time.Duration, fn func(context.Context)) {
 	ctx, cancel := context.WithCancel(parent)
 	g.Add(func() error {
--- a/serve/names.go
+++ b/serve/names.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// jsonName makes faults name a field as the settings file does.
+// jsonName returns the name of a field in the settings file, so that errors use that name.
 func jsonName(f reflect.StructField) string {
 	name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
 	return name
--- a/serve/pages.go
+++ b/serve/pages.go
@@ -10,7 +10,8 @@
 	"emberlead/proto"
 )
 
-// GenerateDocs returns the generated pages by file name: the settings' documentation, and the schemas of settings and configuration files.
+// GenerateDocs returns the generated documentation by file name: the page on the settings, and the schemas of the
+// settings and configuration files.
 func GenerateDocs() (map[string][]byte, error) {
 	reflector := &jsonschema.Reflector{DoNotReference: true}
 	settings := reflector.Reflect(&Settings{})
--- a/serve/relay.go
+++ b/serve/relay.go
@@ -23,41 +23,42 @@
 )
 
 const (
-	// memoryShare is the part of a VM's memory that the garbage collector aims to stay below.
+	// memoryFraction is the fraction of a VM's memory that the garbage collector aims to stay below.
 	memoryFraction = 0.6
-	// collectPercent lets the heap double twice before it is collected, since the live heap is a few megabytes.
+	// gcPercent lets the heap double twice before a collection, because the live heap is only a few megabytes.
 	gcPercent = 300
-	// openPerMB bounds open requests by memory: each has some tens of kilobytes at most.
+	// maxOpenPerMB limits open requests by memory; each request takes some tens of kilobytes at most.
 	maxOpenPerMB = 5
-	// unreadyLeast is how long a stopping daemon goes on taking requests: the balancer asks every second and takes a
-	// daemon out after two misses.
+	// minUnreadyTime is how long a stopping daemon continues to accept requests: the balancer polls every second and
+	// removes a daemon after two failed checks.
 	minUnreadyTime = 3500 * time.Millisecond
-	// stopMargin is how long before the kill a stopping daemon begins to close its listeners.
+	// stopMargin is how long before the process is killed a stopping daemon starts to close its listeners.
 	stopMargin = 700 * time.Millisecond
-	// closeWait bounds the closing of the listeners, which lets answers go out that are being written.
+	// closeTimeout limits the closing of the listeners, during which responses in progress are completed.
 	closeTimeout = 400 * time.Millisecond
-	// sweepEvery is how often lapsed targets and resting connections are looked at.
+	// sweepInterval is how often lapsed targets and idle connections are checked.
 	sweepInterval = 200 * time.Millisecond
-	// statusEvery is how often the counters are logged, so that a log alone tells how much work there was.
+	// statusInterval is how often the counters are logged, so that the log alone shows how much work was done.
 	statusInterval = 10 * time.Second
-	// settingsEvery is how often the settings file is looked at, since it may change without a signal.
+	// settingsInterval is how often the settings file is checked, since it may change without a signal.
 	settingsInterval = 2 * time.Second
-	// rowsWait is how long a daemon that knows what to serve holds requests for the list of daemons, by which it knows who does what
-	// for all. It comes within some ten milliseconds, or the store is out; each request that is held would be late by that.
+	// rowsTimeout is how long a daemon that already has the tables holds requests until the list of daemons is read,
+	// from which it knows which daemon owns which task. The list arrives within some ten milliseconds, unless the store
+	// is down; each held request is delayed by that.
 	rowsTimeout = 250 * time.Millisecond
-	// headWait bounds the reading of a request's head before a configuration states it.
+	// headerTimeout limits the reading of a request's header until a configuration sets the limit.
 	headerTimeout = 3 * time.Second
-	// idleWait is how long callers' connections may rest before a configuration states it.
+	// idleTimeout is how long callers' connections may stay idle until a configuration sets the limit.
 	idleTimeout = 15 * time.Second
-	// headMost bounds a request's head before a configuration states it, in bytes.
+	// maxHeaderBytes limits the header of a request until a configuration sets the limit, in bytes.
 	maxHeaderBytes = 16 << 10
 )
 
-// Relay is a daemon that passes requests on to targets on a platform that keeps the configuration.
+// Relay is a daemon that forwards requests to targets, on a platform that stores the configuration.
 type Relay struct {
 	settings platform.Settings
 	clock    clockwork.Clock
-	// restoreClock says when what a restored store lacks is given up.
+	// restoreClock determines when data that is missing from a restored store is given up.
 	restoreClock clockwork.Clock
 	log          hclog.Logger
 	sink         *LogSink
@@ -72,37 +73,39 @@
 	server    *relay.Server
 	peers     *relayPeers
 	documents documentCache
-	// crashes are the ends of targets under requests, ends finds them out, and endNews passes them on.
+	// crashTracker remembers which requests ran at targets that crashed, crashDetector detects crashes, and endGossip
+	// forwards them to other daemons.
 	crashTracker  *relay.CrashTracker
 	crashDetector *relay.CrashDetector
 	endGossip     *endGossip
-	// noticeNews passes on what targets say of themselves.
+	// noticeGossip forwards what targets say about themselves.
 	noticeGossip *noticeGossip
-	// endRows tells them to daemons that this one does not reach.
+	// endRowSync sends ends of targets through the store to daemons that this one cannot reach.
 	endRowSync *endRowSync
-	// routingView and targetsView say how old what is known of the store's tables is.
+	// routingFreshness and targetsFreshness tell how old the local copies of the store's tables are.
 	routingFreshness, targetsFreshness tableFreshness
 
 	linkKey string
-	// credentials are the certificates between daemons; nil if they show each other a key.
+	// credentials holds the certificates used between daemons; nil if they authenticate with a key.
 	credentials *wire.Credentials
 	zoneCosts   relay.ZoneCosts
-	// census divides what all daemons are allowed together; lastShare is the part that was logged last.
+	// shareTracker divides the limits that all daemons share; loggedShare is the share that was logged last.
 	shareTracker *coord.ShareTracker
 	loggedShare  coord.Share
-	// badSettings and badCredentials are only used by the loop that watches the settings.
+	// settingsFailed and credentialsFailed are only used by the loop that watches the settings.
 	settingsFailed, credentialsFailed bool
 
-	// restored is sent to when the store is in a newer era, for the loop that keeps the own row.
+	// eraChanged receives a value when the store is in a newer era, for the loop that maintains this daemon's row.
 	eraChanged   chan struct{}
 	targetsKnown atomic.Bool
-	// rowsRead says that the store's list of daemons was read, so that the daemon knows who does what for all.
+	// rowsRead is set once the store's list of daemons was read, from which the daemon knows which daemon owns which
+	// task.
 	rowsRead atomic.Bool
 	started  chan struct{}
-	// learned is closed once the other daemons were asked for what the store holds.
+	// bootstrapped is closed once the other daemons were asked for the contents of the store.
 	bootstrapped chan struct{}
 	startOnce    sync.Once
-	// waitOnce begins the wait for the list of daemons.
+	// rowsTimeoutOnce starts the timeout for the list of daemons.
 	rowsTimeoutOnce sync.Once
 	pulling         atomic.Bool
 	stopping        atomic.Bool
@@ -114,34 +117,35 @@
 // PieceCalls returns the number of calls for pieces that this daemon made.
 func (d *Relay) PieceCalls() int64 { return d.pieces.Stats().Calls }
 
-// StoreCalls returns the calls to the store since the start.
+// StoreCalls returns the number of calls to the store since the start.
 func (d *Relay) StoreCalls() platform.CallCounts { return d.store.Counts() }
 
-// CloseLinks cuts all links to other daemons, as the death of the process would; tests use it.
+// CloseLinks closes all links to other daemons, as if the process had died. It is for tests.
 func (d *Relay) CloseLinks() { d.peers.links.Close() }
 
-// RelayOption changes a Relay at construction.
+// RelayOption configures a Relay at construction.
 type RelayOption func(*Relay)
 
-// WithLinkKey sets the key that daemons show each other instead of the store's address.
+// WithLinkKey sets the key with which daemons authenticate to each other, instead of the store's address.
 func WithLinkKey(key string) RelayOption { return func(d *Relay) { d.linkKey = key } }
 
-// WithLinkCredentials has daemons know each other by certificates instead of a key.
+// WithLinkCredentials makes daemons authenticate to each other by certificates instead of a key.
 func WithLinkCredentials(c *wire.Credentials) RelayOption {
 	return func(d *Relay) { d.credentials = c }
 }
 
-// WithZoneCosts sets what other availability zones count for in the choice of a target.
+// WithZoneCosts sets the costs of other availability zones in the choice of a target.
 func WithZoneCosts(costs relay.ZoneCosts) RelayOption { return func(d *Relay) { d.zoneCosts = costs } }
 
-// WithRestoreClock sets the clock by which the doubt about a restored store ends; tests hold it.
+// WithRestoreClock sets the clock that determines when data missing from a restored store is given up. Tests use it to
+// stop that clock.
 func WithRestoreClock(clock clockwork.Clock) RelayOption {
 	return func(d *Relay) { d.restoreClock = clock }
 }
 
-// NewRelay returns a daemon that does nothing yet.
+// NewRelay returns a daemon that has not been started.
 func NewRelay(settings platform.Settings, clock clockwork.Clock, log hclog.Logger, sink *LogSink, options ...RelayOption) *Relay {
-	// The platform gives no secret; the store's address keeps daemons of two deployments apart.
+	// The platform provides no secret; the store's address keeps the daemons of two deployments apart.
 	d := &Relay{settings: settings, clock: clock, restoreClock: clock, log: log, sink: sink, tables: &relay.Tables{}, store: platform.NewStore(settings.StoreAddr), linkKey: settings.StoreAddr.String(), zoneCosts: relay.DefaultZoneCosts()}
 	for _, option := range options {
 		option(d)
@@ -196,7 +200,7 @@
 	}
 }
 
-// handle takes in a message of another daemon.
+// handle processes a message of another daemon.
 func (d *Relay) handle(ctx context.Context, from proto.VM, m proto.Message) proto.Message {
 	now := d.clock.Now()
 	switch msg := m.(type) {
@@ -248,8 +252,9 @@
 	return proto.Done{}
 }
 
-// noteStart lets requests in once the daemon knows the configuration, the targets and the other daemons. One that the store turns
-// away has the first two from others, and does not wait for the list of daemons for long.
+// startWhenReady admits requests once the daemon knows the configuration, the targets and the other daemons. A daemon
+// that the store refuses gets the first two from other daemons, and waits for the list of daemons only for a short
+// time.
 func (d *Relay) startWhenReady() {
 	switch {
 	case !d.hasTables():
@@ -267,7 +272,7 @@
 	})
 }
 
-// Ready tells the balancer whether to send requests, and else why not.
+// Ready reports whether the balancer should send requests here, and if not, why.
 func (d *Relay) Ready() (ok bool, reason string) {
 	switch {
 	case d.stopping.Load():
@@ -280,7 +285,7 @@
 	return true, ""
 }
 
-// pause waits, or returns early when the context ends.
+// sleep waits for a duration, or until the context ends.
 func (d *Relay) sleep(ctx context.Context, duration time.Duration) {
 	if duration <= 0 {
 		return
@@ -291,7 +296,8 @@
 	}
 }
 
-// Run serves until the platform asks the process to stop, and then stops in order.
+// Run serves until the context ends, which is when the platform asks the process to stop, and then shuts down
+// gracefully.
 func (d *Relay) Run(ctx context.Context) error {
 	debug.SetMemoryLimit(int64(memoryFraction * float64(d.settings.MemoryBytes)))
 	debug.SetGCPercent(gcPercent)
@@ -370,7 +376,7 @@
 	}
 }
 
-// watchSettings reads the settings again on SIGHUP and now and then.
+// watchSettings reloads the settings on SIGHUP and at regular intervals.
 func (d *Relay) watchSettings(ctx context.Context) {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
@@ -388,7 +394,7 @@
 	}
 }
 
-// reload takes over what may change while the daemon runs: the certificates between daemons, and the seeds.
+// reload applies the settings that may change at run time: the certificates between daemons, and the seeds.
 func (d *Relay) reload(cause string) {
 	d.reloadCredentials(cause)
 	settings, err := platform.LoadSettings()
@@ -421,7 +427,8 @@
 	return added
 }
 
-// stop ends in order: the health check fails, other daemons take over, requests go on until none is left.
+// stop shuts down gracefully: the health check fails, other daemons take over, and requests continue until none is left
+// or the grace period is nearly over.
 func (d *Relay) stop(ctx context.Context) {
 	startedAt := d.clock.Now()
 	d.log.Info("stopping", "open", d.server.OpenRequests())
--- a/serve/relayclock_test.go
+++ b/serve/relayclock_test.go
@@ -16,7 +16,8 @@
 
 var clockStart = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// suspendable returns the clock of a VM, and a function that suspends it: its steady clock stands still meanwhile.
+// newSuspendableClock returns the clock of a VM and a function that suspends the VM. Its steady clock stands still
+// during a suspension.
 func newSuspendableClock() (*state.Clock, *clockwork.FakeClock, func(time.Duration)) {
 	steady := clockwork.NewFakeClockAt(clockStart)
 	var suspended atomic.Int64
@@ -29,8 +30,9 @@
 	return clock, steady, func(d time.Duration) { suspended.Add(int64(d)) }
 }
 
-// TestWhatOthersCountOnIsRightAfterASuspension has a VM be suspended for longer than something holds that other daemons, or
-// the limits that all keep together, count on. Each is checked to hold before, so that the suspension ends it.
+// TestStateExpiresDuringSuspension suspends a VM for longer than some state is valid that other daemons, or the limits
+// that all daemons share, rely on. A daemon that does not notice the suspension would go on using the state. Each state
+// is checked to be valid before, so that it is the suspension that ends it.
 func TestStateExpiresDuringSuspension(t *testing.T) {
 	const window = 10 * time.Second
 	timing := coord.ShareTiming{Window: window, Lease: 10 * time.Minute, MaxReadAge: 2 * time.Minute}
@@ -38,7 +40,7 @@
 	scenarios := []struct {
 		name    string
 		suspend time.Duration
-		// begin sets something up, and returns what tells whether it holds.
+		// setUp prepares the state and returns a function that reports whether it is valid.
 		begin func(clock *state.Clock, steady *clockwork.FakeClock) (isValid func() bool)
 	}{
 		{"the share of common limits, by the own row", timing.Lease, func(clock *state.Clock, steady *clockwork.FakeClock) func() bool {
@@ -47,7 +49,7 @@
 			c.RowWritten(clock.Now(), 0)
 			steady.Advance(window)
 			return func() bool {
-				// The rows are read at once when the VM goes on; only the own one is old.
+				// The rows are read at once when the VM resumes; only its own row is old.
 				c.ObserveRows(clock.Now(), clock.Now(), 0, nil)
 				return c.Share(clock.Now()).Usable
 			}
--- a/serve/relaydocs.go
+++ b/serve/relaydocs.go
@@ -11,23 +11,24 @@
 	"emberlead/relay"
 )
 
-// documents keeps the platform's own form of what is in force, for daemons that the store does not answer.
+// documentCache keeps the configuration and targets in force in the platform's format, for daemons that the store does
+// not answer.
 type documentCache struct {
 	mu      sync.Mutex
 	routing []byte
-	// targets holds removed entries too, from since on.
+	// targets also holds entries that were removed after completeSince.
 	targets       map[string]proto.TargetDocument
 	completeSince proto.Revision
-	// gave is when a daemon that knew nothing was given all of them last.
+	// lastFullSend is when a daemon without any state was last sent everything.
 	lastFullSend time.Time
 }
 
-// giveEvery is how often a daemon that knows nothing is given the whole list of targets; others read it from the store. At
-// 3,000 targets a list takes 7 ms of a whole core to make and to send, and where all daemons start together those that
-// are in the settings of all would do nothing else, and hold many lists in memory.
+// fullListInterval is how often a daemon without any state is sent the whole list of targets; the others read it from
+// the store. At 3,000 targets, building and sending a list takes a whole core for 7 ms. Where all daemons start
+// together, the ones in everyone's settings would do nothing else, and hold many lists in memory.
 const fullListInterval = 50 * time.Millisecond
 
-// givesAll tells whether a daemon that knows nothing is given all now.
+// allowFullSend reports whether a daemon without any state may be sent everything now.
 func (s *documentCache) allowFullSend(now time.Time) bool {
 	if now.Sub(s.lastFullSend) < fullListInterval {
 		return false
@@ -36,13 +37,13 @@
 	return true
 }
 
-// routingChanged takes in rows of the operator's table that changed.
+// handleRoutingChanges applies rows of the operator's table that changed.
 func (d *Relay) handleRoutingChanges(rows platform.RowSet) {
 	d.applyEvacuations(d.parseEvacuations(rows), "store")
 	d.applyRoutingFrom(rows)
 }
 
-// adoptRoutingOf puts the configuration among rows in force, if it is there.
+// applyRoutingFrom applies the configuration among the rows, if there is one.
 func (d *Relay) applyRoutingFrom(rows platform.RowSet) {
 	for i := range rows.Rows {
 		if rows.Rows[i].IsRouting() && !rows.Rows[i].Removed {
@@ -51,7 +52,7 @@
 	}
 }
 
-// routingWhole takes in all rows of the operator's table; zones that have none are not evacuated.
+// handleRoutingTable applies all rows of the operator's table; zones without a row are not evacuated.
 func (d *Relay) handleRoutingTable(rows platform.RowSet) bool {
 	d.applyEvacuations(d.fleet.EvacuationsFromList(rows.Version, d.parseEvacuations(rows)), "store")
 	d.applyRoutingFrom(rows)
@@ -86,7 +87,8 @@
 	d.startWhenReady()
 }
 
-// changeOf reads one entry of the targets' table. One that cannot be read names no target, and the others hold.
+// fleetChange decodes one entry of the targets' table. An entry that cannot be decoded is marked as unusable, and the
+// others are still applied.
 func (d *Relay) fleetChange(doc proto.TargetDocument, from string) relay.FleetChange {
 	c := relay.FleetChange{ID: doc.ID, Version: doc.Version, Removed: doc.Removed, Lapsed: doc.Lapsed}
 	if doc.Removed {
@@ -111,7 +113,7 @@
 	return docs
 }
 
-// storeSeen tells the fleet how the store is, after what its answer brought was taken in.
+// recordStoreState tells the fleet whether the store answered, after the contents of its answer were applied.
 func (d *Relay) recordStoreState(now time.Time, answered bool) {
 	if answered {
 		d.fleet.MarkStoreUp(now)
@@ -124,7 +126,7 @@
 	return d.replaceTargets(rows.Version, targetDocuments(rows), "store", false)
 }
 
-// takeTargets takes in a whole list; one of another daemon is complete up to its version.
+// replaceTargets applies a whole list of targets; one that another daemon sent is complete up to its version.
 func (d *Relay) replaceTargets(asOf proto.Revision, docs []proto.TargetDocument, from string, complete bool) bool {
 	var entries []relay.FleetChange
 	byID := map[string]proto.TargetDocument{}
@@ -152,7 +154,7 @@
 	d.applyTargetChanges(targetDocuments(rows), "store", false)
 }
 
-// takeChanges takes in entries that changed.
+// applyTargetChanges applies entries that changed.
 func (d *Relay) applyTargetChanges(docs []proto.TargetDocument, from string, fromPeer bool) {
 	var changes []relay.FleetChange
 	for _, doc := range docs {
@@ -194,7 +196,7 @@
 	}
 }
 
-// bornText is how the log names the start of a target's run; empty if the target does not tell it.
+// formatStartTime formats the start time of a target's run for the log; empty if the target does not report it.
 func formatStartTime(startedAt time.Time) string {
 	if startedAt.IsZero() {
 		return ""
@@ -202,8 +204,8 @@
 	return startedAt.UTC().Format(time.RFC3339Nano)
 }
 
-// askOfLapsed asks the neighbours how they saw entries go that are held to have lapsed: a store that failed for
-// some daemons only went on serving the others, and what went then has left.
+// resolveLapsed asks the linked daemons how entries were removed that are considered lapsed. A store that failed for
+// some daemons only continued to serve the others, and a target that was removed meanwhile has left.
 func (d *Relay) resolveLapsed(ids []string, beforeVersion proto.Revision) {
 	for range lapsedQueryRounds {
 		for _, vm := range d.peers.members.Links() {
@@ -229,7 +231,8 @@
 	}
 }
 
-// answerAsk gives another daemon what it lacks: what changed since, or the whole list if that is not known.
+// answerRoutingAsk returns to another daemon what it lacks: the changes since its version, or the whole list if they
+// are not known.
 func (d *Relay) answerRoutingAsk(ask proto.RoutingAsk) proto.RoutingAnswer {
 	d.documents.mu.Lock()
 	defer d.documents.mu.Unlock()
@@ -255,7 +258,8 @@
 	return a
 }
 
-// pull asks another daemon for what it has newer, one at a time, since a list may be large and a link small.
+// pullFrom asks another daemon for its newer state, one daemon at a time, since a list may be large and the bandwidth
+// of a link small.
 func (d *Relay) pullFrom(from proto.VM) {
 	if !d.pulling.CompareAndSwap(false, true) {
 		return
--- a/serve/relaydocs_test.go
+++ b/serve/relaydocs_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestDaemonsThatKnowNothingAreGivenAllInTurn has hundreds of daemons start together and ask the same one.
+// TestFullListsAreRateLimited has hundreds of daemons that start together ask the same daemon.
 func TestFullListsAreRateLimited(t *testing.T) {
 	var s documentCache
 	now := time.Unix(1_700_000_000, 0)
--- a/serve/relayendrows.go
+++ b/serve/relayendrows.go
@@ -10,42 +10,46 @@
 )
 
 const (
-	// endRowEvery is how often a daemon that cannot reach all others looks whether its row of ends is to be written.
+	// endRowInterval is how often a daemon that cannot reach all others checks whether its row of ends has to be
+	// written.
 	endRowInterval = 250 * time.Millisecond
-	// endRowShare is the time between two writes of one daemon for each daemon that there is: in waves of ends they come to
-	// some three hundred writes a second together, of the several hundred that the store takes.
+	// endRowWriteSpacing is the time between two writes of one daemon per daemon in the deployment. When many targets
+	// end at once, all daemons together make some three hundred writes a second, of the several hundred that the store
+	// accepts.
 	endRowWriteSpacing = 3 * time.Millisecond
-	// endRowKept is how long a row is kept whose daemon has not written it anew; its ends have ceased to count by then.
+	// endRowTTL is how long a row is kept that its daemon has not rewritten; its ends no longer count by then.
 	endRowTTL = 2 * time.Hour
-	// endRowRetry is how long it waits after a write or read that failed.
+	// endRowRetryDelay is the wait after a write or read that failed.
 	endRowRetryDelay = time.Second
-	// endRowWait is how long the store holds a watch of the rows; it bounds how long one is made in vain after all daemons
-	// reach each other again.
+	// endRowWatchHold is how long the store holds a watch of the rows. It limits how long a watch goes on for nothing
+	// after all daemons reach each other again.
 	endRowWatchHold = 5 * time.Second
-	// endRowMost is how many requests at ended targets a row holds, the newest ones; they take some twenty kilobytes of
-	// the 64 that a row may have.
+	// maxEndRowRequests is the number of requests at ended targets that a row holds, the newest ones. They take some
+	// twenty kilobytes of the 64 that a row may have.
 	maxEndRowRequests = 2000
 )
 
-// endRows tells ends of targets by the store, to daemons that this one does not reach. Each daemon that sees some counts as in
-// touch by its path to the store alone. While all reach each other nothing is written or read.
+// endRowSync exchanges ends of targets through the store, with daemons that this one cannot reach. A daemon that sees
+// ends itself counts as in touch even if it reaches only the store. While all daemons reach each other, nothing is
+// written or read.
 type endRowSync struct {
 	daemon *Relay
 	table  platform.Table
 
 	mu sync.Mutex
-	// own are what this daemon saw itself, oldest first.
+	// ownEnds holds the ends that this daemon saw itself, oldest first.
 	ownEnds []pendingEnd
-	// dirty says that the row lacks some of it.
+	// dirty is set while the row lacks some of them.
 	dirty bool
-	// apart says that not all daemons were reached when that was last looked at, and after when the store is asked again.
+	// partitioned is set if not all daemons were reachable at the last check; the row is not written again before
+	// nextWrite.
 	partitioned bool
 	nextWrite   time.Time
 }
 
 func newEndRowSync(d *Relay) *endRowSync { return &endRowSync{daemon: d, table: d.store.TargetEnds()} }
 
-// saw takes in what this daemon saw itself.
+// recordOwn records ends that this daemon saw itself.
 func (r *endRowSync) recordOwn(m proto.TargetEnds) {
 	now := r.daemon.clock.Now()
 	r.mu.Lock()
@@ -57,7 +61,7 @@
 	r.dirty = true
 }
 
-// newestEnds returns the last ends of a list that are under so many requests together.
+// newestEnds returns the newest ends of a list whose requests together do not exceed a maximum.
 func newestEnds(ends []pendingEnd, maxRequests int) []pendingEnd {
 	requests := 0
 	for i := len(ends) - 1; i >= 0; i-- {
@@ -68,15 +72,16 @@
 	return ends
 }
 
-// apart tells whether this daemon does not reach one that may be serving: one that the store lists, and that died not long
-// enough ago to be counted out, or is cut off from this one. It also returns how many daemons there may be.
+// partitioned reports whether this daemon cannot reach one that may be serving: one that the store lists, and that
+// either died so recently that it is still counted, or is cut off from this one. It also returns how many daemons there
+// may be.
 func (d *Relay) partitioned() (partitioned bool, daemons int) {
 	counts := d.peers.members.Counts()
 	daemons = d.shareTracker.Share(d.clock.Now()).VMCount
 	return daemons > counts.Known-counts.Dead, daemons
 }
 
-// write writes the own row if that is due.
+// writeIfDue writes this daemon's row if it is due.
 func (r *endRowSync) writeIfDue() {
 	d := r.daemon
 	now := d.clock.Now()
@@ -97,12 +102,12 @@
 	}
 }
 
-// due returns what the row is to hold, if it is to be written now; it is not written anew for a pace after that.
+// takeDue returns the content of the row if it has to be written now; the next write is due after the given interval.
 func (r *endRowSync) takeDue(now time.Time, partitioned bool, interval time.Duration) (proto.TargetEnds, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if partitioned && !r.partitioned {
-		// What was told over links a moment ago may not have arrived.
+		// Ends that were sent over links a moment ago may not have arrived.
 		r.dirty = len(r.ownEnds) > 0
 	}
 	r.partitioned = partitioned
@@ -118,7 +123,7 @@
 	return m, true
 }
 
-// restored has the row written anew, since the store may have lost it.
+// handleRestore makes the row due to be rewritten, since the store may have lost it.
 func (r *endRowSync) handleRestore() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -131,8 +136,8 @@
 	r.dirty, r.nextWrite = true, now.Add(endRowRetryDelay)
 }
 
-// read keeps up with the rows of others while not all daemons are reached, until the context ends. Of those that hear each
-// other, the ones that read the store do so and tell the others.
+// watch reads the rows of other daemons while not all daemons are reachable, until the context ends. Among daemons that
+// hear each other, those that read the store do so and tell the others.
 func (r *endRowSync) watch(ctx context.Context) {
 	d := r.daemon
 	var version proto.Revision
@@ -152,7 +157,7 @@
 	}
 }
 
-// next reads all rows, or waits for those that change after a version, and returns the version to go on from.
+// readNext reads all rows, or waits for rows that change after a version, and returns the version to continue from.
 func (r *endRowSync) readNext(ctx context.Context, version proto.Revision) (proto.Revision, error) {
 	hold := endRowWatchHold
 	if version.IsZero() {
@@ -179,8 +184,8 @@
 	return r.table.Watch(ctx, version, hold)
 }
 
-// take takes in the row of another daemon. Its ages hold as of that daemon's time of day, which may differ somewhat from this
-// one's: they only decide when an end is forgotten.
+// merge merges the row of another daemon. The ages in it are relative to that daemon's wall clock, which may differ
+// somewhat from the local one: they only determine when an end is forgotten.
 func (r *endRowSync) merge(row platform.Row) {
 	d := r.daemon
 	_, message, err := proto.Decode(row.Body)
@@ -200,7 +205,7 @@
 	d.crashTracker.Merge(m, proto.VM("store: "+row.Key))
 }
 
-// remove removes the row of a daemon that is gone for long, which one daemon does for all.
+// removeExpired removes the row of a daemon that has been gone for a long time; one daemon does this for all.
 func (r *endRowSync) removeExpired(row platform.Row) {
 	d := r.daemon
 	if d.peers.Owner(taskRemoveOldRows, nil) != d.self.VM {
@@ -212,7 +217,7 @@
 	d.log.Info("an old row of ends of targets is removed", "vm", row.Key, "version", row.Version, "error", err)
 }
 
-// ended takes in what the daemon learnt of ends of targets, from itself or from others, and passes it on.
+// handleEnds handles newly learned ends of targets, from this daemon or from others, and forwards them.
 func (d *Relay) handleEnds(m proto.TargetEnds, from proto.VM) {
 	d.endGossip.add(m)
 	if from == d.self.VM {
--- a/serve/relayendrows_test.go
+++ b/serve/relayendrows_test.go
@@ -13,15 +13,15 @@
 	return proto.TargetEnds{Ends: []proto.TargetEnd{{Run: run, Requests: make([]proto.RequestDigest, requests)}}}
 }
 
-// TestEndsAreWrittenToTheStoreOnlyWhileNotAllAreReached goes through the moments at which a row is due.
+// TestEndRowIsWrittenOnlyWhilePartitioned checks the moments at which a row is due.
 func TestEndRowIsWrittenOnlyWhilePartitioned(t *testing.T) {
 	const interval = endRowInterval
 	type look struct {
 		after time.Duration
-		// saw is how many requests were at work at a target that ended; 0 if none did.
+		// requests is the number of requests that ran at a target that ended; 0 if none ended.
 		saw   int
 		apart bool
-		// ends is how many ends are written, -1 for nothing.
+		// ends is the number of ends that are written, -1 if nothing is written.
 		ends int
 	}
 	scenarios := []struct {
--- a/serve/relayends.go
+++ b/serve/relayends.go
@@ -10,22 +10,23 @@
 )
 
 const (
-	// endsGather is how long ends of targets are gathered before the other daemons are told: all requests that a target
-	// ran fail within some milliseconds. It is the delay of each hop; eight links each reach some thousand daemons in
-	// four.
+	// endsBatchDelay is how long ends of targets are collected before the other daemons are told, since all requests
+	// that a target ran fail within some milliseconds. It is the delay of each hop; with eight links each, some
+	// thousand daemons are reached in four hops.
 	endsBatchDelay = 50 * time.Millisecond
-	// endsDiffer is how long the ends that a linked daemon knows may differ before it is told all: what is on its way
-	// arrives within a few hops.
+	// endsDigestGrace is how long the ends known to a linked daemon may differ before it is sent all ends: those that
+	// are on their way arrive within a few hops.
 	endsDigestGrace = 2 * peerHeartbeatInterval
-	// endsAgain is how often one daemon is told all at the most, and endsPace how many ends a second it is told in the
-	// long run, at some ten bytes each: daemons that had to forget different ones would go on telling each other.
+	// endsResendInterval is the minimum time between two complete sends to one daemon, and maxEndsPerSecond the number
+	// of ends that it is sent per second in the long run, at some ten bytes each. Otherwise daemons that had to forget
+	// different ends would send them to each other all the time.
 	endsResendInterval = time.Second
 	maxEndsPerSecond   = 1000
-	// forgetEvery is how often ends that are too old are looked for; they count for an hour.
+	// forgetInterval is how often expired ends are removed; an end counts for an hour.
 	forgetInterval = time.Second
 )
 
-// endNews passes on what this daemon learns of ends of targets, and finds out who knows something else.
+// endGossip forwards ends of targets that this daemon learns of, and finds linked daemons that know different ones.
 type endGossip struct {
 	clock clockwork.Clock
 	send  func(proto.TargetEnds)
@@ -35,7 +36,7 @@
 	digests digestTracker
 }
 
-// waitingEnd is an end that the other daemons are to be told, with when its age held.
+// pendingEnd is an end to be sent to the other daemons, with the time as of which its age holds.
 type pendingEnd struct {
 	end proto.TargetEnd
 	at  time.Time
@@ -45,7 +46,8 @@
 	return &endGossip{clock: clock, send: send, digests: newDigestTracker()}
 }
 
-// add takes in what was news here, from whomever; it is not sent back by its receivers, for whom it is none.
+// add queues ends that were new here, whatever their source. Receivers do not send them back, since for the sender they
+// are not new.
 func (e *endGossip) add(m proto.TargetEnds) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -72,21 +74,21 @@
 	e.send(m)
 }
 
-// differs tells whether to tell a linked daemon all now, by its digest.
+// shouldSendAll reports, by comparing digests, whether to send all ends to a linked daemon now.
 func (e *endGossip) shouldSendAll(now time.Time, from proto.VM, ownDigest, theirDigest uint64, known int) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.digests.shouldSendAll(now, from, ownDigest, theirDigest, known)
 }
 
-// tellEnds tells another daemon all ends of targets that this one knows of.
+// sendAllEnds sends all ends of targets that this daemon knows to another daemon.
 func (d *Relay) sendAllEnds(to proto.VM) {
 	m := d.crashTracker.Snapshot()
 	d.log.Info("another daemon is told all ends of targets", "to", to, "ends", len(m.Ends))
 	d.peers.Send(to, m)
 }
 
-// tellLinks sends a message to the daemons that this one links to.
+// sendToLinks sends a message to the daemons that this one links to.
 func (p *relayPeers) sendToLinks(m proto.Message) {
 	for _, vm := range p.members.Links() {
 		p.Send(vm, m)
--- a/serve/relayends_test.go
+++ b/serve/relayends_test.go
@@ -15,29 +15,30 @@
 )
 
 const (
-	// contact is for how long a daemon must have been undisturbed to count as in touch, and runsAfter how many further
-	// targets a request may reach, sent by such daemons that long after it has ended its third.
+	// contactTime is for how long a daemon must have been undisturbed to count as connected. maxLateTargets is the
+	// number of further targets that a request may reach if connected daemons send it later than that after it has
+	// ended its third target.
 	contactTime    = 3 * time.Second
 	maxLateTargets = 3
-	// endSeen is when an end is known to the daemon that sent the request, and hop what a message takes.
+	// endDelay is when the daemon that sent the request learns of an end, and hopDelay the latency of a message.
 	endDelay = 150 * time.Millisecond
 	hopDelay = 5 * time.Millisecond
 	simTick  = 10 * time.Millisecond
 	simRings = 4
 )
 
-// netDaemon is a daemon as far as it learns of ends of targets.
+// simDaemon is the part of a daemon that learns of ends of targets.
 type simDaemon struct {
 	vm            proto.VM
 	crashes       *relay.CrashTracker
 	gossip        *endGossip
 	links         []int
 	nextHeartbeat time.Time
-	// disturbed is when the daemon last was frozen, cut off or not running.
+	// disturbedAt is when the daemon was last frozen, cut off or not running.
 	disturbedAt time.Time
 	frozen      bool
 	cut         bool
-	// inbox holds what comes while it is frozen, and later.
+	// inbox holds messages that are not received yet, such as those that arrive while the daemon is frozen.
 	inbox []simMessage
 }
 
@@ -47,15 +48,15 @@
 	m    proto.Message
 }
 
-// endNet is a deployment of daemons that tell each other of ends of targets, under a clock of its own.
+// simNetwork is a deployment of daemons that send each other ends of targets, with its own clock.
 type simNetwork struct {
 	t       *testing.T
 	random  *rand.Rand
 	clock   *clockwork.FakeClock
 	daemons []*simDaemon
-	// told and bytes are what daemons sent each other beside heartbeats.
+	// sentMessages and sentBytes count what the daemons sent each other besides heartbeats.
 	sentMessages, sentBytes int
-	// ended are the ends that the sender of the request has still to see.
+	// ends holds the ends that the sender of the request has not seen yet.
 	ends []func()
 	due  []time.Time
 }
@@ -73,7 +74,7 @@
 	return n
 }
 
-// link has each daemon link to the two beside it in a ring.
+// link links each daemon to its two neighbors in a ring.
 func (n *simNetwork) link(ring []int) {
 	for k, i := range ring {
 		next := ring[(k+1)%len(ring)]
@@ -85,7 +86,7 @@
 	}
 }
 
-// begin starts a daemon that knows nothing.
+// start starts a daemon without any data.
 func (n *simNetwork) start(i int) {
 	d := n.daemons[i]
 	d.inbox = nil
@@ -95,7 +96,8 @@
 		}
 	})
 	d.crashes = relay.NewCrashTracker(d.vm, n.clock, hclog.NewNullLogger(), func(m proto.TargetEnds, _ proto.VM) {
-		// The real one gathers by a timer of the clock, whose goroutine would make the order of things depend on luck.
+		// A real daemon collects ends with a timer of the clock, whose goroutine would make the order of events depend
+		// on scheduling.
 		for _, end := range m.Ends {
 			d.gossip.pending = append(d.gossip.pending, pendingEnd{end, n.clock.Now()})
 		}
@@ -167,7 +169,7 @@
 	}
 }
 
-// try has a request come to a daemon, which sends it to a target unless it refuses, and tells whether it did.
+// try sends a request to a daemon, which sends it to a target unless it refuses, and reports whether it did.
 func (n *simNetwork) try(i int, request proto.RequestDigest, target int) bool {
 	d := n.daemons[i]
 	if _, refused := d.crashes.Blocks(request); refused || d.frozen {
@@ -185,7 +187,7 @@
 	return n.clock.Now().Sub(n.daemons[i].disturbedAt) >= contactTime
 }
 
-// disturb freezes, cuts off or restarts a daemon, or ends that.
+// disturb freezes, cuts off or restarts a daemon, or ends such a state.
 func (n *simNetwork) disturb() {
 	i := n.random.IntN(len(n.daemons))
 	d := n.daemons[i]
@@ -200,8 +202,9 @@
 	}
 }
 
-// TestWhatOneDaemonLearnsAllInTouchUse has a request that ends each target come to random daemons, while daemons freeze, are
-// cut off and start again: from three seconds after its third target's end on, those in touch send it to three more at most.
+// TestEndsReachAllConnectedDaemons sends a request that ends each of its targets to random daemons, while daemons
+// freeze, are cut off and restart. From three seconds after the end of its third target, connected daemons may send it
+// to at most three more.
 func TestEndsReachAllConnectedDaemons(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -211,7 +214,7 @@
 			faultsEnd := n.clock.Now().Add(20 * time.Second)
 			for n.clock.Now().Before(faultsEnd.Add(5 * time.Second)) {
 				n.step()
-				// Half of the histories have faults; in all, the last seconds have none.
+				// Half of the runs have faults; the last seconds of all runs have none.
 				if seed%2 == 1 && n.random.IntN(60) == 0 && n.clock.Now().Before(faultsEnd) {
 					n.disturb()
 				}
@@ -241,7 +244,7 @@
 	}
 }
 
-// TestTellingOfEndsIsCheapInALargeDeployment ends twenty of a pool's targets at once, with 48 requests each of other daemons.
+// TestEndGossipIsCheapInLargeDeployment ends twenty targets of a pool at once, each with 48 requests of other daemons.
 func TestEndGossipIsCheapInLargeDeployment(t *testing.T) {
 	const daemons, targets, each = 300, 20, 48
 	n := newSimNetwork(t, 1, daemons)
@@ -266,7 +269,7 @@
 	}
 	t.Logf("known to all after %s; a daemon sent %d messages and %d bytes for %d ends under %d requests",
 		time.Duration(steps)*simTick, n.sentMessages/daemons, n.sentBytes/daemons, targets, targets*each)
-	// Each daemon sends what it learns in one gathering over eight links, and learns all in a few of them.
+	// Each daemon sends what it learns in one batch over eight links, and learns everything in a few batches.
 	if most := 2 * simRings * 12; n.sentMessages/daemons > most {
 		t.Errorf("a daemon sent %d messages, want %d at most", n.sentMessages/daemons, most)
 	}
@@ -275,7 +278,7 @@
 	}
 }
 
-// agrees tells whether all daemons know so many ends, and the same.
+// converged reports whether all daemons know the given number of ends, and the same ones.
 func (n *simNetwork) converged(ends int) bool {
 	for _, d := range n.daemons {
 		if d.crashes.Stats().Ends != ends || d.crashes.Digest() != n.daemons[0].crashes.Digest() {
@@ -285,7 +288,7 @@
 	return true
 }
 
-// TestAnEndIsAsOldForThoseWhoAreToldOfIt gathers an end for a while before it is told.
+// TestForwardedEndKeepsItsAge holds an end back for a while before it is sent.
 func TestForwardedEndKeepsItsAge(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(clockStart)
 	var sent []proto.TargetEnds
@@ -303,7 +306,7 @@
 	}
 }
 
-// TestWhoKnowsOtherEndsIsToldThem follows the digests in a linked daemon's heartbeats.
+// TestDaemonWithDifferentEndsIsSentAll follows the digests in the heartbeats of a linked daemon.
 func TestDaemonWithDifferentEndsIsSentAll(t *testing.T) {
 	scenarios := []struct {
 		name        string
@@ -338,7 +341,7 @@
 	}
 }
 
-// TestDaemonsThatForgotDifferentEndsTellEachOtherSeldom has two daemons differ for ever, with as many ends as are remembered.
+// TestDaemonsThatForgotDifferentEndsRarelyResend has two daemons differ forever, with as many ends as are remembered.
 func TestDaemonsThatForgotDifferentEndsRarelyResend(t *testing.T) {
 	const known, minute = 8000, 60
 	clock := clockwork.NewFakeClockAt(clockStart)
--- a/serve/relayera.go
+++ b/serve/relayera.go
@@ -4,8 +4,8 @@
 	"emberlead/proto"
 )
 
-// storeRestored takes in that the store is in a newer era than was known. Its tables are read anew by their watchers, whose versions
-// are of the earlier era; what this daemon wrote there is written again.
+// handleStoreRestored handles that the store is in a newer era than was known. The watchers read its tables anew, since
+// the versions that they have are of the earlier era; what this daemon wrote to the store is written again.
 func (d *Relay) handleStoreRestored(era uint64) {
 	d.log.Warn("the store is in a new era", "era", era, "routing", d.tables.Version(), "targets", d.fleet.Version(), "evacuations", d.fleet.EvacuationsVersion())
 	d.shareTracker.StoreRestored(d.clock.Now(), era)
@@ -13,11 +13,12 @@
 	select {
 	case d.eraChanged <- struct{}{}:
 	default:
-		// The loop has not taken up the last one yet.
+		// The loop has not handled the previous value yet.
 	}
 }
 
-// judgeAnew takes in entries again that counted as left over from before targets left, and that are still listed.
+// reapplyExpired applies entries again that were considered left over from before their targets left, and that are
+// still listed.
 func (d *Relay) reapplyExpired(ids []string) {
 	if len(ids) == 0 {
 		return
--- a/serve/relayhttp.go
+++ b/serve/relayhttp.go
@@ -39,7 +39,7 @@
 		handler http.Handler
 		tls     *tls.Config
 	}{
-		// Callers' methods and paths are passed on as they are, so no router comes before the relay.
+		// The methods and paths of callers are forwarded unchanged, so there is no router in front of the relay.
 		{d.settings.CallerAddr, d.server, nil},
 		{d.settings.HealthAddr, health, nil},
 		{d.settings.PeerAddr, d.peers.links.Handler(), d.peers.links.ServerTLS()},
@@ -64,7 +64,7 @@
 	if config != nil {
 		listener = tls.NewListener(listener, config)
 	}
-	// The listeners close side by side, so that each has the whole of the time for it.
+	// All listeners close concurrently, so that each has the full time.
 	closed := make(chan struct{})
 	serve := func() error {
 		err := server.Serve(listener)
@@ -84,35 +84,36 @@
 	return nil
 }
 
-// RelayVars are the measures of a relaying daemon at /debug/vars.
+// RelayVars holds the metrics of a relay daemon at /debug/vars.
 type RelayVars struct {
 	Requests          relay.RequestStats   `json:"requests"`
 	Pieces            relay.PieceStats     `json:"pieces"`
 	TargetConnections wire.TransportCounts `json:"targetConnections"`
 	Links             wire.LinkCounts      `json:"links"`
 	Members           coord.MemberCounts   `json:"members"`
-	// Share is the daemon's part of what all daemons are allowed together.
+	// Share is this daemon's share of the limits that all daemons share.
 	Share   relay.Share `json:"share"`
 	Routing uint64      `json:"routing"`
-	// Fleet is the revision of the list of targets, as the log writes it.
+	// Fleet is the revision of the list of targets, formatted as in the log.
 	Fleet string `json:"fleet"`
-	// Era counts the restorations of the store; 0 if it does not tell.
+	// Era counts how often the store was restored; 0 if the store does not report it.
 	Era uint64 `json:"storeEra,omitempty"`
-	// Evacuated are the availability zones that get nothing more.
+	// Evacuated lists the availability zones that receive no new work.
 	Evacuated []string `json:"evacuated,omitempty"`
-	// RoutingAge and TargetsAge are how long ago the store last confirmed what is known of each table, to this daemon or
-	// to one that told it, in milliseconds; -1 if it never did.
+	// RoutingAge and TargetsAge are how long ago the store last confirmed the local copy of each table, to this daemon
+	// or to one that told it, in milliseconds; -1 if it never did.
 	RoutingAge int64 `json:"routingAgeMs"`
 	TargetsAge int64 `json:"targetsAgeMs"`
-	// LinkAuth is how daemons know each other: storeAddress (which keeps nobody out), key or certificates.
+	// LinkAuth is how daemons authenticate to each other: storeAddress (which keeps nobody out), key or certificates.
 	LinkAuth linkAuth `json:"linkAuth"`
-	// Crashes tells how many ends of targets under requests are remembered, and of how many requests.
+	// Crashes counts the remembered ends of targets under requests, and the requests affected.
 	Crashes relay.CrashStats `json:"crashes"`
-	// Cold counts what this daemon sent to cold targets, and how often others had taken what was left.
+	// Cold counts what this daemon sent to cold targets, and how often others had taken the rest of a target's
+	// capacity.
 	Cold relay.ColdStats `json:"cold"`
-	// Notices counts the targets that leave, name a limit or want rest by their answers.
+	// Notices counts the targets whose responses say that they are leaving, name a limit or ask for a backoff.
 	Notices relay.NoticeStats `json:"notices"`
-	// Permits counts what this daemon handed out for targets that name a limit.
+	// Permits counts the permits that this daemon granted for targets that name a limit.
 	Permits      relay.PermitStats `json:"permits"`
 	OpenRequests int64             `json:"openRequests"`
 	// Store counts the calls to the store by table and kind.
--- a/serve/relaylinks.go
+++ b/serve/relaylinks.go
@@ -4,10 +4,10 @@
 	"time"
 )
 
-// expiryNotice is how long before the end of its certificate a daemon says so at each start and reload.
+// expiryNotice is how long before its certificate expires a daemon logs this at each start and reload.
 const expiryNotice = 14 * 24 * time.Hour
 
-// linkAuth names how daemons know each other.
+// linkAuth is the method by which daemons authenticate to each other.
 type linkAuth string
 
 const (
@@ -16,7 +16,7 @@
 	authCertificates linkAuth = "certificates"
 )
 
-// linkAuth returns how daemons know each other.
+// linkAuth returns the method by which daemons authenticate to each other.
 func (d *Relay) linkAuth() linkAuth {
 	switch {
 	case d.credentials != nil:
@@ -27,7 +27,7 @@
 	return authStore
 }
 
-// noteLinkAuth logs at the start how daemons know each other, and whether that keeps anybody out.
+// logLinkAuth logs at the start how daemons authenticate to each other, and whether that keeps anybody out.
 func (d *Relay) logLinkAuth() {
 	switch d.linkAuth() {
 	case authCertificates:
@@ -46,7 +46,8 @@
 	}
 }
 
-// reloadCredentials takes over changed certificates: links are made anew, so that a revoked daemon loses the ones it has.
+// reloadCredentials applies changed certificates. All links are reconnected, so that a revoked daemon loses those that
+// it has.
 func (d *Relay) reloadCredentials(cause string) {
 	if d.credentials == nil {
 		return
--- a/serve/relaylist.go
+++ b/serve/relaylist.go
@@ -13,41 +13,43 @@
 )
 
 const (
-	// listEvery is how often the daemons' table is read, for daemons that no other knows. All daemons do so, which at some
-	// hundred of them is several calls a second.
+	// rowReadInterval is how often the table of the daemons is read, to find daemons that no other daemon knows. All
+	// daemons do so, which for some hundred daemons means several calls a second.
 	rowReadInterval = time.Minute
-	// listRetry bounds how long the table is not read after a call that failed, unless another call to the store succeeds:
-	// daemons that all start during an outage would ask in vain several times a second each.
+	// maxRowRetryWait is the longest time that the table is not read after a failed call, unless another call to the
+	// store succeeds: without it, daemons that all start during an outage would each call in vain several times a
+	// second.
 	maxRowRetryWait = 3 * time.Second
-	// rowLease is how long a daemon may use its share of common limits after a write of its row, and about how long others
-	// count a VM that has died for good: until then they have a smaller share each, by one in the number of VMs.
+	// rowLease is how long a daemon may use its share of common limits after writing its row, and about how long others
+	// still count a VM that is gone for good. Until then the share of each is smaller, by one in the number of VMs.
 	rowLease = 10 * time.Minute
-	// rowEvery is how often a daemon writes its row anew; with three times in a lease, two may fail. At 2,000 daemons this
-	// comes to ten writes a second.
+	// rowWriteInterval is how often a daemon rewrites its row. With three writes per lease, two may fail. At 2,000
+	// daemons this comes to ten writes a second.
 	rowWriteInterval = rowLease / 3
-	// shareSpread is how much longer than the window of the retry budget a started daemon waits before it uses a share,
-	// for attempts of its last run that are still on their way.
+	// shareDelay is how much longer than the window of the retry budget a started daemon waits before it uses a share,
+	// to cover attempts of its previous run that are still on their way.
 	shareDelay = time.Second
-	// readMost is how old the last read of the daemons' rows may be: two of them, and an outage of the store of 5 s.
+	// maxReadAge is how old the last read of the daemons' rows may be: two read intervals, and an outage of the store
+	// of 5 s.
 	maxReadAge = 2*rowReadInterval + 5*time.Second
-	// taskOldRows names the task of removing the rows of VMs that are gone.
+	// taskRemoveOldRows names the task of removing the rows of VMs that are gone.
 	taskRemoveOldRows = "remove old rows"
 )
 
-// daemonRow is what a daemon says of itself in the store, for daemons that start when all seeds are gone.
+// daemonRow is what a daemon stores about itself, for daemons that start when all seeds are gone.
 type daemonRow struct {
 	Zone        proto.Zone        `json:"zone"`
 	Peer        netip.AddrPort    `json:"peer"`
 	Incarnation proto.Incarnation `json:"incarnation"`
 	// Written is when the row was written, by the clock of its VM.
 	Written time.Time `json:"written"`
-	// Era is that of the store in which the row was written: a row that counts for others must be of the present one.
+	// Era is the era of the store in which the row was written: only a row of the present era counts for others.
 	Era uint64 `json:"era,omitempty"`
-	// Counted says that all other daemons know of this VM when they divide what all are allowed together.
+	// Counted is set if all other daemons count this VM when they divide the limits that all daemons share.
 	Counted bool `json:"counted,omitempty"`
 }
 
-// list keeps the daemons' table: it reads the others' rows and renews the own one.
+// maintainRow renews this daemon's row in the table of the daemons, and reads the rows of others.
 func (d *Relay) maintainRow(ctx context.Context) {
 	l := &rowMaintainer{daemon: d}
 	for ctx.Err() == nil {
@@ -59,21 +61,21 @@
 	}
 }
 
-// rowList is the state of the loop that keeps the daemons' table.
+// rowMaintainer is the state of the loop that renews this daemon's row and reads those of others.
 type rowMaintainer struct {
 	daemon *Relay
-	// wrote is when the own row was sent that the store has, and counted what that said.
+	// writtenAt is when the row that the store has was sent, and writtenCounted the value of Counted in it.
 	writtenAt      time.Time
 	writtenCounted bool
-	// known says that the others knew of this VM when the daemon started.
+	// knownToOthers is set if the others knew this VM when the daemon started.
 	knownToOthers bool
-	// era is that of the store in which the own row was last looked at.
+	// era is the era of the store in which this daemon's row was last checked.
 	era uint64
-	// again says that the rows were read a second time in the first start of all daemons.
+	// reread is set once the rows were read a second time in the first start of all daemons.
 	reread bool
 }
 
-// step reads the rows, writes the own one if that is due, and returns how long to wait then.
+// step reads the rows, writes this daemon's row if it is due, and returns how long to wait afterwards.
 func (l *rowMaintainer) step(ctx context.Context) time.Duration {
 	d := l.daemon
 	l.resetOnNewEra(d.store.Era())
@@ -84,14 +86,14 @@
 		d.waitForStore(ctx, maxRowRetryWait)
 		return initialRetryDelay
 	case d.settings.FirstStart && !l.reread:
-		// All have written their rows by then, and none uses a share yet.
+		// By then all daemons have written their rows, and none uses a share yet.
 		l.reread = true
 		return d.settings.RetryWindow / 2
 	}
 	return rowReadInterval
 }
 
-// restored forgets what was known of the own row in an earlier era of the store.
+// resetOnNewEra forgets what was known about this daemon's row in an earlier era of the store.
 func (l *rowMaintainer) resetOnNewEra(era uint64) {
 	if era == l.era {
 		return
@@ -105,8 +107,8 @@
 	return l.writtenAt.IsZero() || now.Sub(l.writtenAt) >= rowWriteInterval || l.isCounted(now) && !l.writtenCounted
 }
 
-// takeOver keeps the row of the VM's last run, if that is not due to be written anew and says the same of the VM: other
-// daemons learn of the new run over their links.
+// adoptPreviousRow keeps the row of this VM's previous run if it is not due to be rewritten and says the same about the
+// VM. Other daemons learn of the new run over their links.
 func (l *rowMaintainer) adoptPreviousRow(now time.Time, row daemonRow) {
 	d := l.daemon
 	age := now.Sub(row.Written)
@@ -117,7 +119,7 @@
 	d.shareTracker.RowWritten(l.writtenAt, l.era)
 }
 
-// isCounted tells whether the others know of this VM.
+// isCounted reports whether the others know this VM.
 func (l *rowMaintainer) isCounted(now time.Time) bool {
 	return l.knownToOthers || l.daemon.shareTracker.Share(now).Usable
 }
@@ -137,7 +139,7 @@
 		era, err = d.store.Daemons().Put(ctx, string(d.self.VM), body)
 	}
 	if err == nil && era != l.era {
-		// The row names an earlier era than the one in which the store has it.
+		// The row names an earlier era than the one in which the store holds it.
 		err = newError("write row", proto.KindConflict, "the store was restored meanwhile: era %d, before %d", era, l.era)
 	}
 	if err != nil {
@@ -181,7 +183,8 @@
 	return true
 }
 
-// takeRow learns of a daemon by its row. The own row may still be that of the last run, whose number must be lower.
+// handleRow learns of a daemon from its row. This daemon's row may still be that of its previous run, whose incarnation
+// must be lower.
 func (d *Relay) handleRow(now time.Time, entry platform.Row) (daemonRow, bool) {
 	var row daemonRow
 	if err := json.Unmarshal(entry.Body, &row); err != nil {
@@ -192,7 +195,7 @@
 	return row, true
 }
 
-// removeOld removes the rows of VMs whose leases are over, which one daemon does for all.
+// removeExpiredRows removes the rows of VMs whose leases have expired; one daemon does this for all.
 func (d *Relay) removeExpiredRows(expired []proto.VM, versions map[proto.VM]proto.Revision) {
 	for _, vm := range expired {
 		d.log.Info("a daemon's row is too old to count", "vm", vm, "version", versions[vm], "lease", rowLease.String())
@@ -214,7 +217,7 @@
 	return coord.ShareTiming{Window: s.RetryWindow + shareDelay, Lease: rowLease, MaxReadAge: maxReadAge}
 }
 
-// Share returns this daemon's part of what all daemons together are allowed.
+// Share returns this daemon's share of the limits that all daemons share.
 func (p *relayPeers) Share() relay.Share {
 	s := p.shareTracker.Share(p.clock.Now())
 	share := relay.Share{VMCount: s.VMCount, Live: p.Count(), Reason: string(s.Reason)}
@@ -224,12 +227,12 @@
 	return share
 }
 
-// Sole tells whether this daemon may do now what only one of all may do at a time.
+// OwnsExclusively reports whether this daemon may now do what only one daemon may do at a time.
 func (p *relayPeers) OwnsExclusively(task string, settle time.Duration) bool {
 	return p.shareTracker.OwnsExclusively(p.clock.Now(), task, settle)
 }
 
-// reportShare counts the daemons that have come to be known, and logs when the own part changes.
+// updateShare adds newly known daemons to the count, and logs when this daemon's share changes.
 func (d *Relay) updateShare() {
 	now := d.clock.Now()
 	if version := d.peers.members.Version(); version != d.peers.countedVersion {
--- a/serve/relaynotices.go
+++ b/serve/relaynotices.go
@@ -9,16 +9,18 @@
 	"emberlead/proto"
 )
 
-// noticeGather is how long what targets say is gathered before the other daemons are told; it is the delay of each hop.
+// noticeBatchDelay is how long notices of targets are collected before the other daemons are told; it is the delay of
+// each hop.
 const noticeBatchDelay = 50 * time.Millisecond
 
-// noticeNews passes on what targets say of themselves, as far as it is news here, and finds out who knows something else.
+// noticeGossip forwards what targets say about themselves, if it is new here, and finds linked daemons that know
+// something else.
 type noticeGossip struct {
 	clock clockwork.Clock
 	send  func(proto.TargetNotices)
 
 	mu sync.Mutex
-	// waiting are the newest notices of runs that the other daemons are to be told.
+	// pending holds the newest notice of each run, to be sent to the other daemons.
 	pending map[proto.RunName]proto.TargetNotice
 	digests digestTracker
 }
@@ -27,7 +29,8 @@
 	return &noticeGossip{clock: clock, send: send, pending: map[proto.RunName]proto.TargetNotice{}, digests: newDigestTracker()}
 }
 
-// add takes in what was news here, from whomever; it is not sent back by its receivers, for whom it is none.
+// add queues notices that were new here, whatever their source. Receivers do not send them back, since for the sender
+// they are not new.
 func (n *noticeGossip) add(list []proto.TargetNotice) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -51,17 +54,17 @@
 	n.send(m)
 }
 
-// differs tells whether to tell a linked daemon all now, by its digest.
+// shouldSendAll reports, by comparing digests, whether to send all notices to a linked daemon now.
 func (n *noticeGossip) shouldSendAll(now time.Time, from proto.VM, ownDigest, theirDigest uint64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.digests.shouldSendAll(now, from, ownDigest, theirDigest, len(n.pending))
 }
 
-// noteNotices passes on what targets say of themselves.
+// forwardNotices forwards what targets say about themselves to the other daemons.
 func (d *Relay) forwardNotices(list []proto.TargetNotice) { d.noticeGossip.add(list) }
 
-// learnNotices takes in what another daemon knows of what targets say of themselves.
+// mergeNotices merges what another daemon knows about targets from their notices.
 func (d *Relay) mergeNotices(now time.Time, list []proto.TargetNotice, from proto.VM) {
 	for _, n := range d.fleet.MergeNotices(now, list, from) {
 		d.log.Info("target signals from another daemon", "target", n.Target, "run", n.Run, "leaving", n.Leaving, "limited", n.HasLimit, "limit", n.Limit, "change", n.LimitVersion, "from", from)
--- a/serve/relaypeers.go
+++ b/serve/relaypeers.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	// peerHeartbeat is how often daemons hear of each other. Work that waits for a silent daemon is late by its
-	// silence, so this is a fraction of the shortest goal of a request with stages.
+	// peerHeartbeatInterval is how often daemons send each other heartbeats. Work that waits for a silent daemon is
+	// late by its silence, so this is a fraction of the shortest latency goal of a request with stages.
 	peerHeartbeatInterval = 300 * time.Millisecond
-	// peerSilence is how long a link may be silent: two lost heartbeats and a delay.
+	// peerSilenceTimeout is how long a link may be silent: two lost heartbeats and a delay.
 	peerSilenceTimeout = 900 * time.Millisecond
-	// peerPause is how late a daemon's own tick may be before it holds itself to have been paused.
+	// peerPauseThreshold is how late a daemon's own tick may be before the daemon concludes that it was paused.
 	peerPauseThreshold = 600 * time.Millisecond
-	// peerTick is how often links are looked at.
+	// peerTickInterval is how often links are checked.
 	peerTickInterval = 100 * time.Millisecond
-	// peerForget is how long a dead daemon stays known.
+	// peerForgetAfter is how long a dead daemon stays known.
 	peerForgetAfter = 2 * time.Minute
-	// pullAfter is how long another daemon may have newer state before it is asked for it: the own watch of the store
-	// shows the same within some milliseconds, unless the store does not answer this daemon.
+	// pullDelay is how long another daemon may have newer state before it is asked for it: this daemon's own watch of
+	// the store delivers the same within some milliseconds, unless the store does not answer this daemon.
 	pullDelay = 250 * time.Millisecond
-	// pullWait bounds the asking.
+	// pullTimeout limits a request for newer state.
 	pullTimeout = time.Second
-	// voidAgain is how often a daemon is asked whose void entries differ from those known here: what is on its way
-	// arrives within a few heartbeats.
+	// invalidAskInterval is how often a daemon is asked whose invalid entries differ from those known here. Entries
+	// that are on their way arrive within a few heartbeats.
 	invalidAskInterval = time.Second
 )
 
@@ -39,7 +39,7 @@
 	return coord.MemberTiming{HeartbeatInterval: peerHeartbeatInterval, SilenceTimeout: peerSilenceTimeout, PauseThreshold: peerPauseThreshold, MaxListLag: peerForgetAfter, ForgetAfter: peerForgetAfter}
 }
 
-// relayPeers are the other daemons as the relay sees them.
+// relayPeers gives the relay access to the other daemons.
 type relayPeers struct {
 	clock        clockwork.Clock
 	log          hclog.Logger
@@ -47,15 +47,16 @@
 	members      *coord.Members
 	shareTracker *coord.ShareTracker
 	links        *wire.Links
-	// counted is the version of the members' view that the census has; only the loop that reports the share uses it.
+	// countedVersion is the version of the members' view that was last passed to shareTracker. Only the loop that calls
+	// updateShare uses it.
 	countedVersion uint64
 
 	mu sync.Mutex
-	// seeds are addresses of daemons whose names are not known yet, under names made from the addresses.
+	// seeds holds addresses of daemons whose names are not known yet, under names derived from the addresses.
 	seeds map[proto.VM]proto.Alive
-	// newer is since when another daemon's heartbeats show newer state.
+	// newerSince is since when the heartbeats of another daemon show newer state.
 	newerSince map[proto.VM]time.Time
-	// voidAsked is when other daemons were last asked for the void entries that they know of.
+	// invalidAskedAt is when other daemons were last asked for the invalid entries that they know of.
 	invalidAskedAt map[proto.VM]time.Time
 }
 
@@ -69,15 +70,15 @@
 	return p.members.Lookup(vm)
 }
 
-// Owner returns the daemon that does a task for all.
+// Owner returns the daemon that performs a task on behalf of all.
 func (p *relayPeers) Owner(task string, skip map[proto.VM]bool) proto.VM {
 	return p.members.Owner(task, func(vm proto.VM) bool { return skip[vm] || p.isSilentPeer(vm) })
 }
 
-// silent is Silent, but for this daemon itself.
+// isSilentPeer is Silent, except that it is false for this daemon itself.
 func (p *relayPeers) isSilentPeer(vm proto.VM) bool { return vm != p.self.VM && p.Silent(vm) }
 
-// Silent tells whether a daemon has not been heard for longer than a live one is silent.
+// Silent reports whether a daemon has been silent for longer than a live one should be.
 func (p *relayPeers) Silent(vm proto.VM) bool {
 	return p.members.IsSilent(p.clock.Now(), vm, peerSilenceTimeout)
 }
@@ -93,7 +94,7 @@
 	return p.links.Call(ctx, to, m)
 }
 
-// meet announces this daemon to the seeds while it knows nobody else, and to a daemon that the store lists.
+// announceToSeeds announces this daemon to the seeds while it knows no other daemon.
 func (p *relayPeers) announceToSeeds() {
 	if p.Count() > 1 {
 		return
@@ -105,14 +106,15 @@
 	}
 }
 
-// announcement is the daemon's own word on itself, of its first count so that later ones replace it.
+// announcement returns this daemon's entry about itself, with its first sequence number so that later entries replace
+// it.
 func (p *relayPeers) announcement() proto.Alive {
 	alive, _ := p.members.Lookup(p.self.VM)
 	return alive
 }
 
-// sawNewer notes a heartbeat's versions and tells whether to ask the sender now: at once for a daemon that does not
-// read the store itself.
+// shouldPull records whether a heartbeat shows newer state and reports whether to ask its sender now: at once if this
+// daemon does not read the store itself.
 func (p *relayPeers) shouldPull(from proto.VM, isNewer, isReader bool) bool {
 	now := p.clock.Now()
 	p.mu.Lock()
@@ -137,7 +139,8 @@
 	return true
 }
 
-// mayAskVoid tells whether to ask another daemon now for the void entries that it knows of, by their digests.
+// shouldAskInvalid reports, by comparing digests, whether to ask another daemon now for the invalid entries that it
+// knows of.
 func (p *relayPeers) shouldAskInvalid(now time.Time, from proto.VM, ownDigest, theirDigest uint64) bool {
 	if theirDigest == 0 || theirDigest == ownDigest {
 		return false
--- a/serve/relaystart.go
+++ b/serve/relaystart.go
@@ -7,13 +7,14 @@
 	"emberlead/proto"
 )
 
-// startAsk bounds how long a daemon that starts waits for others to tell it what the store holds, before it reads that
-// itself: they answer within some milliseconds, and a daemon without a configuration serves nobody.
+// bootstrapTimeout limits how long a starting daemon waits for other daemons to send it the contents of the store,
+// before it reads the store itself. They answer within some milliseconds, and a daemon without a configuration serves
+// nobody.
 const bootstrapTimeout = 100 * time.Millisecond
 
-// learn asks the daemons that the settings name for the configuration and the targets. A list of 3,000 targets is 0.08 MB
-// from another daemon and more than a megabyte from the store, which all daemons would read when they are restarted. In the
-// first start of all nobody knows anything.
+// bootstrap asks the daemons in the settings for the configuration and the targets. A list of 3,000 targets is 0.08 MB
+// from another daemon, but more than a megabyte from the store, which all daemons would read when they are restarted.
+// In the first start of all daemons, nobody has anything to send.
 func (d *Relay) bootstrap(ctx context.Context) {
 	defer close(d.bootstrapped)
 	seeds := d.peers.seedNames()
@@ -45,7 +46,7 @@
 	d.waitForRows(ctx)
 }
 
-// awaitRows waits for the list of the daemons, which says whether this one reads the store for others.
+// waitForRows waits for the list of daemons, which determines whether this daemon reads the store for others.
 func (d *Relay) waitForRows(ctx context.Context) {
 	for d.hasTables() && !d.rowsRead.Load() && ctx.Err() == nil {
 		d.sleep(ctx, bootstrapTimeout/20)
@@ -63,7 +64,7 @@
 	return names
 }
 
-// afterLearning runs a loop once the other daemons were asked.
+// afterBootstrap runs a loop once the other daemons were asked.
 func (d *Relay) afterBootstrap(loop func(context.Context)) func(context.Context) {
 	return func(ctx context.Context) {
 		select {
--- a/serve/relayview.go
+++ b/serve/relayview.go
@@ -10,57 +10,60 @@
 	"emberlead/proto"
 )
 
-// staleMost is how old what a daemon knows of the store may be before the log says so: a change is to be in force
+// maxStateAge is how old a daemon's copy of the store's state may be before this is logged: a change must be in force
 // everywhere two seconds after the store has it.
 const maxStateAge = 2 * time.Second
 
-// view says until when a daemon's copy of a table of the store is known to be right. It has all changes up to then.
+// tableFreshness tracks up to which moment a daemon's copy of a store table is known to be current. The copy has all
+// changes up to then.
 type tableFreshness struct {
 	mu sync.Mutex
-	// confirmed is the latest moment as of which the store told this daemon what is in the table; zero if it never did.
+	// confirmed is the latest moment for which the store told this daemon the contents of the table; zero if it never
+	// did.
 	confirmed time.Time
-	// relayed is the same, as told by another daemon that had no newer state than this one.
+	// confirmedByPeer is the same, as reported by another daemon that had no newer state than this one.
 	confirmedByPeer time.Time
-	// stale says that the log has a line about the age.
+	// loggedStale is set while the last log line about the age says that the copy is too old.
 	loggedStale bool
 }
 
-// confirm notes that the store told what was in the table at a moment.
+// confirm records that the store told this daemon the contents of the table as of a moment.
 func (v *tableFreshness) confirm(at time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.confirmed = later(v.confirmed, at)
 }
 
-// relay notes that the store told another daemon what was in the table at a moment.
+// confirmByPeer records that the store told another daemon the contents of the table as of a moment.
 func (v *tableFreshness) confirmByPeer(at time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.confirmedByPeer = later(v.confirmedByPeer, at)
 }
 
-// asOf returns when the copy was last known to be right, zero if it never was.
+// confirmedAt returns when the copy was last known to be current, zero if it never was.
 func (v *tableFreshness) confirmedAt() time.Time {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return later(v.confirmed, v.confirmedByPeer)
 }
 
-// confirmedAfter tells whether the store has answered a question of this daemon that was sent after a moment.
+// confirmedSince reports whether the store has answered a call that this daemon sent after a moment.
 func (v *tableFreshness) confirmedSince(at time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.confirmed.After(at)
 }
 
-// age returns how long ago the copy was last known to be right, and false if it never was.
+// age returns how long ago the copy was last known to be current, and false if it never was.
 func (v *tableFreshness) age(now time.Time) (time.Duration, bool) {
 	at := v.confirmedAt()
 	return now.Sub(at), !at.IsZero()
 }
 
-// ownAge returns what other daemons may count on: how long ago the store told this daemon itself, so that no daemon is
-// confirmed by what it said before. It is at least a nanosecond, and 0 if the store never did.
+// ownAge returns the age that other daemons may rely on: how long ago the store told this daemon itself. Confirmations
+// by peers do not count, so that no daemon is confirmed by what it said earlier. It is at least a nanosecond, and 0 if
+// the store never answered.
 func (v *tableFreshness) ownAge(now time.Time) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -70,7 +73,7 @@
 	return max(now.Sub(v.confirmed), 1)
 }
 
-// report logs when the copy becomes too old, and when it is confirmed again.
+// log logs when the copy becomes too old, and when it is confirmed again.
 func (v *tableFreshness) log(now time.Time, logger hclog.Logger, table string, version fmt.Stringer) {
 	age, known := v.age(now)
 	v.mu.Lock()
@@ -92,10 +95,10 @@
 	return a
 }
 
-// tellReaders tells the other daemons that read the store what it said just now.
+// notifyReaders tells the other daemons that read the store that it has just confirmed the tables.
 func (d *Relay) notifyReaders() {
 	now := d.clock.Now()
-	// The ages are taken before the versions: a version may only hold more than the age says.
+	// The ages are taken before the versions, because a version may only include more than the age states.
 	m := proto.Confirmed{RoutingAge: d.routingFreshness.ownAge(now), TargetsAge: d.targetsFreshness.ownAge(now)}
 	m.Routing, m.Targets, m.Evacuations = d.tables.Version(), d.fleet.Version(), d.fleet.EvacuationsVersion()
 	for _, vm := range d.peers.members.FirstPerZone(taskReadStore, readersPerZone) {
@@ -105,7 +108,8 @@
 	}
 }
 
-// takeRelayedViews takes over until when another daemon knows the store's tables, where this one has no older state.
+// applyPeerConfirmation takes over the confirmation of another daemon for the tables of which this daemon has no older
+// state.
 func (d *Relay) applyPeerConfirmation(now time.Time, m proto.Confirmed) {
 	if m.RoutingAge > 0 && m.Routing <= d.tables.Version() && !m.Evacuations.After(d.fleet.EvacuationsVersion()) {
 		d.routingFreshness.confirmByPeer(now.Add(-m.RoutingAge))
@@ -115,8 +119,8 @@
 	}
 }
 
-// Staleness returns how long ago the store confirmed, to this daemon or to one that told it, the older of the two tables as
-// it is known here; false if it did not confirm both.
+// Staleness returns how long ago the store confirmed, to this daemon or to one that told it, the older of the local
+// copies of the two tables; false if it did not confirm both.
 func (d *Relay) Staleness() (time.Duration, bool) {
 	now := d.clock.Now()
 	routing, routingKnown := d.routingFreshness.age(now)
@@ -124,7 +128,7 @@
 	return max(routing, targets), routingKnown && targetsKnown
 }
 
-// reportViews has the log say when a daemon that reads the store does not know how the store is.
+// logFreshness logs when a daemon that reads the store does not know the store's present state.
 func (d *Relay) logFreshness() {
 	if !d.isReader() {
 		return
--- a/serve/relayview_test.go
+++ b/serve/relayview_test.go
@@ -16,7 +16,8 @@
 	"emberlead/relay"
 )
 
-// countingTable holds long watches for good, as one of a store that lost them in an outage, and answers all else at once.
+// countingTable never answers long watches, like a store that lost them in an outage, and answers all other calls at
+// once.
 type countingTable struct {
 	mu      sync.Mutex
 	checks  int
@@ -54,7 +55,7 @@
 	fn()
 }
 
-// checkedWatch is a watcher in the middle of a watch that hangs.
+// checkedWatch runs a watcher whose watch hangs.
 type checkedWatch struct {
 	table         *countingTable
 	clock         *clockwork.FakeClock
@@ -83,7 +84,7 @@
 	return c
 }
 
-// pass lets time pass up to the next moment at which a check may be due.
+// pass advances the clock once the watcher waits for the next check.
 func (c *checkedWatch) pass(t *testing.T, length time.Duration) {
 	t.Helper()
 	if err := c.clock.BlockUntilContext(t.Context(), 1); err != nil {
@@ -111,8 +112,7 @@
 	}
 }
 
-// TestAViewThatAnotherDaemonConfirmedIsNotChecked has another daemon tell again and again that the store
-// has nothing newer.
+// TestCopyConfirmedByPeerIsNotChecked has another daemon report repeatedly that the store has nothing newer.
 func TestCopyConfirmedByPeerIsNotChecked(t *testing.T) {
 	c := startCheckedWatch(t, true)
 	for range 10 {
@@ -127,7 +127,7 @@
 	}
 }
 
-// TestOnlyReadersCheck has a daemon that others read for come to the end of its last watch.
+// TestOnlyReadersCheck has a daemon that is no longer a reader finish its last watch.
 func TestOnlyReadersCheck(t *testing.T) {
 	c := startCheckedWatch(t, false)
 	for range 3 {
@@ -141,8 +141,8 @@
 	}
 }
 
-// TestACheckWithoutAnAnswerEndsTheWatch has the store turn a check away: what the watch beside it brings cannot be
-// counted on, and the store is asked anew until it answers.
+// TestFailedCheckEndsWatch has the store refuse a check: the result of the concurrent watch cannot be relied on, and
+// the store is called again until it answers.
 func TestFailedCheckEndsWatch(t *testing.T) {
 	c := startCheckedWatch(t, true)
 	c.table.set(func() { c.table.down = true })
@@ -152,8 +152,8 @@
 	}
 }
 
-// TestAHungWatchIsNoOutage tells a watch that ran out of time from a store that is away: entries that go are held to have
-// left after the first, and to come back after the second.
+// TestHungWatchIsNotAnOutage distinguishes a watch that timed out from a store that is down: entries that are removed
+// after the first are considered to have left, and after the second, to come back.
 func TestHungWatchIsNotAnOutage(t *testing.T) {
 	began := time.Unix(1000, 0)
 	late := &platform.Error{Err: context.DeadlineExceeded}
@@ -218,8 +218,8 @@
 	}
 }
 
-// TestAnOlderStateIsNotConfirmedByOthers has another daemon tell when the store confirmed its state, which this one has,
-// or not yet.
+// TestPeerConfirmsOnlyKnownVersions has another daemon report when the store confirmed its state, which this daemon
+// already has or does not have yet.
 func TestPeerConfirmsOnlyKnownVersions(t *testing.T) {
 	now := time.Unix(1000, 0)
 	scenarios := []struct {
--- a/serve/relaywatch.go
+++ b/serve/relaywatch.go
@@ -14,47 +14,50 @@
 )
 
 const (
-	// watchWait is how long the store holds a watch without news. Each call counts against the store's rate; a watch that
-	// hangs is found out by checks, long before it ends.
+	// watchHold is how long the store holds a watch without changes. Each call counts against the store's rate limit. A
+	// watch that hangs is detected by checks long before it ends.
 	watchHold = 10 * time.Second
-	// watchSlack is how much later than that an answer may come; the store may be slow by a factor of some tens.
+	// watchGrace is how much later than watchHold an answer may come; the store may be slowed down by a factor of some
+	// tens.
 	watchGrace = 1500 * time.Millisecond
-	// readWait bounds a write.
+	// writeTimeout limits a write.
 	writeTimeout = 1500 * time.Millisecond
-	// wholeWait bounds a read of a whole table, of which each page has a bound of its own: one that takes longer is better
-	// begun anew, since what it has is old.
+	// tableReadTimeout limits the read of a whole table, in addition to the limit of each page. A read that takes
+	// longer is better restarted, since the pages that it has are old.
 	tableReadTimeout = 10 * time.Second
-	// probeWait is how long the store holds a watch that is to be answered soon: a check beside a long watch, and each
-	// watch that follows a call without an answer. A store that is away may take a watch in and never answer it, and no
-	// news is to be late by as much as a long watch may hang.
+	// probeHold is how long the store holds a watch that should be answered soon: a check during a long watch, and each
+	// watch after a call without an answer. A store that is down may accept a watch and never answer it, and a change
+	// must not be delayed for as long as a long watch may hang.
 	probeHold = 50 * time.Millisecond
-	// probeLimit bounds a call that is to be answered soon. One that was lost in an outage must end, and the next one be
-	// answered, well within the three seconds after which daemons count as reached again: 1 s and a pause of up to 1.2 s.
-	// An answer takes some milliseconds, and hundreds where the store is slow.
+	// probeTimeout limits a call that should be answered soon. A call that was lost in an outage must end, and the next
+	// one be answered, well within the three seconds after which daemons count as reachable again: 1 s and a pause of
+	// up to 1.2 s. An answer takes some milliseconds, and hundreds of milliseconds if the store is slow.
 	probeTimeout = time.Second
-	// checkAfter is how old a daemon's view of a table may become before it checks it beside its watch, and checkSpread by
-	// how much more this differs from check to check, so that one daemon checks and tells the others, instead of all.
-	// News that a hanging watch holds back is known after 1.3 s and an answer, which leaves 0.7 s of two seconds for
-	// the way to other daemons (0.25 s) and for work that was assigned before. It costs all readers together one to one
-	// and a half calls a second for each table, as their own counters tell of calm deployments of 6 to 74 daemons.
+	// checkAfter is how old a daemon's copy of a table may become before the daemon checks it during its watch.
+	// checkJitter is the maximum random time added to it for each check, so that one daemon checks and tells the
+	// others, instead of all daemons checking. A change that a hanging watch holds back is known after 1.3 s and one
+	// answer, which leaves 0.7 s of two seconds for the way to other daemons (0.25 s) and for work that was already
+	// assigned. All readers together make one to one and a half calls a second per table, according to their own
+	// counters in idle deployments of 6 to 74 daemons.
 	checkAfter  = time.Second
 	checkJitter = 300 * time.Millisecond
-	// watchPace is the least time between two watches of the targets, so that many small changes come together;
-	// a target that leaves must be known well within two seconds.
+	// minWatchInterval is the minimum time between two watches of the targets, so that many small changes arrive
+	// together. A target that leaves must be known well within two seconds.
 	minWatchInterval = 250 * time.Millisecond
-	// retryFirst and retryMost bound the pause after a call that failed.
+	// initialRetryDelay and maxRetryDelay limit the pause after a failed call.
 	initialRetryDelay = 100 * time.Millisecond
 	maxRetryDelay     = 800 * time.Millisecond
-	// followWait is how long a loop of a daemon that has just started waits for another one to reach the store.
+	// maxFollowWait is how long a loop of a daemon that has just started waits for another loop to reach the store.
 	maxFollowWait = 2 * time.Second
-	// readerCheck is how often a daemon looks whether it has to read the store itself.
+	// readerCheckInterval is how often a daemon checks whether it has to read the store itself.
 	readerCheckInterval = 500 * time.Millisecond
-	// readersPerZone is how many daemons of a zone watch the store and tell the others: with two, one may fail or be
-	// turned away, and a deployment of some daemons has no other ones.
+	// readersPerZone is how many daemons of a zone watch the store and tell the others. With two, one may fail or be
+	// refused; a deployment of a few daemons has no others.
 	readersPerZone = 2
-	// taskReadStore names the task by which the readers of each zone are picked.
+	// taskReadStore names the task by which the readers of each zone are chosen.
 	taskReadStore = "read the store"
-	// lapseAsks is how often neighbours are asked how a lapsed entry went: the first time some may not know of it yet.
+	// lapsedQueryRounds is how often peers are asked how a lapsed entry was removed; in the first round, some may not
+	// know of it yet.
 	lapsedQueryRounds = 2
 )
 
@@ -63,38 +66,38 @@
 	// Read returns all rows; it fails with KindUnavailable.
 	Read(ctx context.Context) (platform.RowSet, error)
 	// Watch returns the rows that changed after a version, as soon as there is one or the wait is over. It fails with
-	// KindNotFound when the store has forgotten that version, and else like Read.
+	// KindNotFound if the store no longer has the changes since that version, and otherwise like Read.
 	Watch(ctx context.Context, after proto.Revision, wait time.Duration) (platform.RowSet, error)
 }
 
-// watcher keeps up with one table of the store.
+// watcher keeps a local copy of one table of the store up to date.
 type watcher struct {
 	daemon      *Relay
 	name        string
 	table       storeTable
 	minInterval time.Duration
-	// whole takes in all rows and reports whether they were new enough; change takes in rows that changed.
+	// replace handles all rows and reports whether they were recent enough; apply handles rows that changed.
 	replace func(platform.RowSet) bool
 	apply   func(platform.RowSet)
-	// follows is the watcher that asks first whether the store is back, if it is not this one.
+	// leader is the watcher that first probes whether the store is back, if it is not this one.
 	leader *watcher
-	// reached says that the store answered this watcher last.
+	// reached is set if the last call of this watcher was answered.
 	reached atomic.Bool
-	// seen is told after each step whether the store answered.
+	// onStep is called after each step with whether the store answered.
 	onStep func(now time.Time, answered bool)
-	// view is told as of when the store's answers hold.
+	// freshness records as of when the store's answers hold.
 	freshness *tableFreshness
-	// reads tells whether this daemon is to ask the store, and checked is told after a check that found the view right,
-	// so that other daemons hear of it.
+	// isReader reports whether this daemon should call the store. onConfirmed is called after a check that confirmed
+	// the copy, so that other daemons learn of it.
 	isReader    func() bool
 	onConfirmed func()
 
 	storeUp bool
-	// asked is when the last call that ended was sent.
+	// lastSent is when the last finished call was sent.
 	lastSent time.Time
 }
 
-// run reads the table whole and then watches it, until the context ends.
+// run reads the whole table and then watches it, until the context ends.
 func (w *watcher) run(ctx context.Context) {
 	retryDelay := backoff.NewExponentialBackOff()
 	retryDelay.InitialInterval, retryDelay.MaxInterval = initialRetryDelay, maxRetryDelay
@@ -121,10 +124,10 @@
 	}
 }
 
-// rest waits after a call that failed. Of the daemons that have just started, those that read for others have one of their
-// loops ask a store that is out; the other loops and daemons wait for that, or for the time after which a table may be out
-// by itself, or the store away for some daemons. A call that got no answer is no sign of that: when all start together, many
-// connections are not made at once.
+// backOff waits after a failed call. Among daemons that have just started, only one loop of each reader probes a store
+// that is down. The other loops and daemons wait for that loop, or for maxFollowWait, since a single table may be down
+// by itself, or the store unreachable for some daemons only. A call without an answer does not mean that the store is
+// down: when all daemons start together, many connections are not established at once.
 func (w *watcher) backOff(ctx context.Context, err error, delay time.Duration) {
 	if errors.Is(err, platform.ErrRefused) && !w.daemon.hasTables() && (w.leader != nil && !w.leader.reached.Load() || !w.daemon.isReader()) {
 		w.daemon.waitForStore(ctx, maxFollowWait)
@@ -133,8 +136,8 @@
 	w.daemon.sleep(ctx, delay)
 }
 
-// awaitStore waits until the store has answered a watcher of this daemon, or another one told what it holds, but not for
-// long.
+// waitForStore waits until the store has answered a watcher of this daemon, or another daemon sent its contents, but no
+// longer than the given maximum.
 func (d *Relay) waitForStore(ctx context.Context, maxWait time.Duration) {
 	startedAt, hadTables := d.clock.Now(), d.hasTables()
 	for now := startedAt; now.Sub(startedAt) < maxWait && ctx.Err() == nil; now = d.clock.Now() {
@@ -145,17 +148,17 @@
 	}
 }
 
-// known tells whether the daemon has both tables from somewhere.
+// hasTables reports whether the daemon has both tables, from any source.
 func (d *Relay) hasTables() bool { return d.tables.Current() != nil && d.targetsKnown.Load() }
 
-// isReader tells whether this daemon is one of those in its zone that watch the store. Daemons that it does not hear
-// read for themselves alone, and one that hears nobody at all is told nothing.
+// isReader reports whether this daemon is one of those in its zone that watch the store. Daemons that this one does not
+// hear read only for themselves, and a daemon that hears no other daemon is told nothing, so it reads too.
 func (d *Relay) isReader() bool {
 	members := d.peers.members
 	return members.IsAmongFirst(taskReadStore, readersPerZone, d.peers.isSilentPeer) || members.AllSilent(d.clock.Now(), peerSilenceTimeout)
 }
 
-// reply is what became of one watch of the table.
+// watchResult is the result of one watch of the table.
 type watchResult struct {
 	sentAt  time.Time
 	endedAt time.Time
@@ -163,7 +166,7 @@
 	err     error
 }
 
-// step makes one call, or a watch with checks beside it, and returns the version to go on from.
+// step makes one call, or a watch with checks during it, and returns the version to continue from.
 func (w *watcher) step(ctx context.Context, version proto.Revision) (proto.Revision, error) {
 	if version.IsZero() {
 		return w.readTable(ctx)
@@ -190,8 +193,8 @@
 	return rows.Version, nil
 }
 
-// watch waits for news. A watch may hang for as long as it is waited for while the store answers all else, so the view
-// is checked by calls of their own whenever nobody has confirmed it for a while.
+// watch waits for changes. A watch may hang for its whole duration although the store answers all other calls, so the
+// copy is checked by separate calls whenever nothing has confirmed it for a while.
 func (w *watcher) watch(ctx context.Context, version proto.Revision) (proto.Revision, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -225,13 +228,13 @@
 	}
 }
 
-// mustCheck tells whether this daemon is to ask now; others may have confirmed the view since the time was set.
+// checkDue reports whether this daemon should check now; others may have confirmed the copy since the timer was set.
 func (w *watcher) checkDue(now time.Time) bool {
 	age, _ := w.freshness.age(now)
 	return age >= checkAfter && w.isReader()
 }
 
-// endWatch takes in the answer of a watch, or ends one that hung as if it had brought no news.
+// finishWatch handles the answer of a watch. A watch that hung is treated as if it had brought no changes.
 func (w *watcher) finishWatch(r watchResult, version proto.Revision) (proto.Revision, error) {
 	if w.hung(r) {
 		w.daemon.log.Info("a watch of the store was not answered, but checks were", "table", w.name, "version", version)
@@ -240,13 +243,13 @@
 	return w.handleResult(r, version)
 }
 
-// hung tells whether a watch ended without an answer although the store has answered this daemon since it was sent: then
-// nothing is wrong with the store.
+// hung reports whether a watch ended without an answer although the store has answered this daemon since the watch was
+// sent, in which case nothing is wrong with the store.
 func (w *watcher) hung(r watchResult) bool {
 	return errors.Is(r.err, context.DeadlineExceeded) && w.freshness.confirmedSince(r.sentAt)
 }
 
-// ask sends a call that the store holds for a time, and gives it up after a limit.
+// startWatch starts a call that the store holds for a time, and cancels it after a limit.
 func (w *watcher) startWatch(ctx context.Context, version proto.Revision, hold, timeout time.Duration) <-chan watchResult {
 	sentAt := w.daemon.clock.Now()
 	result := make(chan watchResult, 1)
@@ -259,7 +262,7 @@
 	return result
 }
 
-// take takes in what an answer brought, and returns the version to go on from.
+// handleResult applies the rows of an answer and returns the version to continue from.
 func (w *watcher) handleResult(r watchResult, version proto.Revision) (proto.Revision, error) {
 	w.lastSent = r.sentAt
 	if r.err != nil {
@@ -272,14 +275,14 @@
 	return r.rows.Version, nil
 }
 
-// noteCheck logs what a check found that the watch beside it had not.
+// logCheck logs that a check found something that the concurrent watch had not.
 func (w *watcher) logCheck(r watchResult, version proto.Revision) {
 	age, _ := w.freshness.age(w.daemon.clock.Now())
 	w.daemon.log.Info("a check of the store found what its watch had not", "table", w.name, "version", version,
 		"age", age.String(), "changes", len(r.rows.Rows), "error", r.err)
 }
 
-// note logs when the store is lost or regained.
+// recordResult records the result of a step and logs when the store is lost or reached again.
 func (w *watcher) recordResult(err error) {
 	now := w.daemon.clock.Now()
 	if w.onStep != nil {
--- a/serve/relaywatch_test.go
+++ b/serve/relaywatch_test.go
@@ -19,8 +19,8 @@
 	"emberlead/relay"
 )
 
-// TestAWatchAfterAFailureIsShort has the store fail once: the next call may be swallowed as well, so it must not be one
-// that is waited for during seconds.
+// TestWatchAfterFailureIsShort has the store fail once: the next call may be lost as well, so it must not be a watch
+// that is waited for over several seconds.
 func TestWatchAfterFailureIsShort(t *testing.T) {
 	var waits []string
 	store := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestOnlyAStoreThatTurnsCallsAwayIsAskedLess has a loop of a daemon that has just started fail while the other loop that it
-// follows has not reached the store either.
+// TestOnlyRefusedCallsDelayFollowers has a loop of a daemon that has just started fail while the loop that it follows
+// has not reached the store either.
 func TestOnlyRefusedCallsDelayFollowers(t *testing.T) {
 	scenarios := []struct {
 		name    string
--- a/serve/relayzones.go
+++ b/serve/relayzones.go
@@ -9,8 +9,8 @@
 	"emberlead/proto"
 )
 
-// evacuationsOf reads the evacuations among the rows of the operator's table. A row evacuates the zone that its key names as
-// long as it is there; what its body holds changes nothing, but is logged if it is no JSON object.
+// parseEvacuations returns the evacuations among the rows of the operator's table. A row evacuates the zone that its
+// key names for as long as it exists. Its body has no effect, but it is logged if it is not a JSON object.
 func (d *Relay) parseEvacuations(rows platform.RowSet) []proto.Evacuation {
 	var list []proto.Evacuation
 	for i := range rows.Rows {
@@ -30,14 +30,15 @@
 	return list
 }
 
-// endHeldEvacuations ends those that the store lost in a restoration and that the operator did not ask for again.
+// expireEvacuations ends the evacuations that the store lost in a restore and that the operator has not requested
+// again.
 func (d *Relay) expireEvacuations(now time.Time) {
 	if ends := d.fleet.ExpiredEvacuations(now); len(ends) > 0 {
 		d.applyEvacuations(ends, "time")
 	}
 }
 
-// takeEvacuations puts evacuations and ends of them in force, and has the other daemons hear of what is new.
+// applyEvacuations applies evacuations and their ends, and notifies the other daemons of those that are new.
 func (d *Relay) applyEvacuations(list []proto.Evacuation, from string) {
 	if len(list) == 0 {
 		return
--- a/serve/settings.go
+++ b/serve/settings.go
@@ -17,7 +17,7 @@
 	"emberlead/wire"
 )
 
-// Settings are what one daemon is started with.
+// Settings configure one daemon.
 type Settings struct {
 	VM        proto.VM   `json:"vm" validate:"required" jsonschema:"description=Name of the VM that the daemon runs on; unique."`
 	Zone      proto.Zone `json:"zone" validate:"required,contains=/" jsonschema:"description=Availability zone of the VM as region/zone."`
@@ -39,13 +39,13 @@
 	Authority string `json:"authority,omitempty"`
 }
 
-// Callers are the settings of the callers' listener, which the platform's balancer asks /readyz.
+// Callers holds the settings of the callers' listener, where the platform's balancer polls /readyz.
 type Callers struct {
 	Listen netip.AddrPort `json:"listen" validate:"required" jsonschema:"type=string"`
 	TLS    TLS            `json:"tls,omitempty"`
 }
 
-// Peers are the settings of the listener and links between daemons.
+// Peers holds the settings of the listener and links between daemons.
 type Peers struct {
 	Listen    netip.AddrPort `json:"listen" validate:"required" jsonschema:"type=string"`
 	Advertise netip.AddrPort `json:"advertise,omitzero" jsonschema:"type=string,description=Address that other daemons dial; the listening one if left out."`
@@ -61,14 +61,14 @@
 	Address netip.AddrPort `json:"address" validate:"required" jsonschema:"type=string"`
 }
 
-// Operators are the settings of the operators' listener.
+// Operators holds the settings of the operators' listener.
 type Operators struct {
 	Listen netip.AddrPort `json:"listen" validate:"required" jsonschema:"type=string"`
 	Key    string         `json:"key,omitempty"`
 	TLS    TLS            `json:"tls,omitempty"`
 }
 
-// Platform says where the platform's service is.
+// Platform holds the settings of the platform's client.
 type Platform struct {
 	Address         string         `json:"address" validate:"required,url"`
 	ReadsPerSecond  float64        `json:"readsPerSecond" validate:"gt=0"`
@@ -76,7 +76,7 @@
 	CallTimeout     proto.Duration `json:"wait" validate:"gt=0" jsonschema:"description=Longest time that one call may take with its retries."`
 }
 
-// Limits bound what callers can ask for.
+// Limits restricts what callers can use.
 type Limits struct {
 	BodyBytes     int64          `json:"bodyBytes" validate:"gt=0"`
 	HeaderBytes   int            `json:"headerBytes" validate:"gt=0"`
@@ -107,14 +107,14 @@
 	JSON  bool   `json:"json"`
 }
 
-// Traces holds the settings of traces.
+// Traces holds the settings of tracing.
 type Traces struct {
 	Exporter wire.Exporter `json:"exporter" validate:"oneof=none stdout otlp"`
 	Endpoint string        `json:"endpoint,omitempty" validate:"required_if=Exporter otlp"`
 	Fraction float64       `json:"fraction" validate:"gte=0,lte=1" jsonschema:"description=Part of the requests that are traced."`
 }
 
-// DefaultSettings returns the defaults; VM, zone, addresses and the platform have none.
+// DefaultSettings returns the default settings; VM, zone, addresses and platform have no default.
 func DefaultSettings() Settings {
 	platform := wire.DefaultPlatformLimits()
 	return Settings{
@@ -135,7 +135,8 @@
 	}
 }
 
-// ReadSettings decodes settings over the defaults and checks them; it fails with KindInvalid, naming every fault with its path.
+// ReadSettings decodes settings over the defaults and validates them; it fails with KindInvalid, listing each problem
+// with its path.
 func ReadSettings(data []byte) (Settings, error) {
 	s := DefaultSettings()
 	decoder := json.NewDecoder(bytes.NewReader(data))
@@ -146,7 +147,7 @@
 	return s, s.Validate()
 }
 
-// LoadSettings reads a file of settings; it fails with KindInvalid or KindNotFound.
+// LoadSettings reads a settings file; it fails with KindInvalid or KindNotFound.
 func LoadSettings(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -159,7 +160,7 @@
 	return s, nil
 }
 
-// Validate returns every fault of the settings in one error.
+// Validate returns all problems of the settings in one error.
 func (s *Settings) Validate() error {
 	var problems []string
 	validate := validator.New(validator.WithRequiredStructEnabled())
@@ -181,7 +182,7 @@
 	return nil
 }
 
-// checkKeys refuses listeners that anyone could reach without credentials.
+// checkCredentials rejects listeners that anyone could reach without credentials.
 func (s *Settings) checkCredentials() []string {
 	var problems []string
 	if s.Peers.TLS.Certificate == "" && s.Peers.SharedKey == "" {
@@ -199,7 +200,7 @@
 	return problems
 }
 
-// advertised is the address that other daemons dial.
+// advertised returns the address that other daemons dial.
 func (s *Settings) advertised() netip.AddrPort {
 	if s.Peers.Advertise.IsValid() {
 		return s.Peers.Advertise
@@ -207,7 +208,7 @@
 	return s.Peers.Listen
 }
 
-// config loads the TLS files; mutual asks for and checks the other side's certificate too.
+// config loads the TLS files; mutual also requires and verifies the certificate of the other side.
 func (t *TLS) config(mutual bool) (*tls.Config, error) {
 	if t.Certificate == "" {
 		return nil, nil
