--- a/serve/relay.go
+++ b/serve/relay.go
@@ -400,7 +400,7 @@
 	settings, err := platform.LoadSettings()
 	if err != nil {
 		if !d.settingsFailed {
-			d.log.Warn("the settings cannot be read again, the old ones stay", "cause", cause, "error", err)
+			d.log.Warn("cannot reload the settings; keeping the current ones", "cause", cause, "error", err)
 		}
 		d.settingsFailed = true
 		return
--- a/serve/relaydocs.go
+++ b/serve/relaydocs.go
@@ -62,12 +62,12 @@
 func (d *Relay) applyRouting(body []byte, from string) {
 	r, err := platform.ParseRouting(body)
 	if err != nil {
-		d.log.Error("a configuration cannot be read", "from", from, "error", err)
+		d.log.Error("cannot parse a configuration", "from", from, "error", err)
 		return
 	}
 	oldVersion := d.tables.Version()
 	if !d.tables.ReplaceIfNewer(r) {
-		d.log.Debug("configuration ignored", "from", from, "version", r.Version, "inForce", oldVersion)
+		d.log.Debug("ignoring a configuration that is not newer", "from", from, "version", r.Version, "inForce", oldVersion)
 		return
 	}
 	d.documents.mu.Lock()
@@ -138,7 +138,7 @@
 	}
 	events, replaced := d.fleet.Replace(d.clock.Now(), asOf, entries, complete)
 	if !replaced {
-		d.log.Info("list of targets ignored", "from", from, "asOf", asOf, "known", d.fleet.Version())
+		d.log.Info("ignoring an outdated list of targets", "from", from, "asOf", asOf, "known", d.fleet.Version())
 		return false
 	}
 	d.documents.mu.Lock()
@@ -221,7 +221,7 @@
 	m, err := d.peers.Call(ctx, vm, proto.RoutingAsk{Routing: d.tables.Version(), Targets: beforeVersion, Evacuations: d.fleet.EvacuationsVersion()})
 	a, ok := m.(proto.RoutingAnswer)
 	if err != nil || !ok {
-		d.log.Info("a neighbour did not say how lapsed targets went", "from", vm, "error", err)
+		d.log.Info("a linked daemon did not answer how lapsed targets were removed", "from", vm, "error", err)
 		return
 	}
 	for _, doc := range a.TargetEntries {
@@ -270,7 +270,7 @@
 	m, err := d.peers.Call(ctx, from, proto.RoutingAsk{Routing: d.tables.Version(), Targets: d.fleet.Version(), Evacuations: d.fleet.EvacuationsVersion()})
 	a, ok := m.(proto.RoutingAnswer)
 	if err != nil || !ok {
-		d.log.Info("another daemon gave nothing newer", "from", from, "error", err)
+		d.log.Info("another daemon did not answer a request for its newer state", "from", from, "error", err)
 		return
 	}
 	d.handleFleetEvents(d.fleet.MergeInvalid(d.clock.Now(), a.InvalidEntries), string(from))
--- a/serve/relayendrows.go
+++ b/serve/relayendrows.go
@@ -96,7 +96,7 @@
 	if err == nil {
 		_, err = r.table.Put(ctx, string(d.self.VM), body)
 	}
-	d.log.Info("the row of ends of targets is written, since not all daemons are reached", "ends", len(m.Ends), "bytes", len(body), "error", err)
+	d.log.Info("writing the row of target ends, because some daemons are unreachable", "ends", len(m.Ends), "bytes", len(body), "error", err)
 	if err != nil {
 		r.recordFailure(now)
 	}
@@ -149,7 +149,7 @@
 		}
 		next, err := r.readNext(ctx, version)
 		if err != nil {
-			d.log.Debug("the rows of ends of targets are not read", "version", version, "error", err)
+			d.log.Debug("cannot read the rows of target ends", "version", version, "error", err)
 			next = proto.Revision{}
 			d.sleep(ctx, endRowRetryDelay)
 		}
@@ -191,7 +191,7 @@
 	_, message, err := proto.Decode(row.Body)
 	m, ok := message.(proto.TargetEnds)
 	if err != nil || !ok {
-		d.log.Warn("a row of ends of targets cannot be read", "vm", row.Key, "version", row.Version, "error", err)
+		d.log.Warn("cannot decode a row of target ends", "vm", row.Key, "version", row.Version, "error", err)
 		return
 	}
 	age := max(0, d.clock.Now().Sub(m.AsOf))
@@ -214,7 +214,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
 	defer cancel()
 	err := r.table.Remove(ctx, row.Key, row.Version)
-	d.log.Info("an old row of ends of targets is removed", "vm", row.Key, "version", row.Version, "error", err)
+	d.log.Info("removing an expired row of target ends", "vm", row.Key, "version", row.Version, "error", err)
 }
 
 // handleEnds handles newly learned ends of targets, from this daemon or from others, and forwards them.
--- a/serve/relaylinks.go
+++ b/serve/relaylinks.go
@@ -31,12 +31,12 @@
 func (d *Relay) logLinkAuth() {
 	switch d.linkAuth() {
 	case authCertificates:
-		d.log.Info("daemons know each other by certificates", "expiry", d.credentials.Expiry())
+		d.log.Info("daemons authenticate with certificates", "expiry", d.credentials.Expiry())
 		d.logExpiry()
 	case authKey:
-		d.log.Warn("daemons know each other by a key that passes over their links unencrypted")
+		d.log.Warn("daemons authenticate with a key that is sent unencrypted over their links")
 	case authStore:
-		d.log.Warn("whoever reaches the port between daemons can take part: there is neither a key nor a certificate")
+		d.log.Warn("anyone who can reach the port between daemons can join: there is neither a key nor a certificate")
 	}
 }
 
@@ -56,7 +56,7 @@
 	switch {
 	case err != nil:
 		if !d.credentialsFailed {
-			d.log.Warn("the certificates between daemons cannot be read again, the old ones stay", "cause", cause, "error", err)
+			d.log.Warn("cannot reload the certificates between daemons; keeping the current ones", "cause", cause, "error", err)
 		}
 		d.credentialsFailed = true
 		return
--- a/serve/relaylist.go
+++ b/serve/relaylist.go
@@ -143,7 +143,7 @@
 		err = newError("write row", proto.KindConflict, "the store was restored meanwhile: era %d, before %d", era, l.era)
 	}
 	if err != nil {
-		d.log.Debug("the own row is not written", "error", err)
+		d.log.Debug("cannot write this daemon's row", "error", err)
 		return false
 	}
 	l.writtenAt, l.writtenCounted = sentAt, row.Counted
@@ -158,7 +158,7 @@
 	sentAt := d.clock.Now()
 	rows, err := d.store.Daemons().Read(ctx)
 	if err != nil {
-		d.log.Debug("the list of daemons is not read", "error", err)
+		d.log.Debug("cannot read the list of daemons", "error", err)
 		return false
 	}
 	l.resetOnNewEra(rows.Version.Era)
@@ -188,7 +188,7 @@
 func (d *Relay) handleRow(now time.Time, entry platform.Row) (daemonRow, bool) {
 	var row daemonRow
 	if err := json.Unmarshal(entry.Body, &row); err != nil {
-		d.log.Warn("a daemon's row cannot be read", "vm", entry.Key, "error", err)
+		d.log.Warn("cannot decode a daemon's row", "vm", entry.Key, "error", err)
 		return row, false
 	}
 	d.peers.members.HandleAlive(now, proto.Alive{VM: proto.VM(entry.Key), Zone: row.Zone, Peer: row.Peer, Incarnation: row.Incarnation}, "")
@@ -198,7 +198,7 @@
 // removeExpiredRows removes the rows of VMs whose leases have expired; one daemon does this for all.
 func (d *Relay) removeExpiredRows(expired []proto.VM, versions map[proto.VM]proto.Revision) {
 	for _, vm := range expired {
-		d.log.Info("a daemon's row is too old to count", "vm", vm, "version", versions[vm], "lease", rowLease.String())
+		d.log.Info("the lease of a daemon's row expired", "vm", vm, "version", versions[vm], "lease", rowLease.String())
 		if versions[vm].IsZero() || d.peers.Owner(taskRemoveOldRows, nil) != d.self.VM {
 			continue
 		}
@@ -210,7 +210,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
 	defer cancel()
 	err := d.store.Daemons().Remove(ctx, string(vm), version)
-	d.log.Info("an old row is removed", "vm", vm, "version", version, "error", err)
+	d.log.Info("removing an expired daemon row", "vm", vm, "version", version, "error", err)
 }
 
 func shareTiming(s platform.Settings) coord.ShareTiming {
--- a/serve/relaystart.go
+++ b/serve/relaystart.go
@@ -28,14 +28,14 @@
 		go func() {
 			m, err := d.peers.Call(ctx, seed, proto.RoutingAsk{})
 			if err != nil {
-				d.log.Debug("a daemon of the settings tells nothing", "from", seed, "error", err)
+				d.log.Debug("a daemon in the settings did not send its state", "from", seed, "error", err)
 			}
 			answers <- m
 		}()
 	}
 	for range seeds {
 		if a, ok := (<-answers).(proto.RoutingAnswer); ok && len(a.RoutingBody) > 0 && a.Full {
-			d.log.Info("the store's tables are taken from another daemon", "targets", len(a.TargetEntries), "version", a.Targets)
+			d.log.Info("loaded the store's tables from another daemon", "targets", len(a.TargetEntries), "version", a.Targets)
 			d.handleFleetEvents(d.fleet.MergeInvalid(d.clock.Now(), a.InvalidEntries), "another daemon")
 			d.applyEvacuations(a.Evacuations, "another daemon")
 			d.applyRouting(a.RoutingBody, "another daemon")
--- a/serve/relaywatch.go
+++ b/serve/relaywatch.go
@@ -237,7 +237,7 @@
 // finishWatch handles the answer of a watch. A watch that hung is treated as if it had brought no changes.
 func (w *watcher) finishWatch(r watchResult, version proto.Revision) (proto.Revision, error) {
 	if w.hung(r) {
-		w.daemon.log.Info("a watch of the store was not answered, but checks were", "table", w.name, "version", version)
+		w.daemon.log.Info("a store watch timed out, but checks were answered", "table", w.name, "version", version)
 		return version, nil
 	}
 	return w.handleResult(r, version)
--- a/serve/relayzones.go
+++ b/serve/relayzones.go
@@ -18,12 +18,12 @@
 		zone, ok := row.EvacuatedZone()
 		if !ok {
 			if !row.IsRouting() {
-				d.log.Warn("a row of the operator's table is passed over", "key", row.Key, "version", row.Version, "bytes", len(row.Body))
+				d.log.Warn("ignoring an unknown row of the operator's table", "key", row.Key, "version", row.Version, "bytes", len(row.Body))
 			}
 			continue
 		}
 		if body := bytes.TrimSpace(row.Body); !row.Removed && (!json.Valid(body) || body[0] != '{') {
-			d.log.Warn("the row of an evacuation holds no JSON object, its zone is evacuated all the same", "zone", zone, "version", row.Version, "bytes", len(row.Body))
+			d.log.Warn("the body of an evacuation row is not a JSON object; the zone is evacuated anyway", "zone", zone, "version", row.Version, "bytes", len(row.Body))
 		}
 		list = append(list, proto.Evacuation{Zone: zone, Version: row.Version, Ended: row.Removed})
 	}
