--- a/serve/logsink_test.go
+++ b/serve/logsink_test.go
@@ -61,6 +61,6 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !strings.Contains(w.written.String(), `"log lines were dropped","lines":`) {
-		t.Error("nothing tells how many lines were dropped")
+		t.Error("the number of dropped lines is not reported")
 	}
 }
--- a/serve/relayclock_test.go
+++ b/serve/relayclock_test.go
@@ -43,7 +43,7 @@
 		// setUp prepares the state and returns a function that reports whether it is valid.
 		begin func(clock *state.Clock, steady *clockwork.FakeClock) (isValid func() bool)
 	}{
-		{"the share of common limits, by the own row", timing.Lease, func(clock *state.Clock, steady *clockwork.FakeClock) func() bool {
+		{"share of common limits, by this daemon's row", timing.Lease, func(clock *state.Clock, steady *clockwork.FakeClock) func() bool {
 			c := coord.NewShareTracker("vm", timing)
 			c.Start(clock.Now(), true)
 			c.RowWritten(clock.Now(), 0)
@@ -54,7 +54,7 @@
 				return c.Share(clock.Now()).Usable
 			}
 		}},
-		{"the share of common limits, by the rows of others", timing.MaxReadAge, func(clock *state.Clock, steady *clockwork.FakeClock) func() bool {
+		{"share of common limits, by the rows of other daemons", timing.MaxReadAge, func(clock *state.Clock, steady *clockwork.FakeClock) func() bool {
 			c := coord.NewShareTracker("vm", timing)
 			c.Start(clock.Now(), true)
 			c.RowWritten(clock.Now(), 0)
@@ -62,7 +62,7 @@
 			c.ObserveRows(clock.Now(), clock.Now(), 0, nil)
 			return func() bool { return c.Share(clock.Now()).Usable }
 		}},
-		{"what is known of the store", maxStateAge, func(clock *state.Clock, _ *clockwork.FakeClock) func() bool {
+		{"age of the copy of a store table", maxStateAge, func(clock *state.Clock, _ *clockwork.FakeClock) func() bool {
 			v := &tableFreshness{}
 			v.confirm(clock.Now())
 			return func() bool {
@@ -70,12 +70,12 @@
 				return known && age <= maxStateAge
 			}
 		}},
-		{"what a daemon tells of the store", maxStateAge, func(clock *state.Clock, _ *clockwork.FakeClock) func() bool {
+		{"age that is sent to other daemons", maxStateAge, func(clock *state.Clock, _ *clockwork.FakeClock) func() bool {
 			v := &tableFreshness{}
 			v.confirm(clock.Now())
 			return func() bool { return v.ownAge(clock.Now()) <= maxStateAge }
 		}},
-		{"the wait for an entry that lapsed", 3 * time.Second, func(clock *state.Clock, _ *clockwork.FakeClock) func() bool {
+		{"wait for a lapsed entry", 3 * time.Second, func(clock *state.Clock, _ *clockwork.FakeClock) func() bool {
 			f := relay.NewFleet(func(string) {})
 			f.ApplyChanges(clock.Now(), []relay.FleetChange{{ID: "t", Version: proto.Revision{Version: 1}, Target: target}})
 			f.MarkStoreDown(clock.Now())
@@ -86,7 +86,7 @@
 				return f.Size("p") == 1
 			}
 		}},
-		{"attempts that requests have earned", window + time.Second, func(clock *state.Clock, steady *clockwork.FakeClock) func() bool {
+		{"earned retry budget", window + time.Second, func(clock *state.Clock, steady *clockwork.FakeClock) func() bool {
 			b := relay.NewRetryBudget(clock.Now(), relay.RetryBudgetConfig{Ratio: 0.2, Window: window})
 			for range 100 {
 				b.RecordRequest(clock.Now())
@@ -97,7 +97,7 @@
 				return ok
 			}
 		}},
-		{"ends of targets under a request", time.Hour + time.Second, func(clock *state.Clock, _ *clockwork.FakeClock) func() bool {
+		{"ends of targets that ran a request", time.Hour + time.Second, func(clock *state.Clock, _ *clockwork.FakeClock) func() bool {
 			c := relay.NewCrashTracker("vm", clock, hclog.NewNullLogger(), nil)
 			for _, run := range []proto.RunName{"a", "b", "c"} {
 				c.RecordEnd(run, clock.Now(), []proto.RequestDigest{1})
@@ -114,11 +114,11 @@
 			clock, steady, suspend := newSuspendableClock()
 			isValid := s.begin(clock, steady)
 			if !isValid() {
-				t.Fatal("it does not hold before the suspension")
+				t.Fatal("the state is not valid before the suspension")
 			}
 			suspend(s.suspend + time.Millisecond)
 			if isValid() {
-				t.Error("it holds after the suspension")
+				t.Error("the state is still valid after the suspension")
 			}
 		})
 	}
--- a/serve/relaydocs_test.go
+++ b/serve/relaydocs_test.go
@@ -16,9 +16,9 @@
 		}
 	}
 	if sent != 1 {
-		t.Errorf("%d daemons were given all at once", sent)
+		t.Errorf("%d daemons were sent the full list at the same time, want 1", sent)
 	}
 	if s.allowFullSend(now.Add(fullListInterval-1)) || !s.allowFullSend(now.Add(fullListInterval)) {
-		t.Error("the next one is not given all after the time between two")
+		t.Error("the next full list is sent before the interval is over, or not after it")
 	}
 }
--- a/serve/relayendrows_test.go
+++ b/serve/relayendrows_test.go
@@ -28,13 +28,13 @@
 		name  string
 		looks []look
 	}{
-		{"all are reached", []look{{0, 3, false, -1}, {time.Minute, 3, false, -1}}},
-		{"some are not", []look{{0, 3, true, 1}, {interval, 0, true, -1}, {interval, 2, true, 2}}},
-		{"nothing ended", []look{{0, 0, true, -1}}},
-		{"some cease to be reached", []look{{0, 3, false, -1}, {time.Second, 0, true, 1}, {time.Second, 0, true, -1}}},
-		{"they are reached again, and not again", []look{{0, 3, true, 1}, {time.Second, 0, false, -1}, {time.Second, 0, true, 1}}},
-		{"ends come faster than the pace", []look{{0, 1, true, 1}, {interval / 2, 1, true, -1}, {interval / 2, 1, true, 3}}},
-		{"more than a row holds", []look{{0, maxEndRowRequests, false, -1}, {time.Second, 1, true, 1}}},
+		{"all daemons are reachable", []look{{0, 3, false, -1}, {time.Minute, 3, false, -1}}},
+		{"some daemons are unreachable", []look{{0, 3, true, 1}, {interval, 0, true, -1}, {interval, 2, true, 2}}},
+		{"no target ended", []look{{0, 0, true, -1}}},
+		{"some daemons become unreachable", []look{{0, 3, false, -1}, {time.Second, 0, true, 1}, {time.Second, 0, true, -1}}},
+		{"all are reachable again, then some are not", []look{{0, 3, true, 1}, {time.Second, 0, false, -1}, {time.Second, 0, true, 1}}},
+		{"ends come faster than the write interval", []look{{0, 1, true, 1}, {interval / 2, 1, true, -1}, {interval / 2, 1, true, 3}}},
+		{"more requests than a row holds", []look{{0, maxEndRowRequests, false, -1}, {time.Second, 1, true, 1}}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -47,10 +47,10 @@
 				}
 				m, due := r.takeDue(clock.Now(), look.apart, interval)
 				if due != (look.ends >= 0) || due && len(m.Ends) != look.ends {
-					t.Fatalf("look %d: due %v with %d ends", n, due, len(m.Ends))
+					t.Fatalf("check %d: due %v with %d ends", n, due, len(m.Ends))
 				}
 				if due && !m.AsOf.Equal(clock.Now()) {
-					t.Errorf("look %d: as of %v", n, m.AsOf)
+					t.Errorf("check %d: as of %v", n, m.AsOf)
 				}
 			}
 		})
--- a/serve/relayends_test.go
+++ b/serve/relayends_test.go
@@ -261,13 +261,13 @@
 	for !n.converged(targets * each) {
 		n.step()
 		if steps++; steps > int(contactTime/simTick) {
-			t.Fatal("not all daemons know all in three seconds")
+			t.Fatal("not all daemons know all ends after three seconds")
 		}
 	}
 	for range 200 {
 		n.step()
 	}
-	t.Logf("known to all after %s; a daemon sent %d messages and %d bytes for %d ends under %d requests",
+	t.Logf("known to all daemons after %s; a daemon sent %d messages and %d bytes for %d ends under %d requests",
 		time.Duration(steps)*simTick, n.sentMessages/daemons, n.sentBytes/daemons, targets, targets*each)
 	// Each daemon sends what it learns in one batch over eight links, and learns everything in a few batches.
 	if most := 2 * simRings * 12; n.sentMessages/daemons > most {
@@ -299,7 +299,7 @@
 	clock.Advance(endsBatchDelay / 4)
 	e.flush()
 	if len(sent) != 1 || len(sent[0].Ends) != 2 {
-		t.Fatalf("told %v", sent)
+		t.Fatalf("sent %v", sent)
 	}
 	if a, b := sent[0].Ends[0].Age, sent[0].Ends[1].Age; a != time.Second+endsBatchDelay*3/4 || b != time.Minute+endsBatchDelay/4 {
 		t.Errorf("ages %v and %v", a, b)
@@ -314,11 +314,11 @@
 		after       time.Duration
 		told        bool
 	}{
-		{"they know the same", 5, 5, time.Minute, false},
-		{"this daemon knows nothing", 0, 5, time.Minute, false},
-		{"they know nothing", 5, 0, 0, true},
-		{"they have known others for a moment", 5, 6, endsDigestGrace - time.Millisecond, false},
-		{"they have known others for long", 5, 6, endsDigestGrace, true},
+		{"same digest", 5, 5, time.Minute, false},
+		{"this daemon has no ends", 0, 5, time.Minute, false},
+		{"the other daemon has no ends", 5, 0, 0, true},
+		{"digests have differed for a moment", 5, 6, endsDigestGrace - time.Millisecond, false},
+		{"digests have differed for long", 5, 6, endsDigestGrace, true},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -327,15 +327,15 @@
 			first := e.shouldSendAll(clock.Now(), "vm", s.own, s.theirs, 10)
 			clock.Advance(s.after)
 			if sent := first || e.shouldSendAll(clock.Now(), "vm", s.own, s.theirs, 10); sent != s.told {
-				t.Errorf("told: %v", sent)
+				t.Errorf("sent: %v", sent)
 			}
 			clock.Advance(endsResendInterval / 2)
 			if s.told && e.shouldSendAll(clock.Now(), "vm", s.own, s.theirs, 10) {
-				t.Error("told twice within a second")
+				t.Error("sent twice within a second")
 			}
 			clock.Advance(endsResendInterval)
 			if s.told && !e.shouldSendAll(clock.Now(), "vm", s.own, s.theirs, 10) {
-				t.Error("not told again while they differ")
+				t.Error("not sent again while the digests differ")
 			}
 		})
 	}
@@ -354,6 +354,6 @@
 		clock.Advance(peerHeartbeatInterval)
 	}
 	if maxSent := minute*maxEndsPerSecond/known + 1; sent == 0 || sent > maxSent {
-		t.Errorf("told %d times in a minute, want %d at most", sent, maxSent)
+		t.Errorf("sent %d times in a minute, want at most %d", sent, maxSent)
 	}
 }
--- a/serve/relayview_test.go
+++ b/serve/relayview_test.go
@@ -38,7 +38,7 @@
 	defer c.mu.Unlock()
 	c.checks++
 	if c.down {
-		return platform.RowSet{}, &platform.Error{Op: "watch", Kind: proto.KindUnavailable, Err: errors.New("turned away")}
+		return platform.RowSet{}, &platform.Error{Op: "watch", Kind: proto.KindUnavailable, Err: errors.New("refused")}
 	}
 	return platform.RowSet{Version: proto.Revision{Version: 7}, Rows: c.changed}, nil
 }
@@ -148,7 +148,7 @@
 	c.table.set(func() { c.table.down = true })
 	c.pass(t, checkAfter+checkJitter)
 	if err := <-c.ended; err == nil {
-		t.Error("the watch goes on")
+		t.Error("the watch continues")
 	}
 }
 
@@ -167,7 +167,7 @@
 	}{
 		{"a check was answered meanwhile", began.Add(time.Second), time.Time{}, late, true},
 		{"no call was answered meanwhile", began.Add(-time.Second), time.Time{}, late, false},
-		{"another daemon's check was", began.Add(-time.Second), began.Add(time.Second), late, false},
+		{"a check of another daemon was answered", began.Add(-time.Second), began.Add(time.Second), late, false},
 		{"the store refused the watch", began.Add(time.Second), time.Time{}, refused, false},
 	}
 	for _, s := range scenarios {
@@ -175,7 +175,7 @@
 			w := &watcher{daemon: &Relay{log: hclog.NewNullLogger()}, freshness: &tableFreshness{confirmed: s.confirmed, confirmedByPeer: s.relayed}}
 			version, err := w.finishWatch(watchResult{sentAt: began, err: s.err}, proto.Revision{Version: 7})
 			if got := err == nil; got != s.want || version != (proto.Revision{Version: 7}) {
-				t.Errorf("hung: %t, to go on from %s, want %t and 7", got, version, s.want)
+				t.Errorf("hung: %t, continuing from %s, want %t and 7", got, version, s.want)
 			}
 		})
 	}
@@ -189,14 +189,14 @@
 	}
 	v.confirmByPeer(now)
 	if got := v.ownAge(now); got != 0 {
-		t.Errorf("age %s after another daemon told, want none", got)
+		t.Errorf("age %s after a confirmation by a peer, want none", got)
 	}
 	v.confirm(now.Add(-time.Second))
 	if got := v.ownAge(now); got != time.Second {
 		t.Errorf("age %s, want 1s", got)
 	}
 	if got, known := v.age(now); got != 0 || !known {
-		t.Errorf("age %s, known %t, want what the other daemon told", got, known)
+		t.Errorf("age %s, known %t, want the age that the peer confirmed", got, known)
 	}
 }
 
@@ -214,7 +214,7 @@
 	v.log(at.Add(2*maxStateAge), log, "routing", proto.Revision{Version: 4})
 	v.log(at.Add(2*maxStateAge), log, "routing", proto.Revision{Version: 4})
 	if lost, back := strings.Count(text.String(), "not confirmed"), strings.Count(text.String(), "confirmed again"); lost != 1 || back != 1 {
-		t.Errorf("%d lines of an old state and %d of its end, want one of each:\n%s", lost, back, &text)
+		t.Errorf("%d log lines about stale state and %d about its end, want one of each:\n%s", lost, back, &text)
 	}
 }
 
@@ -228,10 +228,10 @@
 		routing, targets bool
 	}{
 		{"the same version", proto.Confirmed{Routing: 5, RoutingAge: time.Second}, true, false},
-		{"an older one", proto.Confirmed{Routing: 4, RoutingAge: time.Second}, true, false},
-		{"a newer one", proto.Confirmed{Routing: 6, RoutingAge: time.Second}, false, false},
-		{"one that the store never confirmed", proto.Confirmed{Routing: 5}, false, false},
-		{"no targets, as here", proto.Confirmed{TargetsAge: time.Second}, false, true},
+		{"an older version", proto.Confirmed{Routing: 4, RoutingAge: time.Second}, true, false},
+		{"a newer version", proto.Confirmed{Routing: 6, RoutingAge: time.Second}, false, false},
+		{"a version that the store never confirmed", proto.Confirmed{Routing: 5}, false, false},
+		{"no targets, like this daemon", proto.Confirmed{TargetsAge: time.Second}, false, true},
 		{"newer targets", proto.Confirmed{Targets: proto.Revision{Version: 1}, TargetsAge: time.Second}, false, false},
 	}
 	for _, s := range scenarios {
--- a/serve/relaywatch_test.go
+++ b/serve/relaywatch_test.go
@@ -64,8 +64,8 @@
 		most    time.Duration
 	}{
 		{"no answer", context.DeadlineExceeded, false, initialRetryDelay},
-		{"turned away like the other loop", platform.ErrRefused, false, maxFollowWait},
-		{"turned away while the other loop is answered", platform.ErrRefused, true, initialRetryDelay},
+		{"refused like the other loop", platform.ErrRefused, false, maxFollowWait},
+		{"refused while the other loop is answered", platform.ErrRefused, true, initialRetryDelay},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -88,7 +88,7 @@
 				clock.Advance(initialRetryDelay)
 			}
 			if took := clock.Now().Sub(began); took < s.most || took > s.most+2*initialRetryDelay {
-				t.Errorf("the loop rested %s, want %s", took, s.most)
+				t.Errorf("the loop waited %s, want %s", took, s.most)
 			}
 		})
 	}
