--- a/serve/daemon.go
+++ b/serve/daemon.go
@@ -161,15 +161,15 @@
 }
 
 func (d *Daemon) nodeOptions() []coord.NodeOption {
-	t := &d.settings.Timing
-	member := coord.DefaultMemberTiming()
-	member.HeartbeatInterval, member.SilenceTimeout = t.Heartbeat.Std(), t.Silence.Std()
-	claim := coord.DefaultClaimTiming()
-	claim.Retention = t.KeyRetention.Std()
-	node := coord.DefaultNodeTiming()
-	node.PollInterval, node.RosterInterval = t.PollInterval.Std(), t.RosterInterval.Std()
+	timing := &d.settings.Timing
+	memberTiming := coord.DefaultMemberTiming()
+	memberTiming.HeartbeatInterval, memberTiming.SilenceTimeout = timing.Heartbeat.Std(), timing.Silence.Std()
+	claimTiming := coord.DefaultClaimTiming()
+	claimTiming.Retention = timing.KeyRetention.Std()
+	nodeTiming := coord.DefaultNodeTiming()
+	nodeTiming.PollInterval, nodeTiming.RosterInterval = timing.PollInterval.Std(), timing.RosterInterval.Std()
 	return []coord.NodeOption{
-		coord.WithMemberTiming(member), coord.WithClaimTiming(claim), coord.WithNodeTiming(node),
+		coord.WithMemberTiming(memberTiming), coord.WithClaimTiming(claimTiming), coord.WithNodeTiming(nodeTiming),
 		coord.WithSnapshotHandler(d.applySnapshot),
 		coord.WithReportHandlers(
 			func(rows []proto.UsageRow) { d.recordUsage(rows) },
--- a/serve/loads.go
+++ b/serve/loads.go
@@ -77,9 +77,9 @@
 
 func (l *loadCollector) readCacheEvents(ctx context.Context, target *proto.Target) []proto.CacheEvent {
 	l.mu.Lock()
-	after := l.lastSequence[target.Name]
+	afterSequence := l.lastSequence[target.Name]
 	l.mu.Unlock()
-	events, err := l.daemon.targetClient.CacheEvents(ctx, target.Address, after)
+	events, err := l.daemon.targetClient.CacheEvents(ctx, target.Address, afterSequence)
 	if err != nil || len(events) == 0 {
 		return nil
 	}
--- a/serve/loops.go
+++ b/serve/loops.go
@@ -15,23 +15,23 @@
 const placementInterval = 2 * time.Second
 
 func (d *Daemon) addLoops(ctx context.Context, g *run.Group) {
-	t := &d.settings.Timing
-	node := coord.DefaultNodeTiming()
-	d.addLoop(ctx, g, t.TickInterval.Std(), func(context.Context) { d.driver.HandleEvent(core.Tick{}) })
-	d.addLoop(ctx, g, node.TickInterval, func(context.Context) {
+	timing := &d.settings.Timing
+	nodeTiming := coord.DefaultNodeTiming()
+	d.addLoop(ctx, g, timing.TickInterval.Std(), func(context.Context) { d.driver.HandleEvent(core.Tick{}) })
+	d.addLoop(ctx, g, nodeTiming.TickInterval, func(context.Context) {
 		d.gate()
 		d.node.Tick(d.clock.Now())
 	})
 	// Reading claims waits for other daemons, which must not delay the heartbeats.
-	d.addLoop(ctx, g, node.TickInterval, func(ctx context.Context) {
+	d.addLoop(ctx, g, nodeTiming.TickInterval, func(ctx context.Context) {
 		d.gate()
 		d.node.TransferClaims(ctx)
 	})
-	d.addLoop(ctx, g, t.PollInterval.Std(), func(ctx context.Context) {
+	d.addLoop(ctx, g, timing.PollInterval.Std(), func(ctx context.Context) {
 		d.gate()
 		d.node.Poll(ctx)
 	})
-	d.addLoop(ctx, g, t.RosterInterval.Std(), func(ctx context.Context) {
+	d.addLoop(ctx, g, timing.RosterInterval.Std(), func(ctx context.Context) {
 		d.gate()
 		d.node.ReviseRoster(ctx)
 	})
@@ -40,12 +40,12 @@
 		d.placement.ReportDemand(d.engine.TakeDemand())
 		d.placement.Reconcile(ctx, d.node.Stopping())
 	})
-	d.addLoop(ctx, g, t.LoadInterval.Std(), func(ctx context.Context) {
+	d.addLoop(ctx, g, timing.LoadInterval.Std(), func(ctx context.Context) {
 		d.gate()
 		d.shareUsage()
 		d.loads.collect(ctx)
 	})
-	d.addLoop(ctx, g, node.TickInterval, func(context.Context) {
+	d.addLoop(ctx, g, nodeTiming.TickInterval, func(context.Context) {
 		d.gate()
 		d.watchStops()
 	})
--- a/serve/relay.go
+++ b/serve/relay.go
@@ -418,7 +418,7 @@
 	added := 0
 	for _, seed := range seeds {
 		name := proto.VM("seed " + seed.String())
-		if _, known := p.seeds[name]; known || seed == p.self.Peer {
+		if _, exists := p.seeds[name]; exists || seed == p.self.Peer {
 			continue
 		}
 		p.seeds[name] = proto.Alive{Peer: seed}
--- a/serve/relayclock_test.go
+++ b/serve/relayclock_test.go
@@ -41,7 +41,7 @@
 		name    string
 		suspend time.Duration
 		// setUp prepares the state and returns a function that reports whether it is valid.
-		begin func(clock *state.Clock, steady *clockwork.FakeClock) (isValid func() bool)
+		setUp func(clock *state.Clock, steady *clockwork.FakeClock) (isValid func() bool)
 	}{
 		{"share of common limits, by this daemon's row", timing.Lease, func(clock *state.Clock, steady *clockwork.FakeClock) func() bool {
 			c := coord.NewShareTracker("vm", timing)
@@ -112,7 +112,7 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			clock, steady, suspend := newSuspendableClock()
-			isValid := s.begin(clock, steady)
+			isValid := s.setUp(clock, steady)
 			if !isValid() {
 				t.Fatal("the state is not valid before the suspension")
 			}
--- a/serve/relayendrows_test.go
+++ b/serve/relayendrows_test.go
@@ -16,37 +16,37 @@
 // TestEndRowIsWrittenOnlyWhilePartitioned checks the moments at which a row is due.
 func TestEndRowIsWrittenOnlyWhilePartitioned(t *testing.T) {
 	const interval = endRowInterval
-	type look struct {
+	type check struct {
 		after time.Duration
 		// requests is the number of requests that ran at a target that ended; 0 if none ended.
-		saw   int
-		apart bool
+		requests    int
+		partitioned bool
 		// ends is the number of ends that are written, -1 if nothing is written.
 		ends int
 	}
 	scenarios := []struct {
-		name  string
-		looks []look
+		name   string
+		checks []check
 	}{
-		{"all daemons are reachable", []look{{0, 3, false, -1}, {time.Minute, 3, false, -1}}},
-		{"some daemons are unreachable", []look{{0, 3, true, 1}, {interval, 0, true, -1}, {interval, 2, true, 2}}},
-		{"no target ended", []look{{0, 0, true, -1}}},
-		{"some daemons become unreachable", []look{{0, 3, false, -1}, {time.Second, 0, true, 1}, {time.Second, 0, true, -1}}},
-		{"all are reachable again, then some are not", []look{{0, 3, true, 1}, {time.Second, 0, false, -1}, {time.Second, 0, true, 1}}},
-		{"ends come faster than the write interval", []look{{0, 1, true, 1}, {interval / 2, 1, true, -1}, {interval / 2, 1, true, 3}}},
-		{"more requests than a row holds", []look{{0, maxEndRowRequests, false, -1}, {time.Second, 1, true, 1}}},
+		{"all daemons are reachable", []check{{0, 3, false, -1}, {time.Minute, 3, false, -1}}},
+		{"some daemons are unreachable", []check{{0, 3, true, 1}, {interval, 0, true, -1}, {interval, 2, true, 2}}},
+		{"no target ended", []check{{0, 0, true, -1}}},
+		{"some daemons become unreachable", []check{{0, 3, false, -1}, {time.Second, 0, true, 1}, {time.Second, 0, true, -1}}},
+		{"all are reachable again, then some are not", []check{{0, 3, true, 1}, {time.Second, 0, false, -1}, {time.Second, 0, true, 1}}},
+		{"ends come faster than the write interval", []check{{0, 1, true, 1}, {interval / 2, 1, true, -1}, {interval / 2, 1, true, 3}}},
+		{"more requests than a row holds", []check{{0, maxEndRowRequests, false, -1}, {time.Second, 1, true, 1}}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			clock := clockwork.NewFakeClockAt(clockStart)
 			r := &endRowSync{daemon: &Relay{clock: clock}}
-			for n, look := range s.looks {
-				clock.Advance(look.after)
-				if look.saw > 0 {
-					r.recordOwn(newEnd("t", look.saw))
+			for n, check := range s.checks {
+				clock.Advance(check.after)
+				if check.requests > 0 {
+					r.recordOwn(newEnd("t", check.requests))
 				}
-				m, due := r.takeDue(clock.Now(), look.apart, interval)
-				if due != (look.ends >= 0) || due && len(m.Ends) != look.ends {
+				m, due := r.takeDue(clock.Now(), check.partitioned, interval)
+				if due != (check.ends >= 0) || due && len(m.Ends) != check.ends {
 					t.Fatalf("check %d: due %v with %d ends", n, due, len(m.Ends))
 				}
 				if due && !m.AsOf.Equal(clock.Now()) {
--- a/serve/relayends.go
+++ b/serve/relayends.go
@@ -75,10 +75,10 @@
 }
 
 // shouldSendAll reports, by comparing digests, whether to send all ends to a linked daemon now.
-func (e *endGossip) shouldSendAll(now time.Time, from proto.VM, ownDigest, theirDigest uint64, known int) bool {
+func (e *endGossip) shouldSendAll(now time.Time, from proto.VM, ownDigest, theirDigest uint64, count int) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.digests.shouldSendAll(now, from, ownDigest, theirDigest, known)
+	return e.digests.shouldSendAll(now, from, ownDigest, theirDigest, count)
 }
 
 // sendAllEnds sends all ends of targets that this daemon knows to another daemon.
--- a/serve/relayends_test.go
+++ b/serve/relayends_test.go
@@ -270,11 +270,11 @@
 	t.Logf("known to all daemons after %s; a daemon sent %d messages and %d bytes for %d ends under %d requests",
 		time.Duration(steps)*simTick, n.sentMessages/daemons, n.sentBytes/daemons, targets, targets*each)
 	// Each daemon sends what it learns in one batch over eight links, and learns everything in a few batches.
-	if most := 2 * simRings * 12; n.sentMessages/daemons > most {
-		t.Errorf("a daemon sent %d messages, want %d at most", n.sentMessages/daemons, most)
+	if maxMessages := 2 * simRings * 12; n.sentMessages/daemons > maxMessages {
+		t.Errorf("a daemon sent %d messages, want %d at most", n.sentMessages/daemons, maxMessages)
 	}
-	if most := 2 * simRings * targets * each * 24; n.sentBytes/daemons > most {
-		t.Errorf("a daemon sent %d bytes, want %d at most", n.sentBytes/daemons, most)
+	if maxBytes := 2 * simRings * targets * each * 24; n.sentBytes/daemons > maxBytes {
+		t.Errorf("a daemon sent %d bytes, want %d at most", n.sentBytes/daemons, maxBytes)
 	}
 }
 
@@ -309,10 +309,10 @@
 // TestDaemonWithDifferentEndsIsSentAll follows the digests in the heartbeats of a linked daemon.
 func TestDaemonWithDifferentEndsIsSentAll(t *testing.T) {
 	scenarios := []struct {
-		name        string
-		own, theirs uint64
-		after       time.Duration
-		told        bool
+		name                   string
+		ownDigest, theirDigest uint64
+		after                  time.Duration
+		want                   bool
 	}{
 		{"same digest", 5, 5, time.Minute, false},
 		{"this daemon has no ends", 0, 5, time.Minute, false},
@@ -324,17 +324,17 @@
 		t.Run(s.name, func(t *testing.T) {
 			clock := clockwork.NewFakeClockAt(clockStart)
 			e := newEndGossip(clock, nil)
-			first := e.shouldSendAll(clock.Now(), "vm", s.own, s.theirs, 10)
+			first := e.shouldSendAll(clock.Now(), "vm", s.ownDigest, s.theirDigest, 10)
 			clock.Advance(s.after)
-			if sent := first || e.shouldSendAll(clock.Now(), "vm", s.own, s.theirs, 10); sent != s.told {
+			if sent := first || e.shouldSendAll(clock.Now(), "vm", s.ownDigest, s.theirDigest, 10); sent != s.want {
 				t.Errorf("sent: %v", sent)
 			}
 			clock.Advance(endsResendInterval / 2)
-			if s.told && e.shouldSendAll(clock.Now(), "vm", s.own, s.theirs, 10) {
+			if s.want && e.shouldSendAll(clock.Now(), "vm", s.ownDigest, s.theirDigest, 10) {
 				t.Error("sent twice within a second")
 			}
 			clock.Advance(endsResendInterval)
-			if s.told && !e.shouldSendAll(clock.Now(), "vm", s.own, s.theirs, 10) {
+			if s.want && !e.shouldSendAll(clock.Now(), "vm", s.ownDigest, s.theirDigest, 10) {
 				t.Error("not sent again while the digests differ")
 			}
 		})
--- a/serve/relaylist.go
+++ b/serve/relaylist.go
@@ -164,19 +164,19 @@
 	l.resetOnNewEra(rows.Version.Era)
 	now := d.clock.Now()
 	versions := map[proto.VM]proto.Revision{}
-	known := d.settings.FirstStart
-	var own daemonRow
+	knownVM := d.settings.FirstStart
+	var ownRow daemonRow
 	for _, entry := range rows.Rows {
 		vm := proto.VM(entry.Key)
 		versions[vm] = entry.Version
 		if row, ok := d.handleRow(now, entry); ok && vm == d.self.VM {
-			own = row
+			ownRow = row
 		}
 	}
-	known = known || own.Counted && own.Era == l.era && now.Sub(own.Written) < shareTiming(d.settings).MaxRowAge()
-	l.knownToOthers = l.knownToOthers || known && !d.rowsRead.Load()
-	l.adoptPreviousRow(now, own)
-	d.shareTracker.Start(now, known)
+	knownVM = knownVM || ownRow.Counted && ownRow.Era == l.era && now.Sub(ownRow.Written) < shareTiming(d.settings).MaxRowAge()
+	l.knownToOthers = l.knownToOthers || knownVM && !d.rowsRead.Load()
+	l.adoptPreviousRow(now, ownRow)
+	d.shareTracker.Start(now, knownVM)
 	d.removeExpiredRows(d.shareTracker.ObserveRows(sentAt, now, rows.Version.Era, versions), versions)
 	d.rowsRead.Store(true)
 	d.startWhenReady()
--- a/serve/relaynotices.go
+++ b/serve/relaynotices.go
@@ -31,14 +31,14 @@
 
 // add queues notices that were new here, whatever their source. Receivers do not send them back, since for the sender
 // they are not new.
-func (n *noticeGossip) add(list []proto.TargetNotice) {
+func (n *noticeGossip) add(notices []proto.TargetNotice) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.pending) == 0 {
 		// AfterFunc may run in the goroutine of the clock, which must not wait for a lock.
 		n.clock.AfterFunc(noticeBatchDelay, func() { go n.flush() })
 	}
-	for _, notice := range list {
+	for _, notice := range notices {
 		n.pending[notice.Run] = notice
 	}
 }
@@ -62,11 +62,11 @@
 }
 
 // forwardNotices forwards what targets say about themselves to the other daemons.
-func (d *Relay) forwardNotices(list []proto.TargetNotice) { d.noticeGossip.add(list) }
+func (d *Relay) forwardNotices(notices []proto.TargetNotice) { d.noticeGossip.add(notices) }
 
 // mergeNotices merges what another daemon knows about targets from their notices.
-func (d *Relay) mergeNotices(now time.Time, list []proto.TargetNotice, from proto.VM) {
-	for _, n := range d.fleet.MergeNotices(now, list, from) {
-		d.log.Info("target signals from another daemon", "target", n.Target, "run", n.Run, "leaving", n.Leaving, "limited", n.HasLimit, "limit", n.Limit, "change", n.LimitVersion, "from", from)
+func (d *Relay) mergeNotices(now time.Time, notices []proto.TargetNotice, from proto.VM) {
+	for _, notice := range d.fleet.MergeNotices(now, notices, from) {
+		d.log.Info("target signals from another daemon", "target", notice.Target, "run", notice.Run, "leaving", notice.Leaving, "limited", notice.HasLimit, "limit", notice.Limit, "change", notice.LimitVersion, "from", from)
 	}
 }
--- a/serve/relayview_test.go
+++ b/serve/relayview_test.go
@@ -224,7 +224,7 @@
 	now := time.Unix(1000, 0)
 	scenarios := []struct {
 		testName         string
-		told             proto.Confirmed
+		confirmation     proto.Confirmed
 		routing, targets bool
 	}{
 		{"the same version", proto.Confirmed{Routing: 5, RoutingAge: time.Second}, true, false},
@@ -238,7 +238,7 @@
 		t.Run(s.testName, func(t *testing.T) {
 			d := &Relay{tables: &relay.Tables{}, fleet: relay.NewFleet(func(string) {})}
 			d.tables.ReplaceIfNewer(&proto.Routing{Version: 5})
-			d.applyPeerConfirmation(now, s.told)
+			d.applyPeerConfirmation(now, s.confirmation)
 			if got := d.routingFreshness.confirmedAt().Equal(now.Add(-time.Second)); got != s.routing {
 				t.Errorf("configuration confirmed: %t, want %t", got, s.routing)
 			}
