--- a/serve/relayevacuations.go
+++ b/serve/relayevacuations.go
@@ -23,7 +23,7 @@
 			continue
 		}
 		if body := bytes.TrimSpace(row.Body); !row.Removed && (!json.Valid(body) || body[0] != '{') {
-			d.log.Warn("the body of an evacuation row is not a JSON object; the zone is evacuated anyway", "zone", zone, "version", row.Version, "bytes", len(row.Body))
+			d.log.Warn("the body of an evacuation row holds no JSON object; the zone is evacuated anyway", "zone", zone, "version", row.Version, "bytes", len(row.Body))
 		}
 		evacuations = append(evacuations, proto.Evacuation{Zone: zone, Version: row.Version, Ended: row.Removed})
 	}
