--- a/serve/daemon.go
+++ b/serve/daemon.go
@@ -249,15 +249,15 @@
 	if err := d.addServers(&g); err != nil {
 		return err
 	}
-	work, cancelWork := context.WithCancel(context.WithoutCancel(ctx))
+	workCtx, cancelWork := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancelWork()
-	d.addLoops(work, &g)
+	d.addLoops(workCtx, &g)
 	g.Add(func() error {
 		select {
 		case <-ctx.Done():
 		case <-d.stop:
 		}
-		d.drain(work)
+		d.drain(workCtx)
 		return nil
 	}, func(error) { cancel() })
 	d.node.Start(d.seeds())
@@ -270,8 +270,8 @@
 
 func (d *Daemon) seeds() []proto.Alive {
 	var seeds []proto.Alive
-	for _, s := range d.settings.Peers.Seeds {
-		seeds = append(seeds, proto.Alive{VM: s.VM, Zone: s.Zone, Peer: s.Address})
+	for _, seed := range d.settings.Peers.Seeds {
+		seeds = append(seeds, proto.Alive{VM: seed.VM, Zone: seed.Zone, Peer: seed.Address})
 	}
 	return seeds
 }
--- a/serve/relay.go
+++ b/serve/relay.go
@@ -306,15 +306,15 @@
 		"seeds", len(d.settings.Seeds), "memory", d.settings.MemoryBytes, "openMost", max(64, d.settings.MemoryBytes/1_000_000*maxOpenPerMB))
 	d.logLinkAuth()
 	var g run.Group
-	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	workCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	if err := d.addRelayServers(&g); err != nil {
 		return err
 	}
-	d.addRelayLoops(work, cancel, &g)
+	d.addRelayLoops(workCtx, cancel, &g)
 	g.Add(func() error {
 		<-ctx.Done()
-		d.stop(work)
+		d.stop(workCtx)
 		return nil
 	}, func(error) { cancel() })
 	err := g.Run()
--- a/serve/relaybootstrap.go
+++ b/serve/relaybootstrap.go
@@ -34,12 +34,12 @@
 		}()
 	}
 	for range seeds {
-		if a, ok := (<-answers).(proto.RoutingAnswer); ok && len(a.RoutingBody) > 0 && a.Full {
-			d.log.Info("loaded the store's tables from another daemon", "targets", len(a.TargetEntries), "version", a.Targets)
-			d.handleFleetEvents(d.fleet.MergeInvalid(d.clock.Now(), a.InvalidEntries), "another daemon")
-			d.applyEvacuations(a.Evacuations, "another daemon")
-			d.applyRouting(a.RoutingBody, "another daemon")
-			d.replaceTargets(a.Targets, a.TargetEntries, "another daemon", true)
+		if answer, ok := (<-answers).(proto.RoutingAnswer); ok && len(answer.RoutingBody) > 0 && answer.Full {
+			d.log.Info("loaded the store's tables from another daemon", "targets", len(answer.TargetEntries), "version", answer.Targets)
+			d.handleFleetEvents(d.fleet.MergeInvalid(d.clock.Now(), answer.InvalidEntries), "another daemon")
+			d.applyEvacuations(answer.Evacuations, "another daemon")
+			d.applyRouting(answer.RoutingBody, "another daemon")
+			d.replaceTargets(answer.Targets, answer.TargetEntries, "another daemon", true)
 			break
 		}
 	}
--- a/serve/relaydocuments.go
+++ b/serve/relaydocuments.go
@@ -90,19 +90,19 @@
 // fleetChange decodes one entry of the targets' table. An entry that cannot be decoded is marked as unusable, and the
 // others are still applied.
 func (d *Relay) fleetChange(doc proto.TargetDocument, from string) relay.FleetChange {
-	c := relay.FleetChange{ID: doc.ID, Version: doc.Version, Removed: doc.Removed, Lapsed: doc.Lapsed}
+	change := relay.FleetChange{ID: doc.ID, Version: doc.Version, Removed: doc.Removed, Lapsed: doc.Lapsed}
 	if doc.Removed {
-		return c
+		return change
 	}
-	t, err := platform.ParseTarget(doc.ID, doc.Body)
+	target, err := platform.ParseTarget(doc.ID, doc.Body)
 	if err != nil {
 		d.log.Warn("an entry names no target", "target", doc.ID, "version", doc.Version, "bytes", len(doc.Body), "from", from, "error", err)
-		c.Unusable = true
-		return c
+		change.Unusable = true
+		return change
 	}
-	t.Region = d.settings.ZoneRegions[t.Zone]
-	c.Target = t
-	return c
+	target.Region = d.settings.ZoneRegions[target.Zone]
+	change.Target = target
+	return change
 }
 
 func targetDocuments(rows platform.RowSet) []proto.TargetDocument {
@@ -132,8 +132,8 @@
 	byID := map[string]proto.TargetDocument{}
 	for _, doc := range docs {
 		byID[doc.ID] = doc
-		if c := d.fleetChange(doc, from); !c.Removed {
-			entries = append(entries, c)
+		if change := d.fleetChange(doc, from); !change.Removed {
+			entries = append(entries, change)
 		}
 	}
 	events, replaced := d.fleet.Replace(d.clock.Now(), asOf, entries, complete)
@@ -158,9 +158,9 @@
 func (d *Relay) applyTargetChanges(docs []proto.TargetDocument, from string, fromPeer bool) {
 	var changes []relay.FleetChange
 	for _, doc := range docs {
-		c := d.fleetChange(doc, from)
-		c.FromPeer = fromPeer
-		changes = append(changes, c)
+		change := d.fleetChange(doc, from)
+		change.FromPeer = fromPeer
+		changes = append(changes, change)
 	}
 	events := d.fleet.ApplyChanges(d.clock.Now(), changes)
 	lapsed := map[string]bool{}
@@ -219,12 +219,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), pullTimeout)
 	defer cancel()
 	m, err := d.peers.Call(ctx, vm, proto.RoutingAsk{Routing: d.tables.Version(), Targets: beforeVersion, Evacuations: d.fleet.EvacuationsVersion()})
-	a, ok := m.(proto.RoutingAnswer)
+	answer, ok := m.(proto.RoutingAnswer)
 	if err != nil || !ok {
 		d.log.Info("a linked daemon did not answer how lapsed targets were removed", "from", vm, "error", err)
 		return
 	}
-	for _, doc := range a.TargetEntries {
+	for _, doc := range answer.TargetEntries {
 		if doc.Removed && !doc.Lapsed && slices.Contains(ids, doc.ID) {
 			d.handleFleetEvents(d.fleet.MarkSuspected(doc.ID), string(vm))
 		}
@@ -236,26 +236,26 @@
 func (d *Relay) answerRoutingAsk(ask proto.RoutingAsk) proto.RoutingAnswer {
 	d.documents.mu.Lock()
 	defer d.documents.mu.Unlock()
-	a := proto.RoutingAnswer{Routing: d.tables.Version(), Targets: d.fleet.Version(), InvalidEntries: d.fleet.InvalidEntries(), Notices: d.fleet.Notices()}
+	answer := proto.RoutingAnswer{Routing: d.tables.Version(), Targets: d.fleet.Version(), InvalidEntries: d.fleet.InvalidEntries(), Notices: d.fleet.Notices()}
 	if d.fleet.EvacuationsVersion().After(ask.Evacuations) {
-		a.Evacuations = d.fleet.Evacuations()
+		answer.Evacuations = d.fleet.Evacuations()
 	}
 	if ask == (proto.RoutingAsk{}) && !d.documents.allowFullSend(d.clock.Now()) {
-		return a
+		return answer
 	}
-	if a.Routing > ask.Routing {
-		a.RoutingBody = d.documents.routing
+	if answer.Routing > ask.Routing {
+		answer.RoutingBody = d.documents.routing
 	}
-	if !a.Targets.After(ask.Targets) {
-		return a
+	if !answer.Targets.After(ask.Targets) {
+		return answer
 	}
-	a.HasTargets, a.Full = true, d.documents.completeSince.After(ask.Targets)
+	answer.HasTargets, answer.Full = true, d.documents.completeSince.After(ask.Targets)
 	for _, doc := range d.documents.targets {
-		if a.Full && !doc.Removed || !a.Full && doc.Version.After(ask.Targets) {
-			a.TargetEntries = append(a.TargetEntries, doc)
+		if answer.Full && !doc.Removed || !answer.Full && doc.Version.After(ask.Targets) {
+			answer.TargetEntries = append(answer.TargetEntries, doc)
 		}
 	}
-	return a
+	return answer
 }
 
 // pullFrom asks another daemon for its newer state, one daemon at a time, since a list may be large and the bandwidth
@@ -268,24 +268,24 @@
 	ctx, cancel := context.WithTimeout(context.Background(), pullTimeout)
 	defer cancel()
 	m, err := d.peers.Call(ctx, from, proto.RoutingAsk{Routing: d.tables.Version(), Targets: d.fleet.Version(), Evacuations: d.fleet.EvacuationsVersion()})
-	a, ok := m.(proto.RoutingAnswer)
+	answer, ok := m.(proto.RoutingAnswer)
 	if err != nil || !ok {
 		d.log.Info("another daemon did not answer a request for its newer state", "from", from, "error", err)
 		return
 	}
-	d.handleFleetEvents(d.fleet.MergeInvalid(d.clock.Now(), a.InvalidEntries), string(from))
-	d.applyEvacuations(a.Evacuations, string(from))
-	d.mergeNotices(d.clock.Now(), a.Notices, from)
-	if len(a.RoutingBody) > 0 {
-		d.applyRouting(a.RoutingBody, string(from))
+	d.handleFleetEvents(d.fleet.MergeInvalid(d.clock.Now(), answer.InvalidEntries), string(from))
+	d.applyEvacuations(answer.Evacuations, string(from))
+	d.mergeNotices(d.clock.Now(), answer.Notices, from)
+	if len(answer.RoutingBody) > 0 {
+		d.applyRouting(answer.RoutingBody, string(from))
 	}
-	if !a.HasTargets {
+	if !answer.HasTargets {
 		return
 	}
-	d.log.Info("targets taken from another daemon", "from", from, "version", a.Targets, "entries", len(a.TargetEntries), "whole", a.Full)
-	if a.Full {
-		d.replaceTargets(a.Targets, a.TargetEntries, string(from), true)
+	d.log.Info("targets taken from another daemon", "from", from, "version", answer.Targets, "entries", len(answer.TargetEntries), "whole", answer.Full)
+	if answer.Full {
+		d.replaceTargets(answer.Targets, answer.TargetEntries, string(from), true)
 		return
 	}
-	d.applyTargetChanges(a.TargetEntries, string(from), true)
+	d.applyTargetChanges(answer.TargetEntries, string(from), true)
 }
--- a/serve/relayendgossip.go
+++ b/serve/relayendgossip.go
@@ -38,8 +38,8 @@
 
 // pendingEnd is an end to be sent to the other daemons, with the time as of which its age holds.
 type pendingEnd struct {
-	end proto.TargetEnd
-	at  time.Time
+	end  proto.TargetEnd
+	asOf time.Time
 }
 
 func newEndGossip(clock clockwork.Clock, send func(proto.TargetEnds)) *endGossip {
@@ -65,9 +65,9 @@
 	e.mu.Lock()
 	now := e.clock.Now()
 	var m proto.TargetEnds
-	for _, w := range e.pending {
-		w.end.Age += now.Sub(w.at)
-		m.Ends = append(m.Ends, w.end)
+	for _, queued := range e.pending {
+		queued.end.Age += now.Sub(queued.asOf)
+		m.Ends = append(m.Ends, queued.end)
 	}
 	e.pending = nil
 	e.mu.Unlock()
--- a/serve/relayendrowsync.go
+++ b/serve/relayendrowsync.go
@@ -116,9 +116,9 @@
 	}
 	r.dirty, r.nextWrite = false, now.Add(interval)
 	m := proto.TargetEnds{AsOf: now.UTC()}
-	for _, w := range r.ownEnds {
-		w.end.Age += now.Sub(w.at)
-		m.Ends = append(m.Ends, w.end)
+	for _, queued := range r.ownEnds {
+		queued.end.Age += now.Sub(queued.asOf)
+		m.Ends = append(m.Ends, queued.end)
 	}
 	return m, true
 }
--- a/serve/relaylinkauth.go
+++ b/serve/relaylinkauth.go
@@ -11,7 +11,7 @@
 type linkAuth string
 
 const (
-	authStore        linkAuth = "storeAddress"
+	authStoreAddress linkAuth = "storeAddress"
 	authKey          linkAuth = "key"
 	authCertificates linkAuth = "certificates"
 )
@@ -24,7 +24,7 @@
 	case d.linkKey != d.settings.StoreAddr.String():
 		return authKey
 	}
-	return authStore
+	return authStoreAddress
 }
 
 // logLinkAuth logs at the start how daemons authenticate to each other, and whether that keeps anybody out.
@@ -35,7 +35,7 @@
 		d.logExpiry()
 	case authKey:
 		d.log.Warn("daemons authenticate with a key that is sent unencrypted over their links")
-	case authStore:
+	case authStoreAddress:
 		d.log.Warn("anyone who can reach the port between daemons can join: there is neither a key nor a certificate")
 	}
 }
--- a/serve/relayrows.go
+++ b/serve/relayrows.go
@@ -164,7 +164,7 @@
 	l.resetOnNewEra(rows.Version.Era)
 	now := d.clock.Now()
 	versions := map[proto.VM]proto.Revision{}
-	knownVM := d.settings.FirstStart
+	isKnown := d.settings.FirstStart
 	var ownRow daemonRow
 	for _, entry := range rows.Rows {
 		vm := proto.VM(entry.Key)
@@ -173,10 +173,10 @@
 			ownRow = row
 		}
 	}
-	knownVM = knownVM || ownRow.Counted && ownRow.Era == l.era && now.Sub(ownRow.Written) < shareTiming(d.settings).MaxRowAge()
-	l.knownToOthers = l.knownToOthers || knownVM && !d.rowsRead.Load()
+	isKnown = isKnown || ownRow.Counted && ownRow.Era == l.era && now.Sub(ownRow.Written) < shareTiming(d.settings).MaxRowAge()
+	l.knownToOthers = l.knownToOthers || isKnown && !d.rowsRead.Load()
 	l.adoptPreviousRow(now, ownRow)
-	d.shareTracker.Start(now, knownVM)
+	d.shareTracker.Start(now, isKnown)
 	d.removeExpiredRows(d.shareTracker.ObserveRows(sentAt, now, rows.Version.Era, versions), versions)
 	d.rowsRead.Store(true)
 	d.startWhenReady()
@@ -219,10 +219,10 @@
 
 // Share returns this daemon's share of the limits that all daemons share.
 func (p *relayPeers) Share() relay.Share {
-	s := p.shareTracker.Share(p.clock.Now())
-	share := relay.Share{VMCount: s.VMCount, Live: p.Count(), Reason: string(s.Reason)}
-	if s.Usable {
-		share.Fraction = 1 / float64(s.VMCount)
+	tracked := p.shareTracker.Share(p.clock.Now())
+	share := relay.Share{VMCount: tracked.VMCount, Live: p.Count(), Reason: string(tracked.Reason)}
+	if tracked.Usable {
+		share.Fraction = 1 / float64(tracked.VMCount)
 	}
 	return share
 }
@@ -241,11 +241,11 @@
 			d.shareTracker.ObserveVMs(now, alive.VM)
 		}
 	}
-	s := d.shareTracker.Share(now)
-	if s.VMCount == d.loggedShare.VMCount && s.Reason == d.loggedShare.Reason {
+	share := d.shareTracker.Share(now)
+	if share.VMCount == d.loggedShare.VMCount && share.Reason == d.loggedShare.Reason {
 		return
 	}
-	d.loggedShare = s
-	d.log.Info("share of common limits changed", "counted", s.VMCount, "usable", s.Usable, "reason", s.Reason,
-		"rowAge", s.RowAge.String(), "readAge", s.ReadAge.String(), "members", d.peers.Count())
+	d.loggedShare = share
+	d.log.Info("share of common limits changed", "counted", share.VMCount, "usable", share.Usable, "reason", share.Reason,
+		"rowAge", share.RowAge.String(), "readAge", share.ReadAge.String(), "members", d.peers.Count())
 }
