--- a/serve/relayendrowsync.go
+++ b/serve/relayendrowsync.go
@@ -30,8 +30,8 @@
 )
 
 // endRowSync exchanges ends of targets through the store, with daemons that this one cannot reach. A daemon that sees
-// ends itself counts as in touch even if it reaches only the store. While all daemons reach each other, nothing is
-// written or read.
+// ends counts as in touch even if it reaches only the store. While all daemons reach each other, nothing is written or
+// read.
 type endRowSync struct {
 	daemon *Relay
 	table  platform.Table
