--- a/wire/accept.go
+++ b/wire/accept.go
@@ -13,7 +13,7 @@
 	"emberlead/proto"
 )
 
-// Handler returns the route that other daemons dial.
+// Handler returns the handler of the route that other daemons connect to.
 func (l *Links) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(pathPeer, l.accept)
--- a/wire/authority.go
+++ b/wire/authority.go
@@ -14,9 +14,10 @@
 )
 
 const (
-	// serialBits is the length of a certificate's random number, which needs no register of those given out.
+	// serialBits is the length of a certificate's serial number. Serial numbers are random, so no record of the issued
+	// ones is needed.
 	serialBits = 120
-	// clockSlack is how far behind a VM's clock may be when its certificate is new.
+	// clockSlack backdates new certificates, so that they are valid on a VM whose clock is up to this much behind.
 	clockSlack = time.Hour
 
 	blockCertificate = "CERTIFICATE"
@@ -24,12 +25,12 @@
 	blockRevocations = "X509 CRL"
 )
 
-// KeyPair is a certificate and its key, each as PEM.
+// KeyPair is a certificate and its private key, both PEM-encoded.
 type KeyPair struct {
 	Certificate, Key []byte
 }
 
-// NewAuthority makes an authority that signs the certificates of a deployment's daemons.
+// NewAuthority creates a certificate authority that signs the certificates of a deployment's daemons.
 func NewAuthority(now time.Time, valid time.Duration) (KeyPair, error) {
 	return newPair(now, valid, func(template *x509.Certificate, key *ecdsa.PrivateKey) ([]byte, error) {
 		template.Subject = pkix.Name{CommonName: "emberlead authority " + template.SerialNumber.Text(36)}
@@ -39,7 +40,7 @@
 	})
 }
 
-// NewCertificate makes a certificate for the daemon of a VM.
+// NewCertificate issues a certificate for the daemon on a VM.
 func (a KeyPair) NewCertificate(vm proto.VM, now time.Time, valid time.Duration) (KeyPair, error) {
 	issuer, signer, err := a.parse()
 	if err != nil {
@@ -53,7 +54,8 @@
 	})
 }
 
-// Revoke adds a certificate of this authority to its list of revoked ones, which may be empty, and returns the new list.
+// Revoke adds a certificate issued by this authority to its revocation list, which may be empty, and returns the new
+// list.
 func (a KeyPair) Revoke(list, certificate []byte, now time.Time, valid time.Duration) ([]byte, error) {
 	issuer, signer, err := a.parse()
 	if err != nil {
@@ -104,7 +106,7 @@
 	return certs[0], signer, nil
 }
 
-// newPair makes a key and has a certificate signed for it.
+// newPair generates a key and has a certificate signed for it.
 func newPair(now time.Time, valid time.Duration, sign func(*x509.Certificate, *ecdsa.PrivateKey) ([]byte, error)) (KeyPair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/wire/bench_test.go
+++ b/wire/bench_test.go
@@ -23,7 +23,7 @@
 	"emberlead/proto"
 )
 
-// noClaims grants everything, for requests that have no key.
+// noClaims grants every claim, for requests without an idempotency key.
 type noClaims struct{}
 
 func (noClaims) Claim(context.Context, proto.Key, uint64, proto.RequestID) (coord.Decision, []byte) {
@@ -39,7 +39,7 @@
 
 const benchToken = "token "
 
-// streamTarget answers every attempt with a stream of so many tokens, one a chunk.
+// streamTarget answers every attempt with a stream of the given number of tokens, one per chunk.
 func streamTarget(tokens int, token string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		attempt := r.Header.Get(proto.HeaderAttempt)
@@ -53,7 +53,7 @@
 	})
 }
 
-// newBenchFront returns a daemon's front before one streaming target.
+// newBenchFront returns the frontend of a daemon with one streaming target.
 func newBenchFront(tb testing.TB, tokens int) *httptest.Server {
 	tb.Helper()
 	front, _ := newFrontBefore(tb, streamTarget(tokens, benchToken), tokens, time.Minute)
@@ -112,8 +112,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkRelay is a whole streamed request over loopback, with caller, daemon and target in one process; the
-// slope over the tokens is what one token costs all three together.
+// BenchmarkRelay measures a whole streamed request over loopback, with caller, daemon and target in one process. The
+// slope over the number of tokens is the cost of one token for all three together.
 func BenchmarkRelay(b *testing.B) {
 	for _, tokens := range []int{1, 64, 256, 1024} {
 		b.Run(fmt.Sprintf("tokens=%d", tokens), func(b *testing.B) {
--- a/wire/credentials.go
+++ b/wire/credentials.go
@@ -13,23 +13,24 @@
 	"emberlead/proto"
 )
 
-// CredentialFiles name the PEM files by which daemons know each other.
+// CredentialFiles names the PEM files that daemons authenticate each other with.
 type CredentialFiles struct {
-	// Certificate and Key are the daemon's own; the certificate's common name is its VM's name.
+	// Certificate and Key are the daemon's own; the common name of the certificate is the name of its VM.
 	Certificate, Key string
-	// Authority holds the certificates of all authorities whose certificates are accepted.
+	// Authority holds the certificates of all trusted certificate authorities.
 	Authority string
-	// Revoked holds lists of revoked certificates, signed by an authority; empty if there is none.
+	// Revoked holds revocation lists, each signed by an authority; empty if there are none.
 	Revoked string
 }
 
-// Credentials are what a daemon shows other daemons and accepts of them. They follow their files while the daemon runs.
+// Credentials are the certificate that a daemon presents to other daemons and the authorities that it trusts. Changed
+// files take effect while the daemon runs.
 type Credentials struct {
 	files   CredentialFiles
 	current atomic.Pointer[credentialSet]
 }
 
-// credentialSet is what the files held at one moment.
+// credentialSet is the content of the files at one point in time.
 type credentialSet struct {
 	digest  [sha256.Size]byte
 	pair    tls.Certificate
@@ -37,12 +38,14 @@
 	revoked map[revocation]bool
 }
 
-// revocation names a certificate: authorities number theirs each for itself.
+// revocation identifies a revoked certificate; the issuer is needed since each authority assigns its own serial
+// numbers.
 type revocation struct {
 	issuer, serial string
 }
 
-// LoadCredentials reads the files; it fails with KindInvalid.
+// LoadCredentials reads the files; it fails with KindInvalid, or with KindDenied if no authority signed a revocation
+// list.
 func LoadCredentials(files CredentialFiles) (*Credentials, error) {
 	c := &Credentials{files: files}
 	if _, err := c.Reload(); err != nil {
@@ -51,7 +54,8 @@
 	return c, nil
 }
 
-// Reload reads the files again and tells whether they changed. It fails with KindInvalid, and what was read before stays.
+// Reload reads the files again and reports whether they changed. If it fails, as LoadCredentials does, the credentials
+// that were read before stay in use.
 func (c *Credentials) Reload() (bool, error) {
 	set, err := c.files.read()
 	if err != nil {
@@ -118,8 +122,8 @@
 	return all, nil
 }
 
-// revoke takes in lists of revoked certificates, each of which an authority must have signed. A list that is overdue
-// counts: to accept what it revokes would be worse.
+// revoke adds the entries of revocation lists, each of which must be signed by an authority. A list that is past its
+// next update still counts, since accepting the certificates that it revokes would be worse.
 func (s *credentialSet) revoke(text []byte, authorities []*x509.Certificate) error {
 	for block, rest := pem.Decode(text); block != nil; block, rest = pem.Decode(rest) {
 		list, err := x509.ParseRevocationList(block.Bytes)
@@ -145,7 +149,7 @@
 	return false
 }
 
-// server returns the configuration of a listener, which follows the files.
+// server returns the TLS configuration of a listener, which uses the current credentials for each handshake.
 func (c *Credentials) server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -154,7 +158,7 @@
 			return &tls.Config{
 				MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{set.pair},
 				ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: set.roots,
-				// Tickets would let a daemon come back without its certificate being looked at again.
+				// With session tickets, a daemon could resume a session without its certificate being checked again.
 				SessionTicketsDisabled: true,
 				VerifyConnection:       set.verifyNotRevoked,
 			}, nil
@@ -162,12 +166,13 @@
 	}
 }
 
-// client returns the configuration of connections to other daemons, which follows the files. Daemons are known by the
-// names of their VMs, not by addresses, since VMs are replaced: the chain is verified here, and the name by the link.
+// client returns the TLS configuration of connections to other daemons, which uses the current credentials for each
+// handshake. Daemons are identified by the names of their VMs and not by addresses, since VMs are replaced: the
+// certificate chain is verified here, and the name by the link.
 func (c *Credentials) client() *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
-		InsecureSkipVerify: true, // VerifyConnection does it, without the address.
+		InsecureSkipVerify: true, // VerifyConnection verifies the chain, without the address.
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return &c.current.Load().pair, nil
 		},
--- a/wire/credentials_test.go
+++ b/wire/credentials_test.go
@@ -35,7 +35,7 @@
 	return pair
 }
 
-// keptFiles are the files of one daemon, which a test may change.
+// keptFiles are the credential files of one daemon, which a test may change.
 type keptFiles struct {
 	t     testing.TB
 	files CredentialFiles
@@ -87,12 +87,12 @@
 	address netip.AddrPort
 }
 
-// serveCertified starts links with certificates that reach others by the addresses in a directory.
+// serveCertified starts links with certificates; directory holds the addresses of the other daemons.
 func serveCertified(t testing.TB, vm proto.VM, c *Credentials, directory map[proto.VM]proto.Alive) *certifiedLinks {
 	return serveLinks(t, LinksConfig{Self: vm, Credentials: c}, directory)
 }
 
-// servePlain is serveCertified with a key in place of certificates.
+// servePlain starts links with a shared key instead of certificates.
 func servePlain(t testing.TB, vm proto.VM, directory map[proto.VM]proto.Alive) *certifiedLinks {
 	return serveLinks(t, LinksConfig{Self: vm, SharedKey: "key"}, directory)
 }
@@ -123,7 +123,7 @@
 	return &certifiedLinks{links, netip.MustParseAddrPort(address)}
 }
 
-// asks tells whether a call to another daemon is answered.
+// asks reports whether a call to another daemon is answered.
 func (l *certifiedLinks) asks(to proto.VM) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -144,7 +144,7 @@
 		testName string
 		own      KeyPair
 		dialled  proto.VM
-		known    proto.VM // the name under which the address is known
+		known    proto.VM // the name that the address is registered under
 		want     bool
 	}{
 		{"its own", ours.make(t, "a", day), "b", "b", true},
@@ -170,7 +170,7 @@
 	}
 }
 
-// TestTheDialledDaemonIsKnownByItsCertificate has the other end accept the caller, so that the caller alone refuses.
+// TestTheDialledDaemonIsKnownByItsCertificate lets the server accept the client, so that only the client refuses.
 func TestTheDialledDaemonIsKnownByItsCertificate(t *testing.T) {
 	ours, theirs := makeAuthority(t), makeAuthority(t)
 	revoked := ours.make(t, "b", day)
@@ -201,7 +201,7 @@
 	}
 }
 
-// TestCertificatesAreReplacedWithoutAStop goes through the replacement of an authority, one daemon and one file at a time.
+// TestCertificatesAreReplacedWithoutAStop replaces an authority, one daemon and one file at a time.
 func TestCertificatesAreReplacedWithoutAStop(t *testing.T) {
 	first, second := makeAuthority(t), makeAuthority(t)
 	both := append(append([]byte{}, first.Certificate...), second.Certificate...)
@@ -240,7 +240,7 @@
 	}
 }
 
-// waitUntilAsked asks until a link that was ended a moment ago is made anew.
+// waitUntilAsked calls until a link that was just closed is opened again.
 func waitUntilAsked(t *testing.T, l *certifiedLinks, to proto.VM, step string) {
 	t.Helper()
 	for range 100 {
@@ -277,7 +277,7 @@
 	}
 }
 
-// TestFilesThatCannotBeReadLeaveWhatWasRead writes files as they are found half way through a replacement.
+// TestFilesThatCannotBeReadLeaveWhatWasRead reads files as they are halfway through a replacement.
 func TestFilesThatCannotBeReadLeaveWhatWasRead(t *testing.T) {
 	authority, other := makeAuthority(t), makeAuthority(t)
 	own := authority.make(t, "a", day)
@@ -345,7 +345,7 @@
 	}
 }
 
-// BenchmarkLinkOpened measures a new link and its first call, on both ends together.
+// BenchmarkLinkOpened measures opening a link and its first call, both ends together.
 func BenchmarkLinkOpened(b *testing.B) {
 	open := func(b *testing.B, client *certifiedLinks) {
 		for b.Loop() {
--- a/wire/dial.go
+++ b/wire/dial.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// linkConnect bounds one try at a connection to another daemon. The opening packet is lost when the other VM has no
-// power yet or a path loses packets, and the system sends it again only after a second, in which nothing that the other
-// daemon does for this one is done. Two hundred milliseconds are several times the way between regions.
+// linkConnect bounds one attempt to connect to another daemon. The SYN packet is lost when the other VM is not powered
+// on yet or the network drops packets, and the kernel retransmits it only after one second, during which the other
+// daemon does nothing for this one. 200 ms are several times the latency between regions.
 const linkConnect = 200 * time.Millisecond
 
 // dialFunc opens a connection.
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// anew returns a dialFunc that tries again when a try has brought no answer for so long, until the context ends. A
-// refusal is an answer.
+// anew returns a dialFunc that dials again when an attempt got no answer within the given time, until the context ends.
+// A refused connection is an answer.
 func (dial dialFunc) anew(each time.Duration) dialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		for {
@@ -27,7 +27,7 @@
 	}
 }
 
-// within makes one try, and tells whether it ended because it brought no answer in time.
+// within makes one attempt and reports whether it ended because no answer arrived in time.
 func (dial dialFunc) within(ctx context.Context, each time.Duration, network, address string) (conn net.Conn, unanswered bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, each)
 	defer cancel()
--- a/wire/dial_test.go
+++ b/wire/dial_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// TestAnOpeningPacketThatIsLostIsSentAnewSoon has the first tries bring no answer, as at a VM without power.
+// TestAnOpeningPacketThatIsLostIsSentAnewSoon lets the first attempts get no answer, as from a VM that is powered off.
 func TestAnOpeningPacketThatIsLostIsSentAnewSoon(t *testing.T) {
 	refused := errors.New("connection refused")
 	scenarios := []struct {
@@ -41,7 +41,7 @@
 	}
 }
 
-// TestDialingAnewEndsWithItsContext has no try bring an answer.
+// TestDialingAnewEndsWithItsContext lets no attempt get an answer.
 func TestDialingAnewEndsWithItsContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	tries := 0
--- a/wire/doc.go
+++ b/wire/doc.go
@@ -1,2 +1,3 @@
-// Package wire is the transport layer: callers' and operators' HTTP, links between daemons, and clients of the platform and of targets.
+// Package wire is the transport layer: the HTTP servers for callers and operators, the links between daemons, and the
+// clients of the platform and of targets.
 package wire
--- a/wire/driver.go
+++ b/wire/driver.go
@@ -14,14 +14,14 @@
 	"emberlead/proto"
 )
 
-// Claims claims idempotency keys.
+// Claims manages claims on idempotency keys.
 type Claims interface {
 	Claim(ctx context.Context, key proto.Key, fingerprint uint64, request proto.RequestID) (coord.Decision, []byte)
 	Settle(key proto.Key, request proto.RequestID, released bool, answer []byte)
 	Reachable(key proto.Key) bool
 }
 
-// Driver carries out an engine's actions and feeds back what comes of them.
+// Driver executes the actions of an engine and feeds their outcomes back to it as events.
 type Driver struct {
 	engine  *core.Engine
 	clock   clockwork.Clock
@@ -41,7 +41,8 @@
 	target proto.Target
 }
 
-// NewDriver returns a driver; mostBuffered bounds the bytes that wait for one slow caller, and gate runs before each event.
+// NewDriver returns a driver; mostBuffered bounds the bytes buffered for one slow caller, and gate runs before each
+// event.
 func NewDriver(engine *core.Engine, clock clockwork.Clock, targets *TargetClient, claims Claims, log hclog.Logger, mostBuffered int, gate func()) *Driver {
 	if gate == nil {
 		gate = func() {}
@@ -52,7 +53,7 @@
 	}
 }
 
-// Waiter holds what a caller is to be sent next.
+// Waiter buffers what is to be sent to a caller next.
 type Waiter struct {
 	ctx         context.Context
 	fingerprint uint64
@@ -68,10 +69,10 @@
 	finish *core.Finish
 }
 
-// Wake is signalled when there is something to take.
+// Wake returns a channel that is signaled when there is something to take.
 func (w *Waiter) Wake() <-chan struct{} { return w.wake }
 
-// Take returns the chunks that came since the last call and, once it is there, the end.
+// Take returns the chunks that arrived since the last call and, once the request has ended, its result.
 func (w *Waiter) Take() ([]core.Chunk, *core.Finish) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -81,7 +82,8 @@
 	return chunks, w.finish
 }
 
-// chunk puts chunks in order of offset, since actions of two events may be carried out at once.
+// chunk queues chunks in order of offset, since the actions of two events may be executed concurrently. It returns true
+// once, when too many bytes are buffered.
 func (w *Waiter) chunk(c core.Chunk) (slow bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -118,7 +120,7 @@
 	}
 }
 
-// Submit hands a request to the engine; spans of its attempts belong to the context's.
+// Submit hands a request to the engine; the spans of its attempts become children of the span in the context.
 func (d *Driver) Submit(ctx context.Context, a core.Arrival) *Waiter {
 	w := &Waiter{
 		ctx: context.WithoutCancel(ctx), wake: make(chan struct{}, 1), early: map[int]core.Chunk{}, most: d.most,
@@ -132,7 +134,7 @@
 	return w
 }
 
-// HandleEvent feeds an event to the engine and carries out what follows.
+// HandleEvent feeds an event to the engine and executes the resulting actions.
 func (d *Driver) HandleEvent(event core.Event) {
 	d.gate()
 	for _, action := range d.engine.Handle(d.clock.Now(), event) {
@@ -195,7 +197,7 @@
 	delete(d.attempts, id)
 }
 
-// cancel breaks the connection, and tells the target besides, which may not see the break at once.
+// cancel closes the connection and also notifies the target, which may not notice the closed connection at once.
 func (d *Driver) cancel(id proto.AttemptID) {
 	d.mu.Lock()
 	r := d.attempts[id]
@@ -223,7 +225,7 @@
 	}
 	d.HandleEvent(answered)
 	if !d.engine.HasRequest(a.Request) && answered.Result == core.ClaimGranted {
-		// The request ended while its key was being claimed, so nothing of the stage ran.
+		// The request ended while its key was being claimed, so no part of the stage ran.
 		d.claims.Settle(a.Key, a.Request, true, nil)
 	}
 }
@@ -239,7 +241,7 @@
 	coord.DecisionUnreachable: core.ClaimNoQuorum,
 }
 
-// Run ticks the engine until the context ends.
+// Run sends ticks to the engine until the context ends.
 func (d *Driver) Run(ctx context.Context, every time.Duration) {
 	ticker := d.clock.NewTicker(every)
 	defer ticker.Stop()
--- a/wire/errors.go
+++ b/wire/errors.go
@@ -2,7 +2,7 @@
 
 import "emberlead/proto"
 
-// source names this package in its errors.
+// source supplies the name of this package to its errors.
 type source struct{}
 
 // Package returns the package's name.
--- a/wire/exchange.go
+++ b/wire/exchange.go
@@ -23,28 +23,30 @@
 )
 
 const (
-	// connectWait bounds the opening of a connection: targets are a millisecond away, and one that drops the opening
-	// packet is heard of again only after a second.
+	// connectWait bounds opening a connection: targets are one millisecond away, and a dropped SYN packet is
+	// retransmitted only after one second.
 	connectWait = 200 * time.Millisecond
-	// idleMost is how long a connection rests at most when the target states no time.
+	// idleMost is how long a connection may stay idle if the target states no keep-alive timeout.
 	idleMost = 4 * time.Second
-	// idleShare is the part of the time stated by a target that a connection may rest, since both clocks run.
+	// idleShare is the fraction of the keep-alive timeout stated by a target for which a connection may stay idle; the
+	// rest is a margin, since each end measures the timeout on its own clock.
 	idleShare = 0.7
-	// onceIdle is how long a connection may have rested for a request that may run only once: were it closed just
-	// then, nobody could tell whether the request ran.
+	// onceIdle is how long a connection may have been idle to be used for a non-idempotent request: if the target
+	// closed it at that moment, it would be unknown whether the request ran.
 	onceIdle = 300 * time.Millisecond
-	// idlePerAddress bounds the connections kept to one target; targets accept some hundred from all daemons.
+	// idlePerAddress bounds the idle connections kept to one target; targets accept a few hundred from all daemons
+	// together.
 	idlePerAddress = 8
-	// inlineBody is the largest body that is written before the answer is read; larger ones are written beside, since
-	// a target may answer before it has read them.
+	// inlineBody is the largest body that is written before the response is read. Larger ones are written concurrently,
+	// since a target may respond before it has read them.
 	inlineBody = 4 << 10
-	// strayAnswers bounds the answers to other requests that are dropped before the own one.
+	// strayAnswers bounds the responses to other requests that are discarded before the matching one.
 	strayAnswers = 2
 	exchangeBuf  = 4 << 10
 )
 
-// TargetTransport sends requests to targets over connections of its own. It never sends a request twice, and it tells
-// whether any byte was written, which a general client does not.
+// TargetTransport sends requests to targets over connections of its own. Unlike a general HTTP client, it never sends a
+// request twice, and it reports whether any byte was written.
 type TargetTransport struct {
 	clock  clockwork.Clock
 	dialer net.Dialer
@@ -55,12 +57,12 @@
 	dialed, reused, stray atomic.Int64
 }
 
-// NewTargetTransport returns an exchange without connections.
+// NewTargetTransport returns a transport without open connections.
 func NewTargetTransport(clock clockwork.Clock) *TargetTransport {
 	return &TargetTransport{clock: clock, idle: map[netip.AddrPort][]*targetConn{}, dialer: net.Dialer{Timeout: connectWait, KeepAlive: -1}}
 }
 
-// TransportCounts are totals since the start.
+// TransportCounts holds totals since the start.
 type TransportCounts struct {
 	Dialed int64 `json:"dialed"`
 	Reused int64 `json:"reused"`
@@ -75,12 +77,12 @@
 type targetConn struct {
 	net.Conn
 	reader *bufio.Reader
-	since  time.Time // of its rest
+	since  time.Time
 	until  time.Time
 	used   bool
 }
 
-// quiet tells whether a resting connection is open and nothing arrived on it.
+// quiet reports whether an idle connection is open and no data has arrived on it.
 func (c *targetConn) quiet() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -133,7 +135,7 @@
 	_ = c.Close()
 }
 
-// restTime reads how long a target keeps a resting connection.
+// restTime returns how long a connection may stay idle, based on the target's Keep-Alive header.
 func restTime(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -144,7 +146,7 @@
 	return idleMost
 }
 
-// CloseIdle closes the resting connections to an address whose target has ended, which may not have closed them.
+// CloseIdle closes the idle connections to an address whose target has ended, since the target may not have closed them.
 func (e *TargetTransport) CloseIdle(to netip.AddrPort) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -154,7 +156,7 @@
 	delete(e.idle, to)
 }
 
-// CloseExpired closes connections that have rested for too long; it comes every second or so.
+// CloseExpired closes connections that have been idle for too long; it is called about once a second.
 func (e *TargetTransport) CloseExpired() {
 	now := e.clock.Now()
 	e.mu.Lock()
@@ -189,7 +191,7 @@
 	return &targetConn{Conn: conn, reader: bufio.NewReaderSize(conn, exchangeBuf)}, nil
 }
 
-// Send writes a request and returns the head of its answer; ending the context closes the connection.
+// Send writes a request and returns the status and header of its response; canceling the context closes the connection.
 func (e *TargetTransport) Send(ctx context.Context, to netip.AddrPort, out *relay.TargetRequest) (*relay.TargetResponse, error) {
 	c, err := e.connect(ctx, to, out.NonIdempotent)
 	if err != nil {
@@ -211,18 +213,18 @@
 	return &relay.TargetResponse{Status: resp.StatusCode, Header: resp.Header, Body: x}, nil
 }
 
-// Refuses tells whether an address turns connections away.
+// Refuses reports whether connections to an address are refused.
 func (e *TargetTransport) Refuses(ctx context.Context, to netip.AddrPort) bool {
 	conn, err := e.dialer.DialContext(ctx, "tcp4", to.String())
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	// Nothing was sent over it.
+	// Nothing was sent over the connection.
 	_ = conn.Close()
 	return false
 }
 
-// exchanged is an answer that is being read, and the connection that it comes on.
+// exchanged is a response that is being read, with the connection that it arrives on.
 type exchanged struct {
 	exchange *TargetTransport
 	to       netip.AddrPort
@@ -235,7 +237,7 @@
 	closed   bool
 }
 
-// write writes the head and the body, and tells whether a byte may have reached the target.
+// write writes the head and the body of a request, and reports whether any byte may have reached the target.
 func (x *exchanged) write(out *relay.TargetRequest) (sent bool, err error) {
 	var b bytes.Buffer
 	b.Grow(1024 + min(len(out.Body), inlineBody))
@@ -263,7 +265,7 @@
 	return true, nil
 }
 
-// readHead reads the head of the own answer; answers to earlier requests on the connection are dropped.
+// readHead reads the head of the matching response; responses to earlier requests on the connection are discarded.
 func (x *exchanged) readHead(out *relay.TargetRequest) (*http.Response, error) {
 	request := &http.Request{Method: out.Method}
 	for stray := 0; ; stray++ {
@@ -287,7 +289,7 @@
 	}
 }
 
-// Read reads the body; it fails with io.EOF only at its proper end.
+// Read reads the body; it returns io.EOF only at the proper end of the body.
 func (x *exchanged) Read(p []byte) (int, error) {
 	n, err := x.resp.Body.Read(p)
 	if errors.Is(err, io.EOF) {
@@ -296,7 +298,7 @@
 	return n, err
 }
 
-// Close keeps the connection for another request if this one and its answer are over.
+// Close keeps the connection for another request if the request and its response are complete, and closes it otherwise.
 func (x *exchanged) Close() error {
 	if x.closed {
 		return nil
@@ -311,7 +313,8 @@
 	return nil
 }
 
-// bodyWritten tells whether the target was sent the whole request; after an early answer the rest of it is still due.
+// bodyWritten reports whether the whole request was written; after an early response, part of the body may still be
+// unsent.
 func (x *exchanged) bodyWritten() bool {
 	if !x.beside {
 		return true
--- a/wire/exchange_test.go
+++ b/wire/exchange_test.go
@@ -18,7 +18,7 @@
 	"emberlead/relay"
 )
 
-// scriptedTarget answers each request of each connection with the bytes that a script gives, and counts both.
+// scriptedTarget answers each request on each connection with the bytes that a script returns, and counts both.
 type scriptedTarget struct {
 	listener net.Listener
 	mu       sync.Mutex
@@ -26,7 +26,7 @@
 	requests int
 }
 
-// script returns what to write for the n-th request of a connection, and whether to close it after that.
+// script returns the response to the n-th request of a connection, and whether to close the connection after it.
 type script func(conn, request int, r *http.Request) (answer string, closing bool)
 
 func newScripted(t *testing.T, s script) (*scriptedTarget, netip.AddrPort) {
@@ -164,7 +164,7 @@
 	}
 }
 
-// TestWhatGotNoAnswerIsNotSentAgain has the target close a kept connection when it has read the second request.
+// TestWhatGotNoAnswerIsNotSentAgain lets the target close a reused connection after it has read the second request.
 func TestWhatGotNoAnswerIsNotSentAgain(t *testing.T) {
 	target, to := newScripted(t, func(_, request int, r *http.Request) (string, bool) {
 		if request == 2 {
@@ -200,7 +200,8 @@
 	}
 }
 
-// TestRequestsThatRunOnceTakeOnlyFreshConnections rests a connection for longer than such a request accepts.
+// TestRequestsThatRunOnceTakeOnlyFreshConnections leaves a connection idle for longer than a non-idempotent request
+// accepts.
 func TestRequestsThatRunOnceTakeOnlyFreshConnections(t *testing.T) {
 	target, to := newScripted(t, func(_, _ int, r *http.Request) (string, bool) { return whole(r.Header.Get(headerID), "ok"), false })
 	clock := clockwork.NewFakeClock()
@@ -259,7 +260,7 @@
 	}
 }
 
-// TestAnEarlyAnswerLeavesTheConnection has a target answer before it has read a long body.
+// TestAnEarlyAnswerLeavesTheConnection lets a target respond before it has read a long body.
 func TestAnEarlyAnswerLeavesTheConnection(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -291,7 +292,7 @@
 	}
 }
 
-// TestEndingTheContextEndsTheWork cancels a request that a target works on.
+// TestEndingTheContextEndsTheWork cancels a request that a target is working on.
 func TestEndingTheContextEndsTheWork(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -321,8 +322,8 @@
 	<-closed
 }
 
-// TestConnectionsToATargetThatEndedAreNotKept has a target end whose resting connections were not closed, as one does
-// whose VM lost power.
+// TestConnectionsToATargetThatEndedAreNotKept ends a target whose idle connections were not closed, as happens when its
+// VM loses power.
 func TestConnectionsToATargetThatEndedAreNotKept(t *testing.T) {
 	e := NewTargetTransport(clockwork.NewFakeClock())
 	to, other := netip.MustParseAddrPort("10.0.0.1:80"), netip.MustParseAddrPort("10.0.0.2:80")
--- a/wire/front.go
+++ b/wire/front.go
@@ -34,25 +34,25 @@
 	prefixMostLen = 256
 )
 
-// FrontendLimits bound what callers can ask for.
+// FrontendLimits bounds the resources that callers can use.
 type FrontendLimits struct {
-	MaxBodyBytes     int64 // bytes
+	MaxBodyBytes     int64
 	MaxOpenRequests  int64 // requests in progress
-	MaxBufferedBytes int   // bytes that wait for one slow caller
+	MaxBufferedBytes int   // bytes buffered for one slow caller
 	ReadTimeout      time.Duration
-	// WriteWait is how long one write to a caller may take.
+	// WriteTimeout is how long one write to a caller may take.
 	WriteTimeout time.Duration
 }
 
-// ReadinessChecker tells whether a daemon takes requests.
+// ReadinessChecker reports whether a daemon accepts requests.
 type ReadinessChecker interface {
-	// Ready tells the platform's balancer whether to send requests, and else why not.
+	// Ready tells the platform's load balancer whether to send requests, and if not, why.
 	Ready() (ok bool, reason string)
-	// Accepts returns nil, or why a request that came all the same is refused.
+	// Accepts returns nil, or why a request that arrives anyway is refused.
 	Accepts() *proto.Failure
 }
 
-// Frontend serves callers by HTTP.
+// Frontend serves callers over HTTP.
 type Frontend struct {
 	driver *Driver
 	engine *core.Engine
@@ -66,7 +66,8 @@
 	random *rand.Rand
 }
 
-// NewFrontend returns the callers' side of a daemon; seed makes the identifiers of its requests differ from other daemons'.
+// NewFrontend returns the HTTP frontend of a daemon; seed makes its request identifiers differ from those of other
+// daemons.
 func NewFrontend(driver *Driver, engine *core.Engine, clock clockwork.Clock, log hclog.Logger, limits FrontendLimits, keeper ReadinessChecker, seed uint64) *Frontend {
 	return &Frontend{
 		driver: driver, engine: engine, clock: clock, log: log, limits: limits, keeper: keeper,
@@ -74,7 +75,7 @@
 	}
 }
 
-// Handler returns the callers' routes and those that the platform's balancer asks.
+// Handler returns the routes for callers and for the health checks of the platform's load balancer.
 func (f *Frontend) Handler() http.Handler {
 	e := echo.New()
 	e.HideBanner = true
@@ -92,7 +93,7 @@
 	return c.String(http.StatusOK, "ready\n")
 }
 
-// OpenRequests returns the number of callers' requests in progress.
+// OpenRequests returns the number of caller requests in progress.
 func (f *Frontend) OpenRequests() int64 { return f.open.Load() }
 
 func (f *Frontend) httpError(err error, c echo.Context) {
@@ -146,7 +147,7 @@
 	return nil
 }
 
-// read checks everything about a request that can be checked before it is run.
+// read makes all checks of a request that are possible before it is run.
 func (f *Frontend) read(c echo.Context) (*core.Arrival, *proto.Failure) {
 	workspace := c.Param("workspace")
 	if !f.authentic(c.Request(), workspace) {
@@ -174,7 +175,7 @@
 	return core.NewRequestID(f.clock.Now(), f.random)
 }
 
-// authentic looks the key up by its hash; the comparison of the workspace takes the same time whatever it is.
+// authentic looks the key up by its hash; the workspace is compared in constant time.
 func (f *Frontend) authentic(r *http.Request, workspace string) bool {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || key == "" {
@@ -229,7 +230,7 @@
 	return nil
 }
 
-// prefixOf returns what names the shared beginning of a prompt: the member prefix, if the input has one.
+// prefixOf returns the name of the shared beginning of a prompt: the member prefix of the input, if there is one.
 func prefixOf(body []byte) string {
 	var input struct {
 		Prefix string `json:"prefix"`
@@ -240,7 +241,8 @@
 	return input.Prefix[:min(len(input.Prefix), prefixMostLen)]
 }
 
-// answer passes on what comes until the request ends or the caller leaves.
+// answer sends the caller the chunks and the result of its request. If the caller disconnects, it reports that to the
+// engine and waits for the request to end.
 func (f *Frontend) answer(c echo.Context, w *Waiter, a *core.Arrival) *proto.Failure {
 	gone := c.Request().Context().Done()
 	for {
@@ -264,7 +266,7 @@
 	}
 }
 
-// pass writes all chunks that have come since the last time, and sends them with one flush.
+// pass writes all chunks that arrived since the last call, with a single flush.
 func (f *Frontend) pass(c echo.Context, chunks []core.Chunk) error {
 	if len(chunks) == 0 {
 		return nil
@@ -281,12 +283,13 @@
 	})
 }
 
-// setGeneration tells the caller which configuration its request ran under; once the header is sent it has no effect.
+// setGeneration tells the caller the configuration generation that its request ran under; it has no effect once the
+// header is sent.
 func setGeneration(c echo.Context, g proto.Generation) {
 	c.Response().Header().Set(proto.HeaderGeneration, strconv.FormatUint(uint64(g), 10))
 }
 
-// streamChunk is one event of a streamed answer.
+// streamChunk is one event of a streamed response.
 type streamChunk struct {
 	Offset int    `json:"offset"`
 	Text   string `json:"text"`
@@ -313,13 +316,13 @@
 	})
 }
 
-// write bounds how long a caller that does not read can hold the handler.
+// write bounds how long a caller that does not read can block the handler.
 func (f *Frontend) write(c echo.Context, fn func() error) error {
 	_ = http.NewResponseController(c.Response()).SetWriteDeadline(time.Now().Add(f.limits.WriteTimeout))
 	return fn()
 }
 
-// writeEvent writes one event, and the header before the first; the caller flushes.
+// writeEvent writes one server-sent event, and the response header before the first; the caller flushes.
 func writeEvent(w *echo.Response, name string, id int, value any) error {
 	if !w.Committed {
 		w.Header().Set(echo.HeaderContentType, mimeEvents)
@@ -340,7 +343,7 @@
 	return nil
 }
 
-// WaitIdle waits until no caller's request is in progress; it fails with KindUnavailable when the context ends.
+// WaitIdle waits until no caller request is in progress; it fails with KindUnavailable when the context ends.
 func (f *Frontend) WaitIdle(ctx context.Context) error {
 	ticker := f.clock.NewTicker(20 * time.Millisecond)
 	defer ticker.Stop()
--- a/wire/keepalive.go
+++ b/wire/keepalive.go
@@ -6,25 +6,26 @@
 	"time"
 )
 
-// Figures of the check that the other end of an open connection is still there. A path may swallow what is sent on an
-// old connection for good and give no error, while new connections work.
+// Parameters of the check that the other end of an open connection is still reachable. The network may drop everything
+// that is sent on an old connection, permanently and without an error, while new connections work.
 const (
-	// quietMost is how long bytes may stay unacknowledged before the connection counts as dead, in which time a lost
-	// packet is sent again some three times. News of targets and configuration must arrive within two seconds, so a
-	// watch of the store that went silent must not outlast that.
+	// quietMost is how long data may stay unacknowledged before the connection counts as dead; a lost packet is
+	// retransmitted about three times in this period. News of targets and configuration must arrive within two seconds,
+	// so a watch of the store whose connection went silent must fail in less time.
 	quietMost = 1200 * time.Millisecond
-	// quietProbe is the pause before and between probes on a connection without traffic, the least that systems know.
+	// quietProbe is the pause before the first probe and between probes on an idle connection, the shortest that
+	// operating systems support.
 	quietProbe = time.Second
-	// quietProbes is how many probes without an answer end a connection.
+	// quietProbes is the number of unanswered probes that end a connection.
 	quietProbes = 2
 )
 
-// tcpUserTimeout is the option that bounds how long bytes may stay unacknowledged, in milliseconds; the standard
-// library names it for no system.
+// tcpUserTimeout is the TCP_USER_TIMEOUT socket option, which bounds how long data may stay unacknowledged, in
+// milliseconds; the standard library defines it for no system.
 const tcpUserTimeout = 18
 
-// NewDialer returns a dialer whose connections fail by themselves when their other end falls silent; timeout bounds the
-// opening of one.
+// NewDialer returns a dialer whose connections fail on their own when the other end stops responding; timeout bounds
+// opening a connection.
 func NewDialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:         timeout,
@@ -33,7 +34,7 @@
 	}
 }
 
-// boundSilence sets the bound on a socket that is about to be connected. A system without the option has the probes.
+// boundSilence sets the option on a socket before it is connected. A system without the option relies on the probes.
 func boundSilence(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
 		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(quietMost.Milliseconds()))
--- a/wire/keepalive_test.go
+++ b/wire/keepalive_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// TestADialedConnectionNoticesSilence reads the options back: a silent path cannot be made on the loopback interface.
+// TestADialedConnectionNoticesSilence reads the socket options back, since a connection on the loopback interface
+// cannot be made silent.
 func TestADialedConnectionNoticesSilence(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/wire/kinds.go
+++ b/wire/kinds.go
@@ -7,7 +7,7 @@
 	"emberlead/proto"
 )
 
-// KindCount is how many messages of a kind were queued for other daemons since the start, and their bytes.
+// KindCount counts the messages of one kind that were queued for other daemons since the start, and their bytes.
 type KindCount struct {
 	Messages int64 `json:"messages"`
 	Bytes    int64 `json:"bytes"`
--- a/wire/linkauth.go
+++ b/wire/linkauth.go
@@ -14,10 +14,10 @@
 	"emberlead/proto"
 )
 
-// tlsAlert is how the standard library names an alert of the other end.
+// tlsAlert is the operation that the standard library's errors state for a TLS alert from the other end.
 const tlsAlert = "remote error"
 
-// ServerTLS returns what the listener of Handler is set up with; nil if other daemons come without certificates.
+// ServerTLS returns the TLS configuration for the listener of Handler; nil if Credentials are not used.
 func (l *Links) ServerTLS() *tls.Config {
 	if l.credentials == nil {
 		return nil
@@ -25,7 +25,7 @@
 	return l.credentials.server()
 }
 
-// authentic checks the shared key, and with TLS that the certificate is for the VM that the peer says it is.
+// authentic checks the shared key or, with TLS, that the certificate is for the VM that the peer claims to be.
 func (l *Links) authentic(r *http.Request, from proto.VM) bool {
 	if from == "" {
 		return false
@@ -37,7 +37,7 @@
 	return subtle.ConstantTimeCompare([]byte(given), []byte("Bearer "+l.key)) == 1
 }
 
-// Reconnect ends all connections, so that each is made anew with the credentials of now.
+// Reconnect closes all connections, so that they are opened again with the current credentials.
 func (l *Links) Reconnect() {
 	l.mu.Lock()
 	for _, lk := range l.links {
@@ -46,11 +46,11 @@
 	accepted := slices.Collect(maps.Keys(l.accepted))
 	l.mu.Unlock()
 	for _, conn := range accepted {
-		_ = conn.CloseNow() // It may have ended just now.
+		_ = conn.CloseNow() // It may have just been closed.
 	}
 }
 
-// keep notes a connection that another daemon has dialled, until it is forgotten.
+// keep registers a connection opened by another daemon, until forget removes it.
 func (l *Links) keep(conn *websocket.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,13 +63,13 @@
 	delete(l.accepted, conn)
 }
 
-// isRefusal tells whether a connection failed since one end did not accept the other's certificate.
+// isRefusal reports whether a connection failed because one end did not accept the other's certificate.
 func isRefusal(err error) bool {
 	var alert *net.OpError
 	return proto.KindOf(err) == proto.KindDenied || errors.As(err, &alert) && alert.Op == tlsAlert
 }
 
-// noteRefusal logs when certificates come to be refused on the way to a daemon, once until one is accepted.
+// noteRefusal logs a refused certificate on connections to a daemon, once until a certificate is accepted again.
 func (l *Links) noteRefusal(to proto.VM, refused bool, err error) {
 	l.mu.Lock()
 	before := l.refused[to]
@@ -80,8 +80,8 @@
 	}
 }
 
-// checkName tells whether the daemon that answered a call is the one that it is for, by its certificate. Of a seed only the
-// address is known, so that any daemon of the deployment will do.
+// checkName checks by its certificate that the daemon that answered is the intended one. Of a seed only the address is
+// known, so any daemon of the deployment is accepted.
 func (l *Links) checkName(resp *http.Response, vm proto.VM) error {
 	if l.credentials == nil || vm == "" {
 		return nil
--- a/wire/links.go
+++ b/wire/links.go
@@ -34,16 +34,17 @@
 	BytesOut int64 `json:"bytesOut"`
 	BytesIn  int64 `json:"bytesIn"`
 	Dropped  int64 `json:"dropped"`
-	// Kinds are what was queued to be sent, by kind of message.
+	// Kinds counts the messages queued for sending, by kind of message.
 	Kinds map[string]KindCount `json:"kinds,omitempty"`
 }
 
-// Links carries messages to other daemons over WebSocket. Each daemon dials for what it sends; answers come back on the same connection.
+// Links carries messages to other daemons over WebSocket. Each daemon opens a connection for the messages that it
+// sends; answers come back on the same connection.
 type Links struct {
 	self proto.VM
 	key  string
 	tls  *tls.Config
-	// credentials stand behind tls if daemons are known by certificates that may change; nil otherwise.
+	// credentials back tls if daemons authenticate with certificates that may change; nil otherwise.
 	credentials *Credentials
 	log         hclog.Logger
 	client      *http.Client
@@ -54,10 +55,10 @@
 	mu    sync.Mutex
 	links map[proto.VM]*link
 	cut   map[proto.VM]bool
-	// accepted are the connections that other daemons have dialled.
+	// accepted are the connections opened by other daemons.
 	accepted map[*websocket.Conn]bool
 	closed   bool
-	// refused are the daemons on the way to which a certificate was not accepted last.
+	// refused are the daemons for which a certificate was refused on the last attempt to connect.
 	refused map[proto.VM]bool
 	calls   atomic.Uint64
 
@@ -66,23 +67,23 @@
 	kinds kindCounts
 }
 
-// LinksConfig is what Links are made from.
+// LinksConfig configures Links.
 type LinksConfig struct {
 	Self proto.VM
-	// Key is the shared key that daemons on loopback authenticate with.
+	// SharedKey is the bearer key that daemons on the loopback interface authenticate with.
 	SharedKey string
 	// TLS holds the certificate and the authority for mutual authentication, if set.
 	TLS *tls.Config
-	// Credentials are used in place of TLS, if set.
+	// Credentials replaces TLS, if set.
 	Credentials *Credentials
 	Log         hclog.Logger
 	Resolve     func(proto.VM) (proto.Alive, bool)
 	Handle      func(context.Context, proto.VM, proto.Message) proto.Message
-	// Gate runs before each message is taken in.
+	// BeforeMessage runs before each received message is handled.
 	BeforeMessage func()
 }
 
-// NewLinks returns links that dial when something is sent.
+// NewLinks returns links that connect when the first message is sent.
 func NewLinks(c LinksConfig) *Links {
 	l := &Links{
 		self: c.Self, key: c.SharedKey, tls: c.TLS, log: c.Log, resolve: c.Resolve, handle: c.Handle, gate: c.BeforeMessage,
@@ -110,7 +111,7 @@
 	}
 }
 
-// SetPartitioned drops everything to and from a daemon, or stops doing so; tests use it.
+// SetPartitioned drops all messages to and from a daemon, or stops doing so; for tests.
 func (l *Links) SetPartitioned(vm proto.VM, cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -123,7 +124,7 @@
 	return l.cut[vm]
 }
 
-// Close ends all links.
+// Close closes the links to all other daemons.
 func (l *Links) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -139,7 +140,7 @@
 	outbox chan []byte
 	ctx    context.Context
 	cancel context.CancelFunc
-	// broken says that the other daemon could not be reached a moment ago, so that calls fail at once.
+	// broken means that the other daemon could not be reached a moment ago, so that calls fail at once.
 	broken atomic.Bool
 	mu     sync.Mutex
 	calls  map[uint64]chan proto.Message
@@ -182,7 +183,7 @@
 	}
 }
 
-// Send queues a message and returns at once; when the queue is full the message is dropped and counted.
+// Send queues a message and returns at once; if the queue is full, the message is dropped and counted.
 func (l *Links) Send(to proto.VM, m proto.Message) {
 	data, err := proto.Encode(m, 0, false, "")
 	if err != nil {
@@ -265,7 +266,7 @@
 	conn, err := lk.dial()
 	if err != nil {
 		l.log.Trace("a link cannot be made", "to", lk.to, "error", err)
-		// Messages of the next moments are dropped with this link instead of dialling for each.
+		// Messages queued within this time are dropped together with this link, so that not each of them dials.
 		lk.failCalls()
 		select {
 		case <-time.After(redialAfter):
@@ -309,7 +310,7 @@
 	err = l.checkName(resp, alive.VM)
 	l.noteRefusal(lk.to, err != nil, err)
 	if err != nil {
-		_ = conn.CloseNow() // Nothing was sent over it.
+		_ = conn.CloseNow() // Nothing was sent over the connection.
 		return nil, err
 	}
 	if resp.Body != nil {
--- a/wire/operator.go
+++ b/wire/operator.go
@@ -18,7 +18,7 @@
 	"emberlead/proto"
 )
 
-// Paths of the operators' listener.
+// Paths of the operator API.
 const (
 	PathStatus = "/v1/status"
 	PathConfig = "/v1/config"
@@ -28,7 +28,7 @@
 	PathVars   = "/debug/vars"
 )
 
-// Status is what a daemon tells operators about itself.
+// Status is what a daemon reports about itself to operators.
 type Status struct {
 	VM            proto.VM            `json:"vm"`
 	Zone          proto.Zone          `json:"zone"`
@@ -45,7 +45,7 @@
 	Pools         []core.PoolStatus   `json:"pools"`
 }
 
-// DaemonStatus is how a daemon sees another.
+// DaemonStatus describes another daemon as seen by this one.
 type DaemonStatus struct {
 	VM       proto.VM   `json:"vm"`
 	Zone     proto.Zone `json:"zone"`
@@ -53,7 +53,7 @@
 	Stopping bool       `json:"stopping,omitempty"`
 }
 
-// FileStatus is one accepted file.
+// FileStatus describes one accepted configuration file.
 type FileStatus struct {
 	Name       string           `json:"name"`
 	Generation proto.Generation `json:"generation"`
@@ -62,20 +62,20 @@
 	At         time.Time        `json:"at"`
 }
 
-// ConfigStatus is the configuration in force at a daemon.
+// ConfigStatus is the configuration in effect at a daemon.
 type ConfigStatus struct {
 	Generation proto.Generation `json:"generation"`
 	Files      []FileStatus     `json:"files"`
 	Stops      []proto.StopPlan `json:"stops"`
 }
 
-// OperatorError is the body of an error answer to operators.
+// OperatorError is the body of an error response to operators.
 type OperatorError struct {
 	Kind  proto.Kind `json:"kind"`
 	Error string     `json:"error"`
 }
 
-// OperatorAPI serves operators by HTTP.
+// OperatorAPI serves operators over HTTP.
 type OperatorAPI struct {
 	node   *coord.Node
 	key    string
@@ -83,12 +83,12 @@
 	status func() Status
 }
 
-// NewOperatorAPI returns the operators' side of a daemon.
+// NewOperatorAPI returns the operator API of a daemon.
 func NewOperatorAPI(node *coord.Node, key string, log hclog.Logger, status func() Status) *OperatorAPI {
 	return &OperatorAPI{node: node, key: key, log: log, status: status}
 }
 
-// Handler returns the operators' routes.
+// Handler returns the routes for operators.
 func (o *OperatorAPI) Handler() http.Handler {
 	e := echo.New()
 	e.HideBanner = true
@@ -192,7 +192,8 @@
 	vars   = map[string]func() any{}
 )
 
-// PublishVars publishes a daemon's measures under its name; a later daemon of the same name in the process takes the name over.
+// PublishVars publishes a daemon's metrics under its name; a later daemon of the same name in the process replaces
+// them.
 func PublishVars(name string, fn func() any) {
 	varsMu.Lock()
 	defer varsMu.Unlock()
@@ -209,7 +210,7 @@
 	}))
 }
 
-// Shutdown stops a server once its requests are done, and closes it when the context ends first.
+// Shutdown stops a server once its requests are done, and closes it if the context ends first.
 func Shutdown(ctx context.Context, s *http.Server) {
 	if s.Shutdown(ctx) != nil {
 		_ = s.Close()
--- a/wire/platform.go
+++ b/wire/platform.go
@@ -20,15 +20,15 @@
 	"emberlead/proto"
 )
 
-// PlatformLimits bound what one daemon asks of the platform.
+// PlatformLimits bounds what one daemon requests from the platform.
 type PlatformLimits struct {
-	ReadsPerSecond  float64 // a second
-	WritesPerSecond float64 // a second
+	ReadsPerSecond  float64
+	WritesPerSecond float64
 	Burst           int
-	CallTimeout     time.Duration // the longest that one call may take, retries included
+	CallTimeout     time.Duration // upper bound for one call, including retries
 }
 
-// DefaultPlatformLimits returns limits under which eight daemons stay far below the platform's own.
+// DefaultPlatformLimits returns limits that keep eight daemons far below the platform's own limits.
 func DefaultPlatformLimits() PlatformLimits {
 	return PlatformLimits{ReadsPerSecond: 20, WritesPerSecond: 5, Burst: 20, CallTimeout: 2 * time.Second}
 }
@@ -69,7 +69,7 @@
 	write  bool
 }
 
-// do sends a call. Reads, and writes that were certainly not sent, are tried again with jitter until the wait is over.
+// do sends a call. Reads, and writes that were certainly not sent, are retried with jitter until the time is up.
 func (p *PlatformClient) do(ctx context.Context, call platformCall) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.limits.CallTimeout)
 	defer cancel()
@@ -132,7 +132,7 @@
 	return data, statusError(call.op, resp.StatusCode, data)
 }
 
-// lostKind tells a write that may have taken effect from a call that can be made again.
+// lostKind distinguishes a write that may have taken effect from a call that can be repeated.
 func lostKind(maybeWritten bool) proto.Kind {
 	if maybeWritten {
 		return proto.KindUnknown
@@ -167,7 +167,7 @@
 	return value, nil
 }
 
-// Read returns a row; one that does not exist has version 0. It fails with KindUnavailable.
+// Read returns a row; a row that does not exist has version 0. It fails with KindUnavailable.
 func (p *PlatformClient) Read(ctx context.Context, key string) (proto.Row, error) {
 	data, err := p.do(ctx, platformCall{op: "read row", method: http.MethodGet, path: proto.PathRows, query: url.Values{"key": {key}}})
 	return decode[proto.Row]("read row", data, err)
@@ -180,7 +180,7 @@
 	return decode[proto.RowList]("list rows", data, err)
 }
 
-// Transact carries out a transaction; it fails with KindConflict, KindUnavailable, or KindUnknown if the answer was lost.
+// Transact executes a transaction; it fails with KindConflict, KindUnavailable, or KindUnknown if the answer was lost.
 func (p *PlatformClient) Transact(ctx context.Context, tx proto.Transaction) error {
 	body, err := json.Marshal(tx)
 	if err != nil {
@@ -190,7 +190,7 @@
 	return err
 }
 
-// Put stores an object under its hash; storing it twice is harmless, so a lost answer is tried again.
+// Put stores an object under its hash; storing it twice is harmless, so it is retried if the answer was lost.
 func (p *PlatformClient) Put(ctx context.Context, hash string, data []byte) error {
 	_, err := p.do(ctx, platformCall{op: "put object", method: http.MethodPut, path: proto.PathObjects + "/" + hash, body: data, write: true})
 	if proto.KindOf(err) == proto.KindUnknown {
@@ -204,7 +204,7 @@
 	return p.do(ctx, platformCall{op: "get object", method: http.MethodGet, path: proto.PathObjects + "/" + hash})
 }
 
-// VMs returns the platform's VM list, which is late. It fails with KindUnavailable.
+// VMs returns the platform's VM list, which lags behind. It fails with KindUnavailable.
 func (p *PlatformClient) VMs(ctx context.Context) (proto.VMList, error) {
 	data, err := p.do(ctx, platformCall{op: "list vms", method: http.MethodGet, path: proto.PathVMs})
 	return decode[proto.VMList]("list vms", data, err)
--- a/wire/severed_test.go
+++ b/wire/severed_test.go
@@ -15,11 +15,11 @@
 	"emberlead/proto"
 )
 
-// severable passes connections on until it is told to swallow what comes over those that are open.
+// severable is a proxy that forwards connections until it is told to drop everything that is sent over the open ones.
 type severable struct {
 	listener net.Listener
 	to       string
-	severed  atomic.Int64 // connections up to that number are silent
+	severed  atomic.Int64 // connections up to this number are silent
 	accepted atomic.Int64
 
 	mu    sync.Mutex
@@ -78,10 +78,10 @@
 	}
 }
 
-// sever has all open connections fall silent.
+// sever makes all open connections silent.
 func (p *severable) sever() { p.severed.Store(p.accepted.Load()) }
 
-// report ends the open connections, as the system does with those whose probes bring no answer.
+// report closes the open connections, as the kernel does with those whose probes are not answered.
 func (p *severable) report() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,9 +91,9 @@
 	p.conns = nil
 }
 
-// TestALinkThatFallsSilentIsMadeAnew has the connections between two daemons fall silent for good, while new ones work. The loopback
-// interface acknowledges what a proxy swallows, so the test reports the silence itself; that the system does so is
-// read from the options in TestADialedConnectionNoticesSilence.
+// TestALinkThatFallsSilentIsMadeAnew guards against a link that stays unusable when the connections between two daemons
+// go silent for good while new ones work. The loopback interface acknowledges what the proxy drops, so the test closes
+// the silent connections itself; TestADialedConnectionNoticesSilence checks the options by which the kernel does so.
 func TestALinkThatFallsSilentIsMadeAnew(t *testing.T) {
 	var heard atomic.Int64
 	other := NewLinks(LinksConfig{
@@ -124,7 +124,7 @@
 		}
 	}
 	reach()
-	// Whatever is still on its way arrives before the connection falls silent.
+	// Data in flight must arrive before the connection goes silent.
 	if _, err := l.Call(t.Context(), "b", proto.RoutingAsk{}); err != nil {
 		t.Fatal(err)
 	}
--- a/wire/targets.go
+++ b/wire/targets.go
@@ -33,7 +33,7 @@
 	attemptAllowance = 50 * time.Millisecond
 )
 
-// countingConn counts the bytes written, because a refusal is only certain while there were none.
+// countingConn counts the bytes written, because a request certainly did not run only if there were none.
 type countingConn struct {
 	net.Conn
 	written atomic.Int64
@@ -44,7 +44,7 @@
 	return c.Conn.Write(p)
 }
 
-// TargetClient runs attempts at targets by HTTP.
+// TargetClient runs attempts at targets over HTTP.
 type TargetClient struct {
 	reused *http.Client
 	fresh  *http.Client
@@ -59,7 +59,7 @@
 	return t
 }
 
-// Abort breaks all connections to targets, as the end of the process would.
+// Abort closes all connections to targets, as the end of the process would.
 func (t *TargetClient) Abort() { t.abort() }
 
 func targetClient(fresh bool) *http.Client {
@@ -82,7 +82,7 @@
 	}}
 }
 
-// sentWatch tells whether any byte of a request was written to a connection.
+// sentWatch detects whether any byte of a request was written to a connection.
 type sentWatch struct {
 	conn   atomic.Pointer[countingConn]
 	before atomic.Int64
@@ -102,7 +102,7 @@
 	return conn != nil && conn.written.Load() > w.before.Load()
 }
 
-// Run carries out an attempt and feeds chunks and its end to emit; the end is the last event.
+// Run executes an attempt and passes its chunks and its end to emit; the end is the last event.
 func (t *TargetClient) Run(ctx context.Context, start *core.Start, mayRepeat bool, emit func(core.Event)) {
 	ctx, s := span(ctx, "attempt", trace.SpanKindClient,
 		attribute.String("emberlead.stage", start.Stage.Name),
@@ -127,7 +127,7 @@
 	if err != nil {
 		return core.AttemptEnded{Status: core.StatusNotStarted, Reason: err.Error()}
 	}
-	// A reused connection may have been closed unseen, which leaves a written request in doubt.
+	// A reused connection may have been closed unnoticed, and it is then unknown whether a written request ran.
 	client := t.reused
 	if !mayRepeat {
 		client = t.fresh
@@ -158,7 +158,7 @@
 	if err != nil {
 		return nil, &Error{Op: "encode attempt", Kind: proto.KindInvalid, Err: err}
 	}
-	// Without GetBody the transport cannot send the body again by itself.
+	// Without GetBody the transport cannot resend the body on its own.
 	req.GetBody = nil
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(proto.HeaderAttempt, start.ID.String())
@@ -195,7 +195,7 @@
 	return answered(&answer, start, emit)
 }
 
-// readRefusal believes a target that says it never started; any other error means that it may have run.
+// readRefusal trusts a target that states that the request did not start; after any other error it may have run.
 func readRefusal(resp *http.Response) core.AttemptEnded {
 	var refusal proto.RunRefusal
 	err := json.NewDecoder(io.LimitReader(resp.Body, maxEventLine)).Decode(&refusal)
@@ -271,7 +271,8 @@
 	return "", nil, io.ErrUnexpectedEOF
 }
 
-// Cancel tells a target that an attempt is no longer wanted; a failure is of no consequence, since its answer is dropped anyway.
+// Cancel tells a target that an attempt is no longer wanted. A failure does not matter, since the answer of the attempt
+// is discarded anyway.
 func (t *TargetClient) Cancel(ctx context.Context, address netip.AddrPort, attempt proto.AttemptID) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
@@ -336,7 +337,7 @@
 	return err
 }
 
-// SendRequest sends a request outside the targets' protocol, as trials by hand do; it fails with KindUnavailable.
+// SendRequest sends a request outside the protocol of the targets, as manual trials do; it fails with KindUnavailable.
 func (t *TargetClient) SendRequest(ctx context.Context, method string, address netip.AddrPort, path string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
--- a/wire/tls_test.go
+++ b/wire/tls_test.go
@@ -50,7 +50,7 @@
 	return a
 }
 
-// config returns what a daemon of a VM is set up with.
+// config returns the TLS configuration of the daemon on a VM.
 func (a *authority) config(t *testing.T, vm proto.VM) *tls.Config {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -72,7 +72,7 @@
 	}
 }
 
-// With TLS a peer is who its certificate says it is, signed by the common authority.
+// TestPeersByCertificate checks that with TLS a peer is identified by its certificate, signed by the common authority.
 func TestPeersByCertificate(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
 	answer := func(context.Context, proto.VM, proto.Message) proto.Message {
--- a/wire/trace.go
+++ b/wire/trace.go
@@ -16,7 +16,7 @@
 
 const tracerName = "emberlead"
 
-// Exporter names where traces go.
+// Exporter selects where traces are sent.
 type Exporter string
 
 // Exporters of traces.
@@ -28,7 +28,7 @@
 
 var propagator = propagation.TraceContext{}
 
-// NewTracerProvider returns a tracer provider for an exporter, whose Shutdown sends what is left; it fails with KindInvalid.
+// NewTracerProvider returns a tracer provider for an exporter; its Shutdown sends the remaining spans. It fails with KindInvalid.
 func NewTracerProvider(ctx context.Context, exporter Exporter, endpoint string, fraction float64) (*sdktrace.TracerProvider, error) {
 	sampler := sdktrace.ParentBased(sdktrace.TraceIDRatioBased(fraction))
 	switch exporter {
@@ -48,7 +48,7 @@
 	return sdktrace.NewTracerProvider(sdktrace.WithSampler(sdktrace.NeverSample())), nil
 }
 
-// SetTracerProvider makes a provider the one that all spans go to.
+// SetTracerProvider sets the global tracer provider.
 func SetTracerProvider(provider *sdktrace.TracerProvider) { otel.SetTracerProvider(provider) }
 
 func span(ctx context.Context, name string, kind trace.SpanKind, attrs ...attribute.KeyValue) (context.Context, trace.Span) {
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -28,7 +28,7 @@
 	return netip.MustParseAddrPort(strings.TrimPrefix(url, "http://"))
 }
 
-// Whatever a caller sends, it gets a clear problem document, and nothing is run.
+// TestHostileCallers checks that every invalid request gets a clear problem document, and that nothing is run.
 func TestHostileCallers(t *testing.T) {
 	front := newBenchFront(t, 1)
 	old := uuid.MustParse("f47ac10b-58cc-4372-a567-0e02b2c3d479")
@@ -90,7 +90,8 @@
 	return last
 }
 
-// A refusal is certain only while no byte was written, or by the target's own word.
+// TestWhatIsCertainOfAnAttempt checks that an attempt counts as not started only if no byte was written or the target
+// says so.
 func TestWhatIsCertainOfAnAttempt(t *testing.T) {
 	refused, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -146,7 +147,8 @@
 	_ = json.NewEncoder(w).Encode(proto.RunRefusal{Outcome: outcome})
 }
 
-// A write whose answer is lost is told apart from one that failed, and is not sent again.
+// TestPlatformClient checks that a write whose answer is lost is distinguished from one that failed, and is not sent
+// again.
 func TestPlatformClient(t *testing.T) {
 	store := fakes.NewStore()
 	server := httptest.NewServer(fakes.NewPlatform(store).Handler())
@@ -182,7 +184,8 @@
 	}
 }
 
-// Only a peer with the key is let in, and a call is answered over the connection that it came by.
+// TestPeersAuthenticate checks that only a peer with the key is accepted, and that a call is answered over the
+// connection that it arrived on.
 func TestPeersAuthenticate(t *testing.T) {
 	answer := func(_ context.Context, from proto.VM, _ proto.Message) proto.Message {
 		return proto.ChangesAnswer{Generation: proto.Generation(len(from))}
@@ -201,14 +204,14 @@
 		if got, ok := m.(proto.ChangesAnswer); want != (err == nil && ok && got.Generation == 3) {
 			t.Errorf("key %q: %+v %v", key, m, err)
 		}
-		// Without the line, daemons with different keys would work apart from each other unnoticed.
+		// Without this line, daemons with different keys would stay apart unnoticed.
 		if told := strings.Contains(log.String(), "does not accept this one's key"); told == want {
 			t.Errorf("key %q: the log says so: %v", key, told)
 		}
 	}
 }
 
-// Each hop has a span in the caller's trace, and the target is given the context.
+// TestTraceGoesThrough checks that each hop has a span in the caller's trace, which the target's context belongs to.
 func TestTraceGoesThrough(t *testing.T) {
 	recorder := tracetest.NewSpanRecorder()
 	SetTracerProvider(sdktrace.NewTracerProvider(sdktrace.WithSpanProcessor(recorder)))
@@ -227,7 +230,7 @@
 	}
 	_, _ = io.Copy(io.Discard, resp.Body)
 	_ = resp.Body.Close()
-	// The spans end just after the answer was sent.
+	// The spans end shortly after the response was sent.
 	front.Close()
 	names := map[string]bool{}
 	for _, s := range recorder.Ended() {
@@ -240,7 +243,8 @@
 	}
 }
 
-// A caller that does not read is given up once too much waits for it, and the target's stream is cancelled.
+// TestSlowCallerIsGivenUp checks that a caller that does not read is dropped once too much data is buffered for it, and
+// that the target's stream is canceled.
 func TestSlowCallerIsGivenUp(t *testing.T) {
 	const tokens = 4000
 	front, engine := newFrontBefore(t, streamTarget(tokens, strings.Repeat("x", 16<<10)), tokens, time.Minute)
