--- a/wire/accept.go
+++ b/wire/accept.go
@@ -22,7 +22,7 @@
 
 func (l *Links) accept(w http.ResponseWriter, r *http.Request) {
 	from := proto.VM(r.Header.Get(headerVM))
-	if !l.authentic(r, from) {
+	if !l.authenticated(r, from) {
 		http.Error(w, "a peer must authenticate", http.StatusUnauthorized)
 		return
 	}
@@ -31,14 +31,14 @@
 		return
 	}
 	defer conn.CloseNow()
-	l.keep(conn)
-	defer l.forget(conn)
+	l.addAccepted(conn)
+	defer l.removeAccepted(conn)
 	conn.SetReadLimit(proto.MaxMessageSize)
 	l.serve(r.Context(), conn, from)
 }
 
 func (l *Links) serve(ctx context.Context, conn *websocket.Conn, from proto.VM) {
-	var writing sync.Mutex
+	var writeMu sync.Mutex
 	for {
 		_, data, err := conn.Read(ctx)
 		if err != nil {
@@ -51,21 +51,21 @@
 			l.log.Warn("a message cannot be decoded", "from", from, "error", err)
 			return
 		}
-		if l.isCut(from) {
+		if l.isPartitioned(from) {
 			return
 		}
-		l.gate()
+		l.beforeMessage()
 		if env.Call == 0 {
 			l.handle(ctx, from, m)
 			continue
 		}
-		go l.answer(ctx, conn, &writing, from, env, m)
+		go l.handleCall(ctx, conn, &writeMu, from, env, m)
 	}
 }
 
-func (l *Links) answer(ctx context.Context, conn *websocket.Conn, writing *sync.Mutex, from proto.VM, env proto.Envelope, m proto.Message) {
+func (l *Links) handleCall(ctx context.Context, conn *websocket.Conn, writeMu *sync.Mutex, from proto.VM, env proto.Envelope, m proto.Message) {
 	ctx = propagator.Extract(ctx, propagation.MapCarrier{"traceparent": env.Trace})
-	ctx, s := span(ctx, "peer call", trace.SpanKindServer, attribute.String("emberlead.peer", string(from)))
+	ctx, s := startSpan(ctx, "peer call", trace.SpanKindServer, attribute.String("emberlead.peer", string(from)))
 	defer s.End()
 	answer := l.handle(ctx, from, m)
 	data, err := proto.Encode(answer, env.Call, true, "")
@@ -73,9 +73,9 @@
 		l.log.Error("an answer cannot be encoded", "error", err)
 		return
 	}
-	writing.Lock()
-	defer writing.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, writeWait)
+	writeMu.Lock()
+	defer writeMu.Unlock()
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	if conn.Write(ctx, websocket.MessageBinary, data) == nil {
 		l.sent.Add(1)
--- a/wire/authority.go
+++ b/wire/authority.go
@@ -20,9 +20,9 @@
 	// clockSlack backdates new certificates, so that they are valid on a VM whose clock is up to this much behind.
 	clockSlack = time.Hour
 
-	blockCertificate = "CERTIFICATE"
-	blockKey         = "PRIVATE KEY"
-	blockRevocations = "X509 CRL"
+	pemTypeCertificate = "CERTIFICATE"
+	pemTypeKey         = "PRIVATE KEY"
+	pemTypeRevocations = "X509 CRL"
 )
 
 // KeyPair is a certificate and its private key, both PEM-encoded.
@@ -31,8 +31,8 @@
 }
 
 // NewAuthority creates a certificate authority that signs the certificates of a deployment's daemons.
-func NewAuthority(now time.Time, valid time.Duration) (KeyPair, error) {
-	return newPair(now, valid, func(template *x509.Certificate, key *ecdsa.PrivateKey) ([]byte, error) {
+func NewAuthority(now time.Time, validity time.Duration) (KeyPair, error) {
+	return newKeyPair(now, validity, func(template *x509.Certificate, key *ecdsa.PrivateKey) ([]byte, error) {
 		template.Subject = pkix.Name{CommonName: "emberlead authority " + template.SerialNumber.Text(36)}
 		template.IsCA, template.BasicConstraintsValid = true, true
 		template.KeyUsage = x509.KeyUsageCertSign | x509.KeyUsageCRLSign
@@ -41,12 +41,12 @@
 }
 
 // NewCertificate issues a certificate for the daemon on a VM.
-func (a KeyPair) NewCertificate(vm proto.VM, now time.Time, valid time.Duration) (KeyPair, error) {
+func (a KeyPair) NewCertificate(vm proto.VM, now time.Time, validity time.Duration) (KeyPair, error) {
 	issuer, signer, err := a.parse()
 	if err != nil {
 		return KeyPair{}, err
 	}
-	return newPair(now, valid, func(template *x509.Certificate, key *ecdsa.PrivateKey) ([]byte, error) {
+	return newKeyPair(now, validity, func(template *x509.Certificate, key *ecdsa.PrivateKey) ([]byte, error) {
 		template.Subject = pkix.Name{CommonName: string(vm)}
 		template.KeyUsage = x509.KeyUsageDigitalSignature
 		template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}
@@ -56,7 +56,7 @@
 
 // Revoke adds a certificate issued by this authority to its revocation list, which may be empty, and returns the new
 // list.
-func (a KeyPair) Revoke(list, certificate []byte, now time.Time, valid time.Duration) ([]byte, error) {
+func (a KeyPair) Revoke(list, certificate []byte, now time.Time, validity time.Duration) ([]byte, error) {
 	issuer, signer, err := a.parse()
 	if err != nil {
 		return nil, err
@@ -68,14 +68,14 @@
 	if err := certs[0].CheckSignatureFrom(issuer); err != nil {
 		return nil, &Error{Op: "revoke", Kind: proto.KindDenied, Err: err}
 	}
-	next := &x509.RevocationList{Number: big.NewInt(1), ThisUpdate: now, NextUpdate: now.Add(valid)}
+	next := &x509.RevocationList{Number: big.NewInt(1), ThisUpdate: now, NextUpdate: now.Add(validity)}
 	if block, _ := pem.Decode(list); block != nil {
-		before, err := x509.ParseRevocationList(block.Bytes)
+		previous, err := x509.ParseRevocationList(block.Bytes)
 		if err != nil {
 			return nil, &Error{Op: "revoke", Kind: proto.KindInvalid, Err: err}
 		}
-		next.Number.Add(before.Number, big.NewInt(1))
-		next.RevokedCertificateEntries = before.RevokedCertificateEntries
+		next.Number.Add(previous.Number, big.NewInt(1))
+		next.RevokedCertificateEntries = previous.RevokedCertificateEntries
 	}
 	entry := x509.RevocationListEntry{SerialNumber: certs[0].SerialNumber, RevocationTime: now}
 	next.RevokedCertificateEntries = append(next.RevokedCertificateEntries, entry)
@@ -83,7 +83,7 @@
 	if err != nil {
 		return nil, &Error{Op: "revoke", Kind: proto.KindInvalid, Err: err}
 	}
-	return pem.EncodeToMemory(&pem.Block{Type: blockRevocations, Bytes: der}), nil
+	return pem.EncodeToMemory(&pem.Block{Type: pemTypeRevocations, Bytes: der}), nil
 }
 
 func (a KeyPair) parse() (*x509.Certificate, *ecdsa.PrivateKey, error) {
@@ -106,8 +106,8 @@
 	return certs[0], signer, nil
 }
 
-// newPair generates a key and has a certificate signed for it.
-func newPair(now time.Time, valid time.Duration, sign func(*x509.Certificate, *ecdsa.PrivateKey) ([]byte, error)) (KeyPair, error) {
+// newKeyPair generates a key and has a certificate signed for it.
+func newKeyPair(now time.Time, validity time.Duration, sign func(*x509.Certificate, *ecdsa.PrivateKey) ([]byte, error)) (KeyPair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return KeyPair{}, &Error{Op: "make key", Kind: proto.KindUnavailable, Err: err}
@@ -116,16 +116,16 @@
 	if err != nil {
 		return KeyPair{}, &Error{Op: "make key", Kind: proto.KindUnavailable, Err: err}
 	}
-	der, err := sign(&x509.Certificate{SerialNumber: serial, NotBefore: now.Add(-clockSlack), NotAfter: now.Add(valid)}, key)
+	der, err := sign(&x509.Certificate{SerialNumber: serial, NotBefore: now.Add(-clockSlack), NotAfter: now.Add(validity)}, key)
 	if err != nil {
 		return KeyPair{}, &Error{Op: "sign", Kind: proto.KindInvalid, Err: err}
 	}
-	secret, err := x509.MarshalPKCS8PrivateKey(key)
+	keyDER, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		return KeyPair{}, &Error{Op: "make key", Kind: proto.KindInvalid, Err: err}
 	}
 	return KeyPair{
-		Certificate: pem.EncodeToMemory(&pem.Block{Type: blockCertificate, Bytes: der}),
-		Key:         pem.EncodeToMemory(&pem.Block{Type: blockKey, Bytes: secret}),
+		Certificate: pem.EncodeToMemory(&pem.Block{Type: pemTypeCertificate, Bytes: der}),
+		Key:         pem.EncodeToMemory(&pem.Block{Type: pemTypeKey, Bytes: keyDER}),
 	}, nil
 }
--- a/wire/bench_test.go
+++ b/wire/bench_test.go
@@ -23,19 +23,19 @@
 	"emberlead/proto"
 )
 
-// noClaims grants every claim, for requests without an idempotency key.
-type noClaims struct{}
+// grantAllClaims grants every claim, for requests without an idempotency key.
+type grantAllClaims struct{}
 
-func (noClaims) Claim(context.Context, proto.Key, uint64, proto.RequestID) (coord.Decision, []byte) {
+func (grantAllClaims) Claim(context.Context, proto.Key, uint64, proto.RequestID) (coord.Decision, []byte) {
 	return coord.DecisionGranted, nil
 }
-func (noClaims) Settle(proto.Key, proto.RequestID, bool, []byte) {}
-func (noClaims) Reachable(proto.Key) bool                        { return true }
+func (grantAllClaims) Settle(proto.Key, proto.RequestID, bool, []byte) {}
+func (grantAllClaims) Reachable(proto.Key) bool                        { return true }
 
-type alwaysOpen struct{}
+type alwaysReady struct{}
 
-func (alwaysOpen) Ready() (bool, string)   { return true, "" }
-func (alwaysOpen) Accepts() *proto.Failure { return nil }
+func (alwaysReady) Ready() (bool, string)   { return true, "" }
+func (alwaysReady) Accepts() *proto.Failure { return nil }
 
 const benchToken = "token "
 
@@ -53,14 +53,14 @@
 	})
 }
 
-// newBenchFront returns the frontend of a daemon with one streaming target.
-func newBenchFront(tb testing.TB, tokens int) *httptest.Server {
+// newBenchFrontend returns the frontend of a daemon with one streaming target.
+func newBenchFrontend(tb testing.TB, tokens int) *httptest.Server {
 	tb.Helper()
-	front, _ := newFrontBefore(tb, streamTarget(tokens, benchToken), tokens, time.Minute)
+	front, _ := newTestFrontend(tb, streamTarget(tokens, benchToken), tokens, time.Minute)
 	return front
 }
 
-func newFrontBefore(tb testing.TB, handler http.Handler, tokens int, writeWait time.Duration) (*httptest.Server, *core.Engine) {
+func newTestFrontend(tb testing.TB, handler http.Handler, tokens int, writeTimeout time.Duration) (*httptest.Server, *core.Engine) {
 	tb.Helper()
 	target := httptest.NewServer(handler)
 	tb.Cleanup(target.Close)
@@ -76,14 +76,14 @@
 	engine := core.New()
 	engine.Configure(proto.EmptySnapshot().WithFile(1, file), time.Now(), 0)
 	log := hclog.NewNullLogger()
-	driver := NewDriver(engine, clockwork.NewRealClock(), NewTargetClient(), noClaims{}, log, 1<<20, nil)
-	limits := FrontendLimits{MaxBodyBytes: 1 << 20, MaxOpenRequests: 1000, MaxBufferedBytes: 1 << 20, ReadTimeout: time.Minute, WriteTimeout: writeWait}
-	front := httptest.NewServer(NewFrontend(driver, engine, clockwork.NewRealClock(), log, limits, alwaysOpen{}, 1).Handler())
+	driver := NewDriver(engine, clockwork.NewRealClock(), NewTargetClient(), grantAllClaims{}, log, 1<<20, nil)
+	limits := FrontendLimits{MaxBodyBytes: 1 << 20, MaxOpenRequests: 1000, MaxBufferedBytes: 1 << 20, ReadTimeout: time.Minute, WriteTimeout: writeTimeout}
+	front := httptest.NewServer(NewFrontend(driver, engine, clockwork.NewRealClock(), log, limits, alwaysReady{}, 1).Handler())
 	tb.Cleanup(front.Close)
 	return front, engine
 }
 
-func callBench(tb testing.TB, front *httptest.Server) int64 {
+func sendStreamRequest(tb testing.TB, front *httptest.Server) int64 {
 	tb.Helper()
 	req, err := http.NewRequest(http.MethodPost, front.URL+"/v1/workspaces/w/services/s/requests", bytes.NewReader([]byte("{}")))
 	if err != nil {
@@ -103,7 +103,7 @@
 	return n
 }
 
-func processTime(b *testing.B) time.Duration {
+func cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -117,14 +117,14 @@
 func BenchmarkRelay(b *testing.B) {
 	for _, tokens := range []int{1, 64, 256, 1024} {
 		b.Run(fmt.Sprintf("tokens=%d", tokens), func(b *testing.B) {
-			front := newBenchFront(b, tokens)
+			front := newBenchFrontend(b, tokens)
 			n, calls := int64(0), 0
-			began := processTime(b)
+			began := cpuTime(b)
 			for b.Loop() {
-				n = callBench(b, front)
+				n = sendStreamRequest(b, front)
 				calls++
 			}
-			b.ReportMetric(float64(processTime(b)-began)/float64(calls), "cpu-ns/op")
+			b.ReportMetric(float64(cpuTime(b)-began)/float64(calls), "cpu-ns/op")
 			b.ReportMetric(float64(n), "callerBytes")
 		})
 	}
--- a/wire/credentials.go
+++ b/wire/credentials.go
@@ -35,12 +35,12 @@
 	digest  [sha256.Size]byte
 	pair    tls.Certificate
 	roots   *x509.CertPool
-	revoked map[revocation]bool
+	revoked map[revokedCert]bool
 }
 
-// revocation identifies a revoked certificate; the issuer is needed since each authority assigns its own serial
+// revokedCert identifies a revoked certificate; the issuer is needed since each authority assigns its own serial
 // numbers.
-type revocation struct {
+type revokedCert struct {
 	issuer, serial string
 }
 
@@ -61,8 +61,8 @@
 	if err != nil {
 		return false, err
 	}
-	before := c.current.Load()
-	if before != nil && before.digest == set.digest {
+	previous := c.current.Load()
+	if previous != nil && previous.digest == set.digest {
 		return false, nil
 	}
 	c.current.Store(set)
@@ -73,18 +73,18 @@
 func (c *Credentials) Expiry() time.Time { return c.current.Load().pair.Leaf.NotAfter }
 
 func (f *CredentialFiles) read() (*credentialSet, error) {
-	var texts [4][]byte
+	var contents [4][]byte
 	for i, path := range []string{f.Certificate, f.Key, f.Authority, f.Revoked} {
 		if path == "" {
 			continue
 		}
-		text, err := os.ReadFile(path)
+		content, err := os.ReadFile(path)
 		if err != nil {
 			return nil, &Error{Op: "read credentials", Kind: proto.KindInvalid, Err: err}
 		}
-		texts[i] = text
+		contents[i] = content
 	}
-	return newCredentialSet(texts[0], texts[1], texts[2], texts[3])
+	return newCredentialSet(contents[0], contents[1], contents[2], contents[3])
 }
 
 func newCredentialSet(certificate, key, authority, revoked []byte) (*credentialSet, error) {
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, &Error{Op: "read credentials", Kind: proto.KindInvalid, Err: err}
 	}
-	set := &credentialSet{pair: pair, roots: x509.NewCertPool(), revoked: map[revocation]bool{}}
+	set := &credentialSet{pair: pair, roots: x509.NewCertPool(), revoked: map[revokedCert]bool{}}
 	authorities, err := parseCertificates(authority)
 	if err != nil {
 		return nil, err
@@ -100,16 +100,16 @@
 	for _, a := range authorities {
 		set.roots.AddCert(a)
 	}
-	if err := set.revoke(revoked, authorities); err != nil {
+	if err := set.addRevocations(revoked, authorities); err != nil {
 		return nil, err
 	}
 	set.digest = sha256.Sum256(bytes.Join([][]byte{certificate, key, authority, revoked}, []byte{0}))
 	return set, nil
 }
 
-func parseCertificates(text []byte) ([]*x509.Certificate, error) {
+func parseCertificates(pemData []byte) ([]*x509.Certificate, error) {
 	var all []*x509.Certificate
-	for block, rest := pem.Decode(text); block != nil; block, rest = pem.Decode(rest) {
+	for block, rest := pem.Decode(pemData); block != nil; block, rest = pem.Decode(rest) {
 		cert, err := x509.ParseCertificate(block.Bytes)
 		if err != nil {
 			return nil, &Error{Op: "read authorities", Kind: proto.KindInvalid, Err: err}
@@ -122,25 +122,25 @@
 	return all, nil
 }
 
-// revoke adds the entries of revocation lists, each of which must be signed by an authority. A list that is past its
-// next update still counts, since accepting the certificates that it revokes would be worse.
-func (s *credentialSet) revoke(text []byte, authorities []*x509.Certificate) error {
-	for block, rest := pem.Decode(text); block != nil; block, rest = pem.Decode(rest) {
+// addRevocations adds the entries of revocation lists, each of which must be signed by an authority. A list that is
+// past its next update still counts, since accepting the certificates that it revokes would be worse.
+func (s *credentialSet) addRevocations(pemData []byte, authorities []*x509.Certificate) error {
+	for block, rest := pem.Decode(pemData); block != nil; block, rest = pem.Decode(rest) {
 		list, err := x509.ParseRevocationList(block.Bytes)
 		if err != nil {
 			return &Error{Op: "read revocations", Kind: proto.KindInvalid, Err: err}
 		}
-		if !signedByOne(list, authorities) {
+		if !signedByAny(list, authorities) {
 			return newError("read revocations", proto.KindDenied, "no authority has signed the list of %s", list.Issuer)
 		}
 		for _, entry := range list.RevokedCertificateEntries {
-			s.revoked[revocation{string(list.RawIssuer), entry.SerialNumber.String()}] = true
+			s.revoked[revokedCert{string(list.RawIssuer), entry.SerialNumber.String()}] = true
 		}
 	}
 	return nil
 }
 
-func signedByOne(list *x509.RevocationList, authorities []*x509.Certificate) bool {
+func signedByAny(list *x509.RevocationList, authorities []*x509.Certificate) bool {
 	for _, a := range authorities {
 		if list.CheckSignatureFrom(a) == nil {
 			return true
@@ -149,8 +149,8 @@
 	return false
 }
 
-// server returns the TLS configuration of a listener, which uses the current credentials for each handshake.
-func (c *Credentials) server() *tls.Config {
+// serverTLS returns the TLS configuration of a listener, which uses the current credentials for each handshake.
+func (c *Credentials) serverTLS() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -166,10 +166,10 @@
 	}
 }
 
-// client returns the TLS configuration of connections to other daemons, which uses the current credentials for each
+// clientTLS returns the TLS configuration of connections to other daemons, which uses the current credentials for each
 // handshake. Daemons are identified by the names of their VMs and not by addresses, since VMs are replaced: the
 // certificate chain is verified here, and the name by the link.
-func (c *Credentials) client() *tls.Config {
+func (c *Credentials) clientTLS() *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
 		InsecureSkipVerify: true, // VerifyConnection verifies the chain, without the address.
@@ -199,7 +199,7 @@
 
 func (s *credentialSet) verifyNotRevoked(state tls.ConnectionState) error {
 	for _, cert := range state.PeerCertificates {
-		if s.revoked[revocation{string(cert.RawIssuer), cert.SerialNumber.String()}] {
+		if s.revoked[revokedCert{string(cert.RawIssuer), cert.SerialNumber.String()}] {
 			return newError("verify", proto.KindDenied, "the certificate of %s is revoked", cert.Subject.CommonName)
 		}
 	}
--- a/wire/dial_test.go
+++ b/wire/dial_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// TestAnOpeningPacketThatIsLostIsSentAnewSoon lets the first attempts get no answer, as from a VM that is powered off.
-func TestAnOpeningPacketThatIsLostIsSentAnewSoon(t *testing.T) {
+// TestDialRetriesLostSYN lets the first attempts get no answer, as from a VM that is powered off.
+func TestDialRetriesLostSYN(t *testing.T) {
 	refused := errors.New("connection refused")
 	scenarios := []struct {
-		name  string
-		lost  int
-		err   error
-		tries int
+		name     string
+		lost     int
+		err      error
+		attempts int
 	}{
 		{"the first try connects", 0, nil, 1},
 		{"two packets are lost", 2, nil, 3},
@@ -24,35 +24,35 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			tries := 0
+			attempts := 0
 			dial := dialFunc(func(ctx context.Context, _, _ string) (net.Conn, error) {
-				tries++
-				if tries <= s.lost {
+				attempts++
+				if attempts <= s.lost {
 					<-ctx.Done()
 					return nil, ctx.Err()
 				}
 				return nil, s.err
 			})
-			_, err := dial.anew(time.Millisecond)(t.Context(), "tcp4", "192.0.2.1:1")
-			if !errors.Is(err, s.err) || tries != s.tries {
-				t.Errorf("%d tries and %v, want %d and %v", tries, err, s.tries, s.err)
+			_, err := dial.withRetry(time.Millisecond)(t.Context(), "tcp4", "192.0.2.1:1")
+			if !errors.Is(err, s.err) || attempts != s.attempts {
+				t.Errorf("%d tries and %v, want %d and %v", attempts, err, s.attempts, s.err)
 			}
 		})
 	}
 }
 
-// TestDialingAnewEndsWithItsContext lets no attempt get an answer.
-func TestDialingAnewEndsWithItsContext(t *testing.T) {
+// TestDialRetriesEndWithContext lets no attempt get an answer.
+func TestDialRetriesEndWithContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	tries := 0
+	attempts := 0
 	dial := dialFunc(func(ctx context.Context, _, _ string) (net.Conn, error) {
-		if tries++; tries == 3 {
+		if attempts++; attempts == 3 {
 			cancel()
 		}
 		<-ctx.Done()
 		return nil, ctx.Err()
 	})
-	if _, err := dial.anew(time.Millisecond)(ctx, "tcp4", "192.0.2.1:1"); !errors.Is(err, context.Canceled) || tries != 3 {
-		t.Errorf("%d tries and %v", tries, err)
+	if _, err := dial.withRetry(time.Millisecond)(ctx, "tcp4", "192.0.2.1:1"); !errors.Is(err, context.Canceled) || attempts != 3 {
+		t.Errorf("%d tries and %v", attempts, err)
 	}
 }
--- a/wire/driver.go
+++ b/wire/driver.go
@@ -23,182 +23,182 @@
 
 // Driver executes the actions of an engine and feeds their outcomes back to it as events.
 type Driver struct {
-	engine  *core.Engine
-	clock   clockwork.Clock
-	targets *TargetClient
-	claims  Claims
-	log     hclog.Logger
-	gate    func()
-	most    int
+	engine      *core.Engine
+	clock       clockwork.Clock
+	targets     *TargetClient
+	claims      Claims
+	log         hclog.Logger
+	beforeEvent func()
+	maxBuffered int
 
 	mu       sync.Mutex
-	waiters  map[proto.RequestID]*Waiter
-	attempts map[proto.AttemptID]*running
+	buffers  map[proto.RequestID]*ResponseBuffer
+	attempts map[proto.AttemptID]*runningAttempt
 }
 
-type running struct {
+type runningAttempt struct {
 	cancel context.CancelFunc
 	target proto.Target
 }
 
-// NewDriver returns a driver; mostBuffered bounds the bytes buffered for one slow caller, and gate runs before each
-// event.
-func NewDriver(engine *core.Engine, clock clockwork.Clock, targets *TargetClient, claims Claims, log hclog.Logger, mostBuffered int, gate func()) *Driver {
-	if gate == nil {
-		gate = func() {}
+// NewDriver returns a driver; maxBuffered bounds the bytes buffered for one slow caller, and beforeEvent runs before
+// each event.
+func NewDriver(engine *core.Engine, clock clockwork.Clock, targets *TargetClient, claims Claims, log hclog.Logger, maxBuffered int, beforeEvent func()) *Driver {
+	if beforeEvent == nil {
+		beforeEvent = func() {}
 	}
 	return &Driver{
-		engine: engine, clock: clock, targets: targets, claims: claims, log: log, most: mostBuffered, gate: gate,
-		waiters: map[proto.RequestID]*Waiter{}, attempts: map[proto.AttemptID]*running{},
+		engine: engine, clock: clock, targets: targets, claims: claims, log: log, maxBuffered: maxBuffered, beforeEvent: beforeEvent,
+		buffers: map[proto.RequestID]*ResponseBuffer{}, attempts: map[proto.AttemptID]*runningAttempt{},
 	}
 }
 
-// Waiter buffers what is to be sent to a caller next.
-type Waiter struct {
+// ResponseBuffer holds what is to be sent to a caller next.
+type ResponseBuffer struct {
 	ctx         context.Context
 	fingerprint uint64
 	wake        chan struct{}
 
-	mu     sync.Mutex
-	chunks []core.Chunk
-	next   int // offset of the next chunk in order
-	early  map[int]core.Chunk
-	size   int
-	most   int
-	slow   bool
-	finish *core.Finish
+	mu            sync.Mutex
+	chunks        []core.Chunk
+	nextOffset    int // offset of the next chunk in order
+	outOfOrder    map[int]core.Chunk
+	bufferedBytes int
+	maxBuffered   int
+	reportedSlow  bool
+	finish        *core.Finish
 }
 
 // Wake returns a channel that is signaled when there is something to take.
-func (w *Waiter) Wake() <-chan struct{} { return w.wake }
+func (b *ResponseBuffer) Wake() <-chan struct{} { return b.wake }
 
 // Take returns the chunks that arrived since the last call and, once the request has ended, its result.
-func (w *Waiter) Take() ([]core.Chunk, *core.Finish) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	chunks := w.chunks
-	w.chunks = nil
-	w.size = 0
-	return chunks, w.finish
+func (b *ResponseBuffer) Take() ([]core.Chunk, *core.Finish) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	chunks := b.chunks
+	b.chunks = nil
+	b.bufferedBytes = 0
+	return chunks, b.finish
 }
 
-// chunk queues chunks in order of offset, since the actions of two events may be executed concurrently. It returns true
-// once, when too many bytes are buffered.
-func (w *Waiter) chunk(c core.Chunk) (slow bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.early[c.Offset] = c
+// addChunk queues chunks in order of offset, since the actions of two events may be executed concurrently. It returns
+// true once, when too many bytes are buffered.
+func (b *ResponseBuffer) addChunk(c core.Chunk) (slow bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.outOfOrder[c.Offset] = c
 	for {
-		c, ok := w.early[w.next]
+		c, ok := b.outOfOrder[b.nextOffset]
 		if !ok {
 			break
 		}
-		delete(w.early, w.next)
-		w.next += c.Tokens
-		w.size += len(c.Text)
-		w.chunks = append(w.chunks, c)
+		delete(b.outOfOrder, b.nextOffset)
+		b.nextOffset += c.Tokens
+		b.bufferedBytes += len(c.Text)
+		b.chunks = append(b.chunks, c)
 	}
-	w.signal()
-	if w.size > w.most && !w.slow {
-		w.slow = true
+	b.signal()
+	if b.bufferedBytes > b.maxBuffered && !b.reportedSlow {
+		b.reportedSlow = true
 		return true
 	}
 	return false
 }
 
-func (w *Waiter) end(f core.Finish) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.finish = &f
-	w.signal()
+func (b *ResponseBuffer) setFinish(f core.Finish) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.finish = &f
+	b.signal()
 }
 
-func (w *Waiter) signal() {
+func (b *ResponseBuffer) signal() {
 	select {
-	case w.wake <- struct{}{}:
+	case b.wake <- struct{}{}:
 	default:
 	}
 }
 
 // Submit hands a request to the engine; the spans of its attempts become children of the span in the context.
-func (d *Driver) Submit(ctx context.Context, a core.Arrival) *Waiter {
-	w := &Waiter{
-		ctx: context.WithoutCancel(ctx), wake: make(chan struct{}, 1), early: map[int]core.Chunk{}, most: d.most,
+func (d *Driver) Submit(ctx context.Context, a core.Arrival) *ResponseBuffer {
+	buffer := &ResponseBuffer{
+		ctx: context.WithoutCancel(ctx), wake: make(chan struct{}, 1), outOfOrder: map[int]core.Chunk{}, maxBuffered: d.maxBuffered,
 		fingerprint: xxhash.Sum64String(a.Workspace+"\x00"+a.Service+"\x00") ^ xxhash.Sum64(a.Input),
 	}
 	d.mu.Lock()
-	d.waiters[a.ID] = w
+	d.buffers[a.ID] = buffer
 	d.mu.Unlock()
 	a.QuorumLost = a.Key != proto.Key{} && !d.claims.Reachable(a.Key)
 	d.HandleEvent(a)
-	return w
+	return buffer
 }
 
 // HandleEvent feeds an event to the engine and executes the resulting actions.
 func (d *Driver) HandleEvent(event core.Event) {
-	d.gate()
+	d.beforeEvent()
 	for _, action := range d.engine.Handle(d.clock.Now(), event) {
-		d.carry(action)
+		d.execute(action)
 	}
 }
 
-func (d *Driver) waiter(id proto.RequestID) *Waiter {
+func (d *Driver) buffer(id proto.RequestID) *ResponseBuffer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.waiters[id]
+	return d.buffers[id]
 }
 
-func (d *Driver) carry(action core.Action) {
+func (d *Driver) execute(action core.Action) {
 	switch a := action.(type) {
 	case core.Start:
-		d.start(a)
+		d.startAttempt(a)
 	case core.Export:
-		go d.export(a)
+		go d.exportCache(a)
 	case core.Cancel:
-		d.cancel(a.Attempt)
+		d.cancelAttempt(a.Attempt)
 	case core.Claim:
-		go d.claim(a)
+		go d.claimKey(a)
 	case core.Settle:
 		d.claims.Settle(a.Key, a.Request, a.Released, a.Answer)
 	case core.Chunk:
-		if w := d.waiter(a.Request); w != nil && w.chunk(a) {
+		if buffer := d.buffer(a.Request); buffer != nil && buffer.addChunk(a) {
 			go d.HandleEvent(core.CallerLeft{Request: a.Request, Slow: true})
 		}
 	case core.Finish:
 		d.mu.Lock()
-		w := d.waiters[a.Request]
-		delete(d.waiters, a.Request)
+		buffer := d.buffers[a.Request]
+		delete(d.buffers, a.Request)
 		d.mu.Unlock()
-		if w != nil {
-			w.end(a)
+		if buffer != nil {
+			buffer.setFinish(a)
 		}
 	}
 }
 
-func (d *Driver) start(a core.Start) {
+func (d *Driver) startAttempt(a core.Start) {
 	parent := context.Background()
-	if w := d.waiter(a.ID.Request); w != nil {
-		parent = w.ctx
+	if buffer := d.buffer(a.ID.Request); buffer != nil {
+		parent = buffer.ctx
 	}
 	ctx, cancel := context.WithCancel(parent)
 	d.mu.Lock()
-	d.attempts[a.ID] = &running{cancel: cancel, target: a.Target}
+	d.attempts[a.ID] = &runningAttempt{cancel: cancel, target: a.Target}
 	d.mu.Unlock()
 	go func() {
-		defer d.forget(a.ID, cancel)
+		defer d.removeAttempt(a.ID, cancel)
 		d.targets.Run(ctx, &a, a.MayRepeat, d.HandleEvent)
 	}()
 }
 
-func (d *Driver) forget(id proto.AttemptID, cancel context.CancelFunc) {
+func (d *Driver) removeAttempt(id proto.AttemptID, cancel context.CancelFunc) {
 	cancel()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.attempts, id)
 }
 
-// cancel closes the connection and also notifies the target, which may not notice the closed connection at once.
-func (d *Driver) cancel(id proto.AttemptID) {
+// cancelAttempt closes the connection and also notifies the target, which may not notice the closed connection at once.
+func (d *Driver) cancelAttempt(id proto.AttemptID) {
 	d.mu.Lock()
 	r := d.attempts[id]
 	d.mu.Unlock()
@@ -209,7 +209,7 @@
 	go d.targets.Cancel(context.Background(), r.target.Address, id)
 }
 
-func (d *Driver) export(a core.Export) {
+func (d *Driver) exportCache(a core.Export) {
 	handle, err := d.targets.Export(context.Background(), a.Target.Address, a.Attempt)
 	if err != nil {
 		d.log.Warn("a KV cache could not be exported", "target", a.Target.Name, "attempt", a.Attempt, "error", err)
@@ -217,11 +217,11 @@
 	d.HandleEvent(core.Exported{Attempt: a.Attempt, Handle: handle})
 }
 
-func (d *Driver) claim(a core.Claim) {
+func (d *Driver) claimKey(a core.Claim) {
 	answered := core.ClaimAnswered{Request: a.Request, Result: core.ClaimNoQuorum}
-	if w := d.waiter(a.Request); w != nil {
-		decision, answer := d.claims.Claim(w.ctx, a.Key, w.fingerprint, a.Request)
-		answered.Result, answered.Answer = verdicts[decision], answer
+	if buffer := d.buffer(a.Request); buffer != nil {
+		decision, answer := d.claims.Claim(buffer.ctx, a.Key, buffer.fingerprint, a.Request)
+		answered.Result, answered.Answer = claimResults[decision], answer
 	}
 	d.HandleEvent(answered)
 	if !d.engine.HasRequest(a.Request) && answered.Result == core.ClaimGranted {
@@ -230,7 +230,7 @@
 	}
 }
 
-var verdicts = map[coord.Decision]core.ClaimResult{
+var claimResults = map[coord.Decision]core.ClaimResult{
 	coord.DecisionGranted:     core.ClaimGranted,
 	coord.DecisionTaken:       core.ClaimTaken,
 	coord.DecisionDone:        core.ClaimDone,
@@ -242,8 +242,8 @@
 }
 
 // Run sends ticks to the engine until the context ends.
-func (d *Driver) Run(ctx context.Context, every time.Duration) {
-	ticker := d.clock.NewTicker(every)
+func (d *Driver) Run(ctx context.Context, interval time.Duration) {
+	ticker := d.clock.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/wire/front.go
+++ b/wire/frontend.go
@@ -28,10 +28,10 @@
 )
 
 const (
-	pathRequests  = "/v1/workspaces/:workspace/services/:service/requests"
-	mimeProblem   = "application/problem+json"
-	mimeEvents    = "text/event-stream"
-	prefixMostLen = 256
+	pathRequests = "/v1/workspaces/:workspace/services/:service/requests"
+	mimeProblem  = "application/problem+json"
+	mimeEvents   = "text/event-stream"
+	maxPrefixLen = 256
 )
 
 // FrontendLimits bounds the resources that callers can use.
@@ -54,24 +54,24 @@
 
 // Frontend serves callers over HTTP.
 type Frontend struct {
-	driver *Driver
-	engine *core.Engine
-	clock  clockwork.Clock
-	log    hclog.Logger
-	limits FrontendLimits
-	keeper ReadinessChecker
-	open   atomic.Int64
+	driver       *Driver
+	engine       *core.Engine
+	clock        clockwork.Clock
+	log          hclog.Logger
+	limits       FrontendLimits
+	readiness    ReadinessChecker
+	openRequests atomic.Int64
 
-	mu     sync.Mutex
-	random *rand.Rand
+	mu  sync.Mutex
+	rng *rand.Rand
 }
 
 // NewFrontend returns the HTTP frontend of a daemon; seed makes its request identifiers differ from those of other
 // daemons.
-func NewFrontend(driver *Driver, engine *core.Engine, clock clockwork.Clock, log hclog.Logger, limits FrontendLimits, keeper ReadinessChecker, seed uint64) *Frontend {
+func NewFrontend(driver *Driver, engine *core.Engine, clock clockwork.Clock, log hclog.Logger, limits FrontendLimits, readiness ReadinessChecker, seed uint64) *Frontend {
 	return &Frontend{
-		driver: driver, engine: engine, clock: clock, log: log, limits: limits, keeper: keeper,
-		random: rand.New(rand.NewPCG(seed, uint64(clock.Now().UnixNano()))),
+		driver: driver, engine: engine, clock: clock, log: log, limits: limits, readiness: readiness,
+		rng: rand.New(rand.NewPCG(seed, uint64(clock.Now().UnixNano()))),
 	}
 }
 
@@ -80,21 +80,21 @@
 	e := echo.New()
 	e.HideBanner = true
 	e.HTTPErrorHandler = f.httpError
-	e.POST(pathRequests, f.request)
+	e.POST(pathRequests, f.handleRequest)
 	e.GET("/livez", func(c echo.Context) error { return c.String(http.StatusOK, "live\n") })
 	e.GET("/readyz", f.readyz)
 	return e
 }
 
 func (f *Frontend) readyz(c echo.Context) error {
-	if ok, reason := f.keeper.Ready(); !ok {
+	if ok, reason := f.readiness.Ready(); !ok {
 		return c.String(http.StatusServiceUnavailable, reason+"\n")
 	}
 	return c.String(http.StatusOK, "ready\n")
 }
 
 // OpenRequests returns the number of caller requests in progress.
-func (f *Frontend) OpenRequests() int64 { return f.open.Load() }
+func (f *Frontend) OpenRequests() int64 { return f.openRequests.Load() }
 
 func (f *Frontend) httpError(err error, c echo.Context) {
 	failure := &proto.Failure{Kind: proto.FailureBadRequest, Outcome: proto.OutcomeNotRun, Detail: err.Error()}
@@ -104,11 +104,11 @@
 		failure.Detail = "no such path or method"
 	}
 	if !c.Response().Committed {
-		_ = f.problem(c, failure, "")
+		_ = f.writeProblem(c, failure, "")
 	}
 }
 
-func (f *Frontend) problem(c echo.Context, failure *proto.Failure, id string) error {
+func (f *Frontend) writeProblem(c echo.Context, failure *proto.Failure, id string) error {
 	if failure.RetryAfter > 0 {
 		c.Response().Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(failure.RetryAfter.Seconds()))))
 	}
@@ -117,43 +117,43 @@
 	return json.NewEncoder(c.Response()).Encode(proto.NewProblem(failure, id))
 }
 
-func refusal(kind proto.FailureKind, detail string) *proto.Failure {
+func newRefusal(kind proto.FailureKind, detail string) *proto.Failure {
 	return &proto.Failure{Kind: kind, Outcome: proto.OutcomeNotRun, Detail: detail}
 }
 
-func (f *Frontend) request(c echo.Context) error {
-	if f.open.Add(1) > f.limits.MaxOpenRequests {
-		f.open.Add(-1)
-		failure := refusal(proto.FailureOverloaded, "too many requests are in progress")
+func (f *Frontend) handleRequest(c echo.Context) error {
+	if f.openRequests.Add(1) > f.limits.MaxOpenRequests {
+		f.openRequests.Add(-1)
+		failure := newRefusal(proto.FailureOverloaded, "too many requests are in progress")
 		failure.RetryAfter = time.Second
-		return f.problem(c, failure, "")
+		return f.writeProblem(c, failure, "")
 	}
-	defer f.open.Add(-1)
-	arrival, failure := f.read(c)
+	defer f.openRequests.Add(-1)
+	arrival, failure := f.readRequest(c)
 	if failure != nil {
-		return f.problem(c, failure, "")
+		return f.writeProblem(c, failure, "")
 	}
-	ctx, s := span(extract(c.Request().Context(), c.Request().Header), "request", trace.SpanKindServer,
+	ctx, s := startSpan(extractTrace(c.Request().Context(), c.Request().Header), "request", trace.SpanKindServer,
 		attribute.String("emberlead.request", arrival.ID.String()),
 		attribute.String("emberlead.workspace", arrival.Workspace),
 		attribute.String("emberlead.service", arrival.Service))
 	defer s.End()
 	c.Response().Header().Set(proto.HeaderRequestID, arrival.ID.String())
-	w := f.driver.Submit(ctx, *arrival)
-	failure = f.answer(c, w, arrival)
+	buffer := f.driver.Submit(ctx, *arrival)
+	failure = f.respond(c, buffer, arrival)
 	if failure != nil {
 		f.log.Info("request ended without answer", "request", arrival.ID, "workspace", arrival.Workspace, "service", arrival.Service, "kind", failure.Kind, "outcome", failure.Outcome, "detail", failure.Detail)
 	}
 	return nil
 }
 
-// read makes all checks of a request that are possible before it is run.
-func (f *Frontend) read(c echo.Context) (*core.Arrival, *proto.Failure) {
+// readRequest makes all checks of a request that are possible before it is run.
+func (f *Frontend) readRequest(c echo.Context) (*core.Arrival, *proto.Failure) {
 	workspace := c.Param("workspace")
-	if !f.authentic(c.Request(), workspace) {
-		return nil, refusal(proto.FailureUnauthorized, "the bearer key is not one of the workspace's")
+	if !f.authorized(c.Request(), workspace) {
+		return nil, newRefusal(proto.FailureUnauthorized, "the bearer key is not one of the workspace's")
 	}
-	if failure := f.keeper.Accepts(); failure != nil {
+	if failure := f.readiness.Accepts(); failure != nil {
 		return nil, failure
 	}
 	a := &core.Arrival{
@@ -172,11 +172,11 @@
 func (f *Frontend) newID() proto.RequestID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return core.NewRequestID(f.clock.Now(), f.random)
+	return core.NewRequestID(f.clock.Now(), f.rng)
 }
 
-// authentic looks the key up by its hash; the workspace is compared in constant time.
-func (f *Frontend) authentic(r *http.Request, workspace string) bool {
+// authorized looks the key up by its hash; the workspace is compared in constant time.
+func (f *Frontend) authorized(r *http.Request, workspace string) bool {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || key == "" {
 		return false
@@ -190,14 +190,14 @@
 	if text := h.Get(proto.HeaderKey); text != "" {
 		key, err := proto.ParseKey(text)
 		if err != nil {
-			return refusal(proto.FailureKeyInvalid, "Idempotency-Key must be a UUID of version 7, whose time tells new keys from old ones")
+			return newRefusal(proto.FailureKeyInvalid, "Idempotency-Key must be a UUID of version 7, whose time tells new keys from old ones")
 		}
 		a.Key = key
 	}
 	if text := h.Get(proto.HeaderTimeout); text != "" {
 		timeout, err := time.ParseDuration(text)
 		if err != nil || timeout <= 0 {
-			return refusal(proto.FailureBadRequest, "Emberlead-Timeout must be a positive duration such as 1.5s")
+			return newRefusal(proto.FailureBadRequest, "Emberlead-Timeout must be a positive duration such as 1.5s")
 		}
 		a.Timeout = timeout
 	}
@@ -206,7 +206,7 @@
 	case "false":
 		a.Repeatable = false
 	default:
-		return refusal(proto.FailureBadRequest, "Emberlead-Repeatable must be true or false")
+		return newRefusal(proto.FailureBadRequest, "Emberlead-Repeatable must be true or false")
 	}
 	return nil
 }
@@ -216,63 +216,63 @@
 	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, f.limits.MaxBodyBytes))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return refusal(proto.FailureTooLarge, "the body is larger than "+strconv.FormatInt(f.limits.MaxBodyBytes, 10)+" bytes")
+		return newRefusal(proto.FailureTooLarge, "the body is larger than "+strconv.FormatInt(f.limits.MaxBodyBytes, 10)+" bytes")
 	}
 	if err != nil {
-		return refusal(proto.FailureBadRequest, "the body did not arrive in time or broke off")
+		return newRefusal(proto.FailureBadRequest, "the body did not arrive in time or broke off")
 	}
 	_ = http.NewResponseController(c.Response()).SetReadDeadline(time.Time{})
 	if !json.Valid(body) {
-		return refusal(proto.FailureBadRequest, "the body is not JSON")
+		return newRefusal(proto.FailureBadRequest, "the body is not JSON")
 	}
 	a.Input = body
-	a.Prefix = prefixOf(body)
+	a.Prefix = promptPrefix(body)
 	return nil
 }
 
-// prefixOf returns the name of the shared beginning of a prompt: the member prefix of the input, if there is one.
-func prefixOf(body []byte) string {
+// promptPrefix returns the name of the shared beginning of a prompt: the member prefix of the input, if there is one.
+func promptPrefix(body []byte) string {
 	var input struct {
 		Prefix string `json:"prefix"`
 	}
 	if json.Unmarshal(body, &input) != nil {
 		return ""
 	}
-	return input.Prefix[:min(len(input.Prefix), prefixMostLen)]
+	return input.Prefix[:min(len(input.Prefix), maxPrefixLen)]
 }
 
-// answer sends the caller the chunks and the result of its request. If the caller disconnects, it reports that to the
+// respond sends the caller the chunks and the result of its request. If the caller disconnects, it reports that to the
 // engine and waits for the request to end.
-func (f *Frontend) answer(c echo.Context, w *Waiter, a *core.Arrival) *proto.Failure {
-	gone := c.Request().Context().Done()
+func (f *Frontend) respond(c echo.Context, buffer *ResponseBuffer, a *core.Arrival) *proto.Failure {
+	disconnected := c.Request().Context().Done()
 	for {
 		select {
-		case <-w.Wake():
-		case <-gone:
+		case <-buffer.Wake():
+		case <-disconnected:
 			f.driver.HandleEvent(core.CallerLeft{Request: a.ID})
-			gone = nil
+			disconnected = nil
 			continue
 		}
-		chunks, end := w.Take()
-		if err := f.pass(c, chunks); err != nil {
+		chunks, finish := buffer.Take()
+		if err := f.writeChunks(c, chunks); err != nil {
 			f.driver.HandleEvent(core.CallerLeft{Request: a.ID, Slow: true})
 		}
-		if end == nil {
+		if finish == nil {
 			continue
 		}
-		setGeneration(c, end.Generation)
-		f.end(c, a, end)
-		return end.Failure
+		setGeneration(c, finish.Generation)
+		f.writeFinish(c, a, finish)
+		return finish.Failure
 	}
 }
 
-// pass writes all chunks that arrived since the last call, with a single flush.
-func (f *Frontend) pass(c echo.Context, chunks []core.Chunk) error {
+// writeChunks writes all chunks that arrived since the last call, with a single flush.
+func (f *Frontend) writeChunks(c echo.Context, chunks []core.Chunk) error {
 	if len(chunks) == 0 {
 		return nil
 	}
 	setGeneration(c, chunks[0].Generation)
-	return f.write(c, func() error {
+	return f.writeBeforeDeadline(c, func() error {
 		for _, chunk := range chunks {
 			if err := writeEvent(c.Response(), "chunk", chunk.Offset, streamChunk{Offset: chunk.Offset, Text: chunk.Text, Tokens: chunk.Tokens}); err != nil {
 				return err
@@ -296,28 +296,28 @@
 	Tokens int    `json:"tokens"`
 }
 
-func (f *Frontend) end(c echo.Context, a *core.Arrival, end *core.Finish) {
+func (f *Frontend) writeFinish(c echo.Context, a *core.Arrival, end *core.Finish) {
 	switch {
 	case end.Failure != nil && c.Response().Committed:
-		_ = f.event(c, "error", -1, proto.NewProblem(end.Failure, a.ID.String()))
+		_ = f.writeSingleEvent(c, "error", -1, proto.NewProblem(end.Failure, a.ID.String()))
 	case end.Failure != nil:
-		_ = f.problem(c, end.Failure, a.ID.String())
+		_ = f.writeProblem(c, end.Failure, a.ID.String())
 	case a.Stream:
-		_ = f.event(c, "done", -1, json.RawMessage(end.Output))
+		_ = f.writeSingleEvent(c, "done", -1, json.RawMessage(end.Output))
 	default:
-		_ = f.write(c, func() error { return c.JSONBlob(http.StatusOK, end.Output) })
+		_ = f.writeBeforeDeadline(c, func() error { return c.JSONBlob(http.StatusOK, end.Output) })
 	}
 }
 
-func (f *Frontend) event(c echo.Context, name string, id int, value any) error {
-	return f.write(c, func() error {
+func (f *Frontend) writeSingleEvent(c echo.Context, name string, id int, value any) error {
+	return f.writeBeforeDeadline(c, func() error {
 		defer c.Response().Flush()
 		return writeEvent(c.Response(), name, id, value)
 	})
 }
 
-// write bounds how long a caller that does not read can block the handler.
-func (f *Frontend) write(c echo.Context, fn func() error) error {
+// writeBeforeDeadline bounds how long a caller that does not read can block the handler.
+func (f *Frontend) writeBeforeDeadline(c echo.Context, fn func() error) error {
 	_ = http.NewResponseController(c.Response()).SetWriteDeadline(time.Now().Add(f.limits.WriteTimeout))
 	return fn()
 }
@@ -347,11 +347,11 @@
 func (f *Frontend) WaitIdle(ctx context.Context) error {
 	ticker := f.clock.NewTicker(20 * time.Millisecond)
 	defer ticker.Stop()
-	for f.open.Load() > 0 {
+	for f.openRequests.Load() > 0 {
 		select {
 		case <-ticker.Chan():
 		case <-ctx.Done():
-			return newError("wait", proto.KindUnavailable, "%d requests are still in progress", f.open.Load())
+			return newError("wait", proto.KindUnavailable, "%d requests are still in progress", f.openRequests.Load())
 		}
 	}
 	return nil
--- a/wire/keepalive.go
+++ b/wire/keepalive.go
@@ -9,15 +9,15 @@
 // Parameters of the check that the other end of an open connection is still reachable. The network may drop everything
 // that is sent on an old connection, permanently and without an error, while new connections work.
 const (
-	// quietMost is how long data may stay unacknowledged before the connection counts as dead; a lost packet is
+	// maxUnacknowledged is how long data may stay unacknowledged before the connection counts as dead; a lost packet is
 	// retransmitted about three times in this period. News of targets and configuration must arrive within two seconds,
 	// so a watch of the store whose connection went silent must fail in less time.
-	quietMost = 1200 * time.Millisecond
-	// quietProbe is the pause before the first probe and between probes on an idle connection, the shortest that
+	maxUnacknowledged = 1200 * time.Millisecond
+	// probeInterval is the pause before the first probe and between probes on an idle connection, the shortest that
 	// operating systems support.
-	quietProbe = time.Second
-	// quietProbes is the number of unanswered probes that end a connection.
-	quietProbes = 2
+	probeInterval = time.Second
+	// maxProbes is the number of unanswered probes that end a connection.
+	maxProbes = 2
 )
 
 // tcpUserTimeout is the TCP_USER_TIMEOUT socket option, which bounds how long data may stay unacknowledged, in
@@ -29,14 +29,14 @@
 func NewDialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:         timeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: quietProbe, Interval: quietProbe, Count: quietProbes},
-		Control:         boundSilence,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeInterval, Interval: probeInterval, Count: maxProbes},
+		Control:         setUserTimeout,
 	}
 }
 
-// boundSilence sets the option on a socket before it is connected. A system without the option relies on the probes.
-func boundSilence(_, _ string, raw syscall.RawConn) error {
+// setUserTimeout sets the option on a socket before it is connected. A system without the option relies on the probes.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
-		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(quietMost.Milliseconds()))
+		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(maxUnacknowledged.Milliseconds()))
 	})
 }
--- a/wire/keepalive_test.go
+++ b/wire/keepalive_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestADialedConnectionNoticesSilence reads the socket options back, since a connection on the loopback interface
+// TestDialedConnectionHasKeepAliveOptions reads the socket options back, since a connection on the loopback interface
 // cannot be made silent.
-func TestADialedConnectionNoticesSilence(t *testing.T) {
+func TestDialedConnectionHasKeepAliveOptions(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/wire/kinds.go
+++ b/wire/kinds.go
@@ -32,7 +32,7 @@
 	k.counts[name] = c
 }
 
-func (k *kindCounts) read() map[string]KindCount {
+func (k *kindCounts) snapshot() map[string]KindCount {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return maps.Clone(k.counts)
--- a/wire/links.go
+++ b/wire/links.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	pathPeer    = "/peer"
-	headerVM    = "Emberlead-Vm"
-	outboxSize  = 512
-	linkIdle    = time.Minute
-	redialAfter = 500 * time.Millisecond
-	writeWait   = 5 * time.Second
+	pathPeer        = "/peer"
+	headerVM        = "Emberlead-Vm"
+	outboxSize      = 512
+	linkIdleTimeout = time.Minute
+	redialDelay     = 500 * time.Millisecond
+	writeTimeout    = 5 * time.Second
 )
 
 // LinkCounts are the totals of all links since the start.
@@ -41,26 +41,26 @@
 // Links carries messages to other daemons over WebSocket. Each daemon opens a connection for the messages that it
 // sends; answers come back on the same connection.
 type Links struct {
-	self proto.VM
-	key  string
-	tls  *tls.Config
+	self      proto.VM
+	sharedKey string
+	tls       *tls.Config
 	// credentials back tls if daemons authenticate with certificates that may change; nil otherwise.
-	credentials *Credentials
-	log         hclog.Logger
-	client      *http.Client
-	resolve     func(proto.VM) (proto.Alive, bool)
-	handle      func(context.Context, proto.VM, proto.Message) proto.Message
-	gate        func()
+	credentials   *Credentials
+	log           hclog.Logger
+	client        *http.Client
+	resolve       func(proto.VM) (proto.Alive, bool)
+	handle        func(context.Context, proto.VM, proto.Message) proto.Message
+	beforeMessage func()
 
-	mu    sync.Mutex
-	links map[proto.VM]*link
-	cut   map[proto.VM]bool
+	mu          sync.Mutex
+	links       map[proto.VM]*link
+	partitioned map[proto.VM]bool
 	// accepted are the connections opened by other daemons.
 	accepted map[*websocket.Conn]bool
 	closed   bool
-	// refused are the daemons for which a certificate was refused on the last attempt to connect.
-	refused map[proto.VM]bool
-	calls   atomic.Uint64
+	// certRefused are the daemons for which a certificate was refused on the last attempt to connect.
+	certRefused map[proto.VM]bool
+	calls       atomic.Uint64
 
 	sent, received, bytesOut, bytesIn, dropped atomic.Int64
 
@@ -86,16 +86,16 @@
 // NewLinks returns links that connect when the first message is sent.
 func NewLinks(c LinksConfig) *Links {
 	l := &Links{
-		self: c.Self, key: c.SharedKey, tls: c.TLS, log: c.Log, resolve: c.Resolve, handle: c.Handle, gate: c.BeforeMessage,
-		links: map[proto.VM]*link{}, cut: map[proto.VM]bool{}, accepted: map[*websocket.Conn]bool{}, refused: map[proto.VM]bool{}, credentials: c.Credentials,
+		self: c.Self, sharedKey: c.SharedKey, tls: c.TLS, log: c.Log, resolve: c.Resolve, handle: c.Handle, beforeMessage: c.BeforeMessage,
+		links: map[proto.VM]*link{}, partitioned: map[proto.VM]bool{}, accepted: map[*websocket.Conn]bool{}, certRefused: map[proto.VM]bool{}, credentials: c.Credentials,
 	}
 	if l.credentials != nil {
-		l.tls = l.credentials.client()
+		l.tls = l.credentials.clientTLS()
 	}
-	if l.gate == nil {
-		l.gate = func() {}
+	if l.beforeMessage == nil {
+		l.beforeMessage = func() {}
 	}
-	l.client = &http.Client{Transport: &http.Transport{TLSClientConfig: l.tls, DialContext: dialFunc(NewDialer(dialTimeout).DialContext).anew(linkConnect)}}
+	l.client = &http.Client{Transport: &http.Transport{TLSClientConfig: l.tls, DialContext: dialFunc(NewDialer(dialTimeout).DialContext).withRetry(linkDialAttemptTimeout)}}
 	return l
 }
 
@@ -107,21 +107,21 @@
 	return LinkCounts{
 		Links: n, Sent: l.sent.Load(), Received: l.received.Load(),
 		BytesOut: l.bytesOut.Load(), BytesIn: l.bytesIn.Load(), Dropped: l.dropped.Load(),
-		Kinds: l.kinds.read(),
+		Kinds: l.kinds.snapshot(),
 	}
 }
 
 // SetPartitioned drops all messages to and from a daemon, or stops doing so; for tests.
-func (l *Links) SetPartitioned(vm proto.VM, cut bool) {
+func (l *Links) SetPartitioned(vm proto.VM, partitioned bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut[vm] = cut
+	l.partitioned[vm] = partitioned
 }
 
-func (l *Links) isCut(vm proto.VM) bool {
+func (l *Links) isPartitioned(vm proto.VM) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.cut[vm]
+	return l.partitioned[vm]
 }
 
 // Close closes the links to all other daemons.
@@ -140,16 +140,16 @@
 	outbox chan []byte
 	ctx    context.Context
 	cancel context.CancelFunc
-	// broken means that the other daemon could not be reached a moment ago, so that calls fail at once.
-	broken atomic.Bool
-	mu     sync.Mutex
-	calls  map[uint64]chan proto.Message
+	// unreachable means that the other daemon could not be reached a moment ago, so that calls fail at once.
+	unreachable atomic.Bool
+	mu          sync.Mutex
+	calls       map[uint64]chan proto.Message
 }
 
 func (l *Links) link(to proto.VM) *link {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.closed || l.cut[to] {
+	if l.closed || l.partitioned[to] {
 		return nil
 	}
 	lk := l.links[to]
@@ -163,7 +163,7 @@
 	return lk
 }
 
-func (l *Links) drop(lk *link) {
+func (l *Links) removeLink(lk *link) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.links[lk.to] == lk {
@@ -176,9 +176,9 @@
 func (lk *link) failCalls() {
 	lk.mu.Lock()
 	defer lk.mu.Unlock()
-	lk.broken.Store(true)
-	for id, waiting := range lk.calls {
-		close(waiting)
+	lk.unreachable.Store(true)
+	for id, reply := range lk.calls {
+		close(reply)
 		delete(lk.calls, id)
 	}
 }
@@ -190,12 +190,12 @@
 		l.log.Error("a message cannot be encoded", "error", err)
 		return
 	}
-	if lk := l.link(to); lk != nil && lk.queue(data) {
+	if lk := l.link(to); lk != nil && lk.enqueue(data) {
 		l.kinds.add(m, len(data))
 	}
 }
 
-func (lk *link) queue(data []byte) bool {
+func (lk *link) enqueue(data []byte) bool {
 	select {
 	case lk.outbox <- data:
 		return true
@@ -207,7 +207,7 @@
 
 // Call sends a message and waits for its answer; it fails with KindUnavailable.
 func (l *Links) Call(ctx context.Context, to proto.VM, m proto.Message) (proto.Message, error) {
-	ctx, s := span(ctx, "peer", trace.SpanKindClient, attribute.String("emberlead.peer", string(to)))
+	ctx, s := startSpan(ctx, "peer", trace.SpanKindClient, attribute.String("emberlead.peer", string(to)))
 	answer, err := l.call(ctx, to, m)
 	endSpan(s, err)
 	return answer, err
@@ -225,8 +225,8 @@
 	if lk == nil {
 		return nil, newError("call", proto.KindUnavailable, "no link to %s", to)
 	}
-	waiting := make(chan proto.Message, 1)
-	if !lk.expect(id, waiting) {
+	reply := make(chan proto.Message, 1)
+	if !lk.addCall(id, reply) {
 		return nil, newError("call", proto.KindUnavailable, "%s could not be reached a moment ago", to)
 	}
 	defer func() {
@@ -234,12 +234,12 @@
 		delete(lk.calls, id)
 		lk.mu.Unlock()
 	}()
-	if !lk.queue(data) {
+	if !lk.enqueue(data) {
 		return nil, newError("call", proto.KindUnavailable, "the queue to %s is full", to)
 	}
 	l.kinds.add(m, len(data))
 	select {
-	case answer, ok := <-waiting:
+	case answer, ok := <-reply:
 		if !ok {
 			return nil, newError("call", proto.KindUnavailable, "the link to %s broke", to)
 		}
@@ -249,27 +249,27 @@
 	}
 }
 
-// expect registers a call, unless the link is broken.
-func (lk *link) expect(id uint64, waiting chan proto.Message) bool {
+// addCall registers a call, unless the other daemon is unreachable.
+func (lk *link) addCall(id uint64, reply chan proto.Message) bool {
 	lk.mu.Lock()
 	defer lk.mu.Unlock()
-	if lk.broken.Load() {
+	if lk.unreachable.Load() {
 		return false
 	}
-	lk.calls[id] = waiting
+	lk.calls[id] = reply
 	return true
 }
 
 func (lk *link) run() {
 	l := lk.owner
-	defer l.drop(lk)
+	defer l.removeLink(lk)
 	conn, err := lk.dial()
 	if err != nil {
 		l.log.Trace("a link cannot be made", "to", lk.to, "error", err)
 		// Messages queued within this time are dropped together with this link, so that not each of them dials.
 		lk.failCalls()
 		select {
-		case <-time.After(redialAfter):
+		case <-time.After(redialDelay):
 		case <-lk.ctx.Done():
 		}
 		return
@@ -290,8 +290,8 @@
 		scheme = "wss"
 	}
 	header := http.Header{headerVM: {string(l.self)}}
-	if l.key != "" {
-		header.Set("Authorization", "Bearer "+l.key)
+	if l.sharedKey != "" {
+		header.Set("Authorization", "Bearer "+l.sharedKey)
 	}
 	ctx, cancel := context.WithTimeout(lk.ctx, dialTimeout)
 	defer cancel()
@@ -302,13 +302,13 @@
 		l.log.Warn("another daemon does not accept this one's key or certificate", "to", lk.to, "address", alive.Peer)
 	}
 	if err != nil {
-		if isRefusal(err) {
-			l.noteRefusal(lk.to, true, err)
+		if isCertRefusal(err) {
+			l.recordCertRefusal(lk.to, true, err)
 		}
 		return nil, &Error{Op: "dial", Kind: proto.KindUnavailable, Err: err}
 	}
-	err = l.checkName(resp, alive.VM)
-	l.noteRefusal(lk.to, err != nil, err)
+	err = l.verifyPeerName(resp, alive.VM)
+	l.recordCertRefusal(lk.to, err != nil, err)
 	if err != nil {
 		_ = conn.CloseNow() // Nothing was sent over the connection.
 		return nil, err
@@ -321,15 +321,15 @@
 }
 
 func (lk *link) write(conn *websocket.Conn) {
-	idle := time.NewTimer(linkIdle)
+	idle := time.NewTimer(linkIdleTimeout)
 	defer idle.Stop()
 	for {
 		select {
 		case data := <-lk.outbox:
-			if lk.owner.isCut(lk.to) {
+			if lk.owner.isPartitioned(lk.to) {
 				return
 			}
-			ctx, cancel := context.WithTimeout(lk.ctx, writeWait)
+			ctx, cancel := context.WithTimeout(lk.ctx, writeTimeout)
 			err := conn.Write(ctx, websocket.MessageBinary, data)
 			cancel()
 			if err != nil {
@@ -337,7 +337,7 @@
 			}
 			lk.owner.sent.Add(1)
 			lk.owner.bytesOut.Add(int64(len(data)))
-			idle.Reset(linkIdle)
+			idle.Reset(linkIdleTimeout)
 		case <-idle.C:
 			return
 		case <-lk.ctx.Done():
@@ -356,16 +356,16 @@
 		lk.owner.received.Add(1)
 		lk.owner.bytesIn.Add(int64(len(data)))
 		env, m, err := proto.Decode(data)
-		if err != nil || !env.Answer || lk.owner.isCut(lk.to) {
+		if err != nil || !env.Answer || lk.owner.isPartitioned(lk.to) {
 			continue
 		}
-		lk.owner.gate()
+		lk.owner.beforeMessage()
 		lk.mu.Lock()
-		waiting := lk.calls[env.Call]
+		reply := lk.calls[env.Call]
 		delete(lk.calls, env.Call)
 		lk.mu.Unlock()
-		if waiting != nil {
-			waiting <- m
+		if reply != nil {
+			reply <- m
 		}
 	}
 }
--- a/wire/operator.go
+++ b/wire/operator.go
@@ -105,8 +105,8 @@
 
 func (o *OperatorAPI) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		given := c.Request().Header.Get("Authorization")
-		if o.key != "" && subtle.ConstantTimeCompare([]byte(given), []byte("Bearer "+o.key)) != 1 {
+		header := c.Request().Header.Get("Authorization")
+		if o.key != "" && subtle.ConstantTimeCompare([]byte(header), []byte("Bearer "+o.key)) != 1 {
 			return c.JSON(http.StatusUnauthorized, OperatorError{Kind: proto.KindDenied, Error: "the operators' key is missing or wrong"})
 		}
 		return next(c)
@@ -156,7 +156,7 @@
 		req.Base = &generation
 	}
 	applied, err := o.node.ConfigStore.Apply(c.Request().Context(), o.node.Config, req)
-	return o.answer(c, applied, err)
+	return o.writeResult(c, applied, err)
 }
 
 func (o *OperatorAPI) planStop(c echo.Context) error {
@@ -165,10 +165,10 @@
 		return c.JSON(http.StatusBadRequest, OperatorError{Kind: proto.KindInvalid, Error: "a stop plan needs a VM"})
 	}
 	applied, err := o.node.ConfigStore.PlanStop(c.Request().Context(), o.node.Config, plan, c.QueryParam("by"))
-	return o.answer(c, applied, err)
+	return o.writeResult(c, applied, err)
 }
 
-func (o *OperatorAPI) answer(c echo.Context, applied coord.ApplyResult, err error) error {
+func (o *OperatorAPI) writeResult(c echo.Context, result coord.ApplyResult, err error) error {
 	if err != nil {
 		status := http.StatusServiceUnavailable
 		if proto.KindOf(err) == proto.KindUnknown {
@@ -178,13 +178,13 @@
 		return c.JSON(status, OperatorError{Kind: proto.KindOf(err), Error: err.Error()})
 	}
 	switch {
-	case applied.Conflict != nil:
-		return c.JSON(http.StatusConflict, applied)
-	case len(applied.Faults) > 0:
-		return c.JSON(http.StatusUnprocessableEntity, applied)
+	case result.Conflict != nil:
+		return c.JSON(http.StatusConflict, result)
+	case len(result.Faults) > 0:
+		return c.JSON(http.StatusUnprocessableEntity, result)
 	}
-	o.log.Info("a change was applied", "generation", applied.Generation, "applyId", applied.ApplyID)
-	return c.JSON(http.StatusOK, applied)
+	o.log.Info("a change was applied", "generation", result.Generation, "applyId", result.ApplyID)
+	return c.JSON(http.StatusOK, result)
 }
 
 var (
--- a/wire/platform.go
+++ b/wire/platform.go
@@ -35,30 +35,32 @@
 
 // PlatformClient is a client of the platform's table service, object store and VM list.
 type PlatformClient struct {
-	base    string
-	name    string
-	client  *http.Client
-	limits  PlatformLimits
-	reads   *rate.Limiter
-	writes  *rate.Limiter
-	asked   atomic.Int64
-	written atomic.Int64
-}
-
-// NewPlatformClient returns a client; name identifies the daemon to the platform.
-func NewPlatformClient(base, name string, limits PlatformLimits) *PlatformClient {
+	baseURL    string
+	clientName string
+	client     *http.Client
+	limits     PlatformLimits
+	reads      *rate.Limiter
+	writes     *rate.Limiter
+	readCount  atomic.Int64
+	writeCount atomic.Int64
+}
+
+// NewPlatformClient returns a client; clientName identifies the daemon to the platform.
+func NewPlatformClient(baseURL, clientName string, limits PlatformLimits) *PlatformClient {
 	return &PlatformClient{
-		base:   base,
-		name:   name,
-		client: &http.Client{},
-		limits: limits,
-		reads:  rate.NewLimiter(rate.Limit(limits.ReadsPerSecond), limits.Burst),
-		writes: rate.NewLimiter(rate.Limit(limits.WritesPerSecond), limits.Burst),
+		baseURL:    baseURL,
+		clientName: clientName,
+		client:     &http.Client{},
+		limits:     limits,
+		reads:      rate.NewLimiter(rate.Limit(limits.ReadsPerSecond), limits.Burst),
+		writes:     rate.NewLimiter(rate.Limit(limits.WritesPerSecond), limits.Burst),
 	}
 }
 
 // Counts returns the reads and writes sent so far.
-func (p *PlatformClient) Counts() (reads, writes int64) { return p.asked.Load(), p.written.Load() }
+func (p *PlatformClient) Counts() (reads, writes int64) {
+	return p.readCount.Load(), p.writeCount.Load()
+}
 
 type platformCall struct {
 	op     string
@@ -73,23 +75,23 @@
 func (p *PlatformClient) do(ctx context.Context, call platformCall) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.limits.CallTimeout)
 	defer cancel()
-	ctx, s := span(ctx, "platform", trace.SpanKindClient, attribute.String("emberlead.op", call.op))
+	ctx, s := startSpan(ctx, "platform", trace.SpanKindClient, attribute.String("emberlead.op", call.op))
 	policy := backoff.NewExponentialBackOff()
 	policy.InitialInterval = 50 * time.Millisecond
 	policy.MaxInterval = 500 * time.Millisecond
-	var last error
+	var lastErr error
 	data, err := backoff.Retry(ctx, func() ([]byte, error) {
-		data, err := p.once(ctx, call)
+		data, err := p.attempt(ctx, call)
 		if err != nil {
-			last = err
+			lastErr = err
 		}
 		if err != nil && proto.KindOf(err) != proto.KindUnavailable {
 			return nil, backoff.Permanent(err)
 		}
 		return data, err
 	}, backoff.WithBackOff(policy), backoff.WithMaxElapsedTime(p.limits.CallTimeout))
-	if err != nil && last != nil {
-		err = last
+	if err != nil && lastErr != nil {
+		err = lastErr
 	}
 	if err != nil && proto.KindOf(err) == "" {
 		err = &Error{Op: call.op, Kind: proto.KindUnavailable, Err: err}
@@ -98,42 +100,42 @@
 	return data, err
 }
 
-func (p *PlatformClient) once(ctx context.Context, call platformCall) ([]byte, error) {
-	limiter, counter := p.reads, &p.asked
+func (p *PlatformClient) attempt(ctx context.Context, call platformCall) ([]byte, error) {
+	limiter, counter := p.reads, &p.readCount
 	if call.write {
-		limiter, counter = p.writes, &p.written
+		limiter, counter = p.writes, &p.writeCount
 	}
 	if err := limiter.Wait(ctx); err != nil {
 		return nil, &Error{Op: call.op, Kind: proto.KindUnavailable, Err: err}
 	}
 	counter.Add(1)
 	sent := false
-	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent = true }})
-	u := p.base + call.path
+	traceCtx := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent = true }})
+	u := p.baseURL + call.path
 	if len(call.query) > 0 {
 		u += "?" + call.query.Encode()
 	}
-	req, err := http.NewRequestWithContext(traced, call.method, u, bytes.NewReader(call.body))
+	req, err := http.NewRequestWithContext(traceCtx, call.method, u, bytes.NewReader(call.body))
 	if err != nil {
 		return nil, &Error{Op: call.op, Kind: proto.KindInvalid, Err: err}
 	}
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set("Emberlead-Client", p.name)
-	inject(ctx, req.Header)
+	req.Header.Set("Emberlead-Client", p.clientName)
+	injectTrace(ctx, req.Header)
 	resp, err := p.client.Do(req)
 	if err != nil {
-		return nil, &Error{Op: call.op, Kind: lostKind(call.write && sent), Err: err}
+		return nil, &Error{Op: call.op, Kind: failedCallKind(call.write && sent), Err: err}
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseSize))
 	if err != nil {
-		return nil, &Error{Op: call.op, Kind: lostKind(call.write), Err: err}
+		return nil, &Error{Op: call.op, Kind: failedCallKind(call.write), Err: err}
 	}
 	return data, statusError(call.op, resp.StatusCode, data)
 }
 
-// lostKind distinguishes a write that may have taken effect from a call that can be repeated.
-func lostKind(maybeWritten bool) proto.Kind {
+// failedCallKind distinguishes a write that may have taken effect from a call that can be repeated.
+func failedCallKind(maybeWritten bool) proto.Kind {
 	if maybeWritten {
 		return proto.KindUnknown
 	}
--- a/wire/severed_test.go
+++ b/wire/silentlink_test.go
@@ -15,33 +15,34 @@
 	"emberlead/proto"
 )
 
-// severable is a proxy that forwards connections until it is told to drop everything that is sent over the open ones.
-type severable struct {
-	listener net.Listener
-	to       string
-	severed  atomic.Int64 // connections up to this number are silent
-	accepted atomic.Int64
+// silenceableProxy is a proxy that forwards connections until it is told to drop everything that is sent over the open
+// ones.
+type silenceableProxy struct {
+	listener     net.Listener
+	to           string
+	silencedUpTo atomic.Int64 // connections up to this number are silent
+	accepted     atomic.Int64
 
 	mu    sync.Mutex
 	conns []net.Conn
 }
 
-func newSeverable(t *testing.T, to string) *severable {
+func newSilenceableProxy(t *testing.T, to string) *silenceableProxy {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &severable{listener: l, to: to}
+	p := &silenceableProxy{listener: l, to: to}
 	t.Cleanup(func() {
 		_ = l.Close()
-		p.report()
+		p.closeConns()
 	})
 	go p.serve()
 	return p
 }
 
-func (p *severable) serve() {
+func (p *silenceableProxy) serve() {
 	for {
 		from, err := p.listener.Accept()
 		if err != nil {
@@ -61,7 +62,7 @@
 	}
 }
 
-func (p *severable) copy(to, from net.Conn, number int64) {
+func (p *silenceableProxy) copy(to, from net.Conn, number int64) {
 	buffer := make([]byte, 4096)
 	for {
 		n, err := from.Read(buffer)
@@ -69,7 +70,7 @@
 			_ = to.Close()
 			return
 		}
-		if number <= p.severed.Load() {
+		if number <= p.silencedUpTo.Load() {
 			continue
 		}
 		if _, err := to.Write(buffer[:n]); err != nil {
@@ -78,11 +79,11 @@
 	}
 }
 
-// sever makes all open connections silent.
-func (p *severable) sever() { p.severed.Store(p.accepted.Load()) }
+// silenceOpenConns makes all open connections silent.
+func (p *silenceableProxy) silenceOpenConns() { p.silencedUpTo.Store(p.accepted.Load()) }
 
-// report closes the open connections, as the kernel does with those whose probes are not answered.
-func (p *severable) report() {
+// closeConns closes the open connections, as the kernel does with those whose probes are not answered.
+func (p *silenceableProxy) closeConns() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.conns {
@@ -91,44 +92,44 @@
 	p.conns = nil
 }
 
-// TestALinkThatFallsSilentIsMadeAnew guards against a link that stays unusable when the connections between two daemons
-// go silent for good while new ones work. The loopback interface acknowledges what the proxy drops, so the test closes
-// the silent connections itself; TestADialedConnectionNoticesSilence checks the options by which the kernel does so.
-func TestALinkThatFallsSilentIsMadeAnew(t *testing.T) {
-	var heard atomic.Int64
+// TestSilentLinkIsReopened guards against a link that stays unusable when the connections between two daemons go silent
+// for good while new ones work. The loopback interface acknowledges what the proxy drops, so the test closes the silent
+// connections itself; TestDialedConnectionHasKeepAliveOptions checks the options by which the kernel does so.
+func TestSilentLinkIsReopened(t *testing.T) {
+	var received atomic.Int64
 	other := NewLinks(LinksConfig{
 		Self: "b", SharedKey: "k", Log: hclog.NewNullLogger(), Resolve: func(proto.VM) (proto.Alive, bool) { return proto.Alive{}, false },
 		Handle: func(context.Context, proto.VM, proto.Message) proto.Message {
-			heard.Add(1)
+			received.Add(1)
 			return proto.Done{}
 		},
 	})
 	server := httptest.NewServer(other.Handler())
 	t.Cleanup(server.Close)
-	path := newSeverable(t, server.Listener.Addr().String())
+	proxy := newSilenceableProxy(t, server.Listener.Addr().String())
 	l := NewLinks(LinksConfig{
 		Self: "a", SharedKey: "k", Log: hclog.NewNullLogger(), Handle: func(context.Context, proto.VM, proto.Message) proto.Message { return proto.Done{} },
 		Resolve: func(proto.VM) (proto.Alive, bool) {
-			return proto.Alive{VM: "b", Peer: netip.MustParseAddrPort(path.listener.Addr().String())}, true
+			return proto.Alive{VM: "b", Peer: netip.MustParseAddrPort(proxy.listener.Addr().String())}, true
 		},
 	})
 	t.Cleanup(l.Close)
-	reach := func() {
+	sendUntilReceived := func() {
 		t.Helper()
-		before := heard.Load()
-		for end := time.Now().Add(20 * time.Second); heard.Load() == before; time.Sleep(10 * time.Millisecond) {
+		before := received.Load()
+		for end := time.Now().Add(20 * time.Second); received.Load() == before; time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal("the other daemon hears nothing")
 			}
 			l.Send("b", proto.Heartbeat{})
 		}
 	}
-	reach()
+	sendUntilReceived()
 	// Data in flight must arrive before the connection goes silent.
 	if _, err := l.Call(t.Context(), "b", proto.RoutingAsk{}); err != nil {
 		t.Fatal(err)
 	}
-	path.sever()
+	proxy.silenceOpenConns()
 	called := make(chan error, 1)
 	go func() {
 		_, err := l.Call(t.Context(), "b", proto.RoutingAsk{})
@@ -139,12 +140,12 @@
 		t.Fatalf("a call over the silent connection ended: %v", err)
 	case <-time.After(50 * time.Millisecond):
 	}
-	path.report()
+	proxy.closeConns()
 	if err := <-called; err == nil {
 		t.Error("a call over the silent connection was answered")
 	}
-	reach()
-	if n := path.accepted.Load(); n < 2 {
+	sendUntilReceived()
+	if n := proxy.accepted.Load(); n < 2 {
 		t.Errorf("%d connections were made", n)
 	}
 }
--- a/wire/targets.go
+++ b/wire/targets.go
@@ -24,13 +24,13 @@
 )
 
 const (
-	dialTimeout      = 2 * time.Second
-	idlePerTarget    = 32
-	idleTimeout      = 30 * time.Second
-	maxAnswer        = 8 << 20
-	maxEventLine     = 1 << 20
-	controlTimeout   = 2 * time.Second
-	attemptAllowance = 50 * time.Millisecond
+	dialTimeout          = 2 * time.Second
+	maxIdlePerTarget     = 32
+	idleTimeout          = 30 * time.Second
+	maxResponseSize      = 8 << 20
+	maxEventLine         = 1 << 20
+	controlTimeout       = 2 * time.Second
+	attemptDeadlineSlack = 50 * time.Millisecond
 )
 
 // countingConn counts the bytes written, because a request certainly did not run only if there were none.
@@ -46,23 +46,23 @@
 
 // TargetClient runs attempts at targets over HTTP.
 type TargetClient struct {
-	reused *http.Client
-	fresh  *http.Client
-	life   context.Context
-	abort  context.CancelFunc
+	pooled   *http.Client
+	fresh    *http.Client
+	lifetime context.Context
+	abort    context.CancelFunc
 }
 
 // NewTargetClient returns a client of targets.
 func NewTargetClient() *TargetClient {
-	t := &TargetClient{reused: targetClient(false), fresh: targetClient(true)}
-	t.life, t.abort = context.WithCancel(context.Background())
+	t := &TargetClient{pooled: newTargetHTTPClient(false), fresh: newTargetHTTPClient(true)}
+	t.lifetime, t.abort = context.WithCancel(context.Background())
 	return t
 }
 
 // Abort closes all connections to targets, as the end of the process would.
 func (t *TargetClient) Abort() { t.abort() }
 
-func targetClient(fresh bool) *http.Client {
+func newTargetHTTPClient(fresh bool) *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	transport := &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -72,7 +72,7 @@
 			}
 			return &countingConn{Conn: conn}, nil
 		},
-		MaxIdleConnsPerHost: idlePerTarget,
+		MaxIdleConnsPerHost: maxIdlePerTarget,
 		IdleConnTimeout:     idleTimeout,
 		DisableKeepAlives:   fresh,
 		DisableCompression:  true,
@@ -82,29 +82,29 @@
 	}}
 }
 
-// sentWatch detects whether any byte of a request was written to a connection.
-type sentWatch struct {
-	conn   atomic.Pointer[countingConn]
-	before atomic.Int64
+// writeDetector detects whether any byte of a request was written to a connection.
+type writeDetector struct {
+	conn          atomic.Pointer[countingConn]
+	writtenBefore atomic.Int64
 }
 
-func (w *sentWatch) trace(ctx context.Context) context.Context {
+func (w *writeDetector) withTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		if conn, ok := info.Conn.(*countingConn); ok {
-			w.before.Store(conn.written.Load())
+			w.writtenBefore.Store(conn.written.Load())
 			w.conn.Store(conn)
 		}
 	}})
 }
 
-func (w *sentWatch) sent() bool {
+func (w *writeDetector) sent() bool {
 	conn := w.conn.Load()
-	return conn != nil && conn.written.Load() > w.before.Load()
+	return conn != nil && conn.written.Load() > w.writtenBefore.Load()
 }
 
 // Run executes an attempt and passes its chunks and its end to emit; the end is the last event.
 func (t *TargetClient) Run(ctx context.Context, start *core.Start, mayRepeat bool, emit func(core.Event)) {
-	ctx, s := span(ctx, "attempt", trace.SpanKindClient,
+	ctx, s := startSpan(ctx, "attempt", trace.SpanKindClient,
 		attribute.String("emberlead.stage", start.Stage.Name),
 		attribute.String("emberlead.target", start.Target.Name),
 		attribute.Int("emberlead.attempt", start.ID.Number))
@@ -119,37 +119,37 @@
 }
 
 func (t *TargetClient) run(ctx context.Context, start *core.Start, mayRepeat bool, emit func(core.Event)) core.AttemptEnded {
-	ctx, cancel := context.WithDeadline(ctx, start.Deadline.Add(attemptAllowance))
+	ctx, cancel := context.WithDeadline(ctx, start.Deadline.Add(attemptDeadlineSlack))
 	defer cancel()
-	defer context.AfterFunc(t.life, cancel)()
-	watch := &sentWatch{}
-	req, err := newRun(watch.trace(ctx), start)
+	defer context.AfterFunc(t.lifetime, cancel)()
+	detector := &writeDetector{}
+	req, err := newRunRequest(detector.withTrace(ctx), start)
 	if err != nil {
 		return core.AttemptEnded{Status: core.StatusNotStarted, Reason: err.Error()}
 	}
 	// A reused connection may have been closed unnoticed, and it is then unknown whether a written request ran.
-	client := t.reused
+	client := t.pooled
 	if !mayRepeat {
 		client = t.fresh
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		fate := core.StatusUnknown
-		if !watch.sent() {
-			fate = core.StatusNotStarted
+		status := core.StatusUnknown
+		if !detector.sent() {
+			status = core.StatusNotStarted
 		}
-		return core.AttemptEnded{Status: fate, Reason: err.Error()}
+		return core.AttemptEnded{Status: status, Reason: err.Error()}
 	}
 	defer resp.Body.Close()
-	return t.read(resp, start, emit)
+	return t.readResponse(resp, start, emit)
 }
 
-func newRun(ctx context.Context, start *core.Start) (*http.Request, error) {
+func newRunRequest(ctx context.Context, start *core.Start) (*http.Request, error) {
 	body, err := json.Marshal(proto.RunRequest{
 		Attempt: start.ID.String(), Workspace: start.Workspace, Service: start.Service, Stage: start.Stage.Name,
 		Model: start.Stage.Model, Input: start.Input, Prefix: start.Prefix, Priority: start.Priority,
 		Deadline: start.Deadline, Stream: start.Stream, MaxTokens: start.Stage.MaxTokens,
-		Offset: start.Offset, Delivered: delivered(start.Delivered), CacheHandle: start.CacheHandle,
+		Offset: start.Offset, Delivered: encodeDelivered(start.Delivered), CacheHandle: start.CacheHandle,
 	})
 	if err != nil {
 		return nil, &Error{Op: "encode attempt", Kind: proto.KindInvalid, Err: err}
@@ -162,11 +162,11 @@
 	req.GetBody = nil
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(proto.HeaderAttempt, start.ID.String())
-	inject(ctx, req.Header)
+	injectTrace(ctx, req.Header)
 	return req, nil
 }
 
-func delivered(text string) json.RawMessage {
+func encodeDelivered(text string) json.RawMessage {
 	if text == "" {
 		return nil
 	}
@@ -181,7 +181,7 @@
 	return (&url.URL{Scheme: "http", Host: address.String(), Path: path}).String()
 }
 
-func (t *TargetClient) read(resp *http.Response, start *core.Start, emit func(core.Event)) core.AttemptEnded {
+func (t *TargetClient) readResponse(resp *http.Response, start *core.Start, emit func(core.Event)) core.AttemptEnded {
 	if resp.StatusCode != http.StatusOK {
 		return readRefusal(resp)
 	}
@@ -189,10 +189,10 @@
 		return readStream(resp.Body, start, emit)
 	}
 	var answer proto.RunAnswer
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(&answer); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseSize)).Decode(&answer); err != nil {
 		return core.AttemptEnded{Status: core.StatusUnknown, Reason: err.Error()}
 	}
-	return answered(&answer, start, emit)
+	return attemptDone(&answer, start, emit)
 }
 
 // readRefusal trusts a target that states that the request did not start; after any other error it may have run.
@@ -209,7 +209,7 @@
 	return core.AttemptEnded{Status: core.StatusUnknown, Reason: reason}
 }
 
-func answered(answer *proto.RunAnswer, start *core.Start, emit func(core.Event)) core.AttemptEnded {
+func attemptDone(answer *proto.RunAnswer, start *core.Start, emit func(core.Event)) core.AttemptEnded {
 	if answer.Attempt != start.ID.String() {
 		return core.AttemptEnded{Status: core.StatusUnknown, Reason: "the answer is to attempt " + answer.Attempt}
 	}
@@ -234,7 +234,7 @@
 			if err := json.Unmarshal(data, &answer); err != nil {
 				return core.AttemptEnded{Status: core.StatusUnknown, Reason: err.Error()}
 			}
-			return answered(&answer, start, emit)
+			return attemptDone(&answer, start, emit)
 		}
 		var chunk proto.RunChunk
 		if err := json.Unmarshal(data, &chunk); err != nil || chunk.Attempt != start.ID.String() {
@@ -277,7 +277,7 @@
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	u := targetURL(address, proto.PathCancel) + "?attempt=" + url.QueryEscape(attempt.String())
-	_, _ = t.control(ctx, http.MethodPost, u, nil)
+	_, _ = t.sendControl(ctx, http.MethodPost, u, nil)
 }
 
 // Load reads a target's load report; it fails with KindUnavailable.
@@ -285,7 +285,7 @@
 	var load proto.Load
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	data, err := t.control(ctx, http.MethodGet, targetURL(address, proto.PathLoad), nil)
+	data, err := t.sendControl(ctx, http.MethodGet, targetURL(address, proto.PathLoad), nil)
 	if err != nil {
 		return load, err
 	}
@@ -300,7 +300,7 @@
 	var events []proto.CacheEvent
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	data, err := t.control(ctx, http.MethodGet, targetURL(address, proto.PathCacheEvents)+"?after="+strconv.FormatUint(after, 10), nil)
+	data, err := t.sendControl(ctx, http.MethodGet, targetURL(address, proto.PathCacheEvents)+"?after="+strconv.FormatUint(after, 10), nil)
 	if err != nil {
 		return nil, err
 	}
@@ -314,7 +314,7 @@
 func (t *TargetClient) Export(ctx context.Context, address netip.AddrPort, attempt proto.AttemptID) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	data, err := t.control(ctx, http.MethodPost, targetURL(address, proto.PathExport)+"?attempt="+url.QueryEscape(attempt.String()), nil)
+	data, err := t.sendControl(ctx, http.MethodPost, targetURL(address, proto.PathExport)+"?attempt="+url.QueryEscape(attempt.String()), nil)
 	if err != nil {
 		return "", err
 	}
@@ -333,7 +333,7 @@
 	if err != nil {
 		return &Error{Op: "encode order", Kind: proto.KindInvalid, Err: err}
 	}
-	_, err = t.control(ctx, http.MethodPost, targetURL(address, proto.PathOrders), body)
+	_, err = t.sendControl(ctx, http.MethodPost, targetURL(address, proto.PathOrders), body)
 	return err
 }
 
@@ -341,22 +341,22 @@
 func (t *TargetClient) SendRequest(ctx context.Context, method string, address netip.AddrPort, path string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	return t.control(ctx, method, targetURL(address, path), body)
+	return t.sendControl(ctx, method, targetURL(address, path), body)
 }
 
-func (t *TargetClient) control(ctx context.Context, method, u string, body []byte) ([]byte, error) {
+func (t *TargetClient) sendControl(ctx context.Context, method, u string, body []byte) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, u, bytes.NewReader(body))
 	if err != nil {
 		return nil, &Error{Op: "control", Kind: proto.KindInvalid, Err: err}
 	}
 	req.Header.Set("Content-Type", "application/json")
-	inject(ctx, req.Header)
-	resp, err := t.reused.Do(req)
+	injectTrace(ctx, req.Header)
+	resp, err := t.pooled.Do(req)
 	if err != nil {
 		return nil, &Error{Op: "control", Kind: proto.KindUnavailable, Err: err}
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseSize))
 	if err != nil {
 		return nil, &Error{Op: "control", Kind: proto.KindUnavailable, Err: err}
 	}
--- /dev/null
+++ b/wire/targettransport.go
@@ -0,0 +1,334 @@
+package wire
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"net/netip"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"github.com/jonboulle/clockwork"
+
+	"emberlead/proto"
+	"emberlead/relay"
+)
+
+const (
+	// connectTimeout bounds opening a connection: targets are one millisecond away, and a dropped SYN packet is
+	// retransmitted only after one second.
+	connectTimeout = 200 * time.Millisecond
+	// defaultMaxIdle is how long a connection may stay idle if the target states no keep-alive timeout.
+	defaultMaxIdle = 4 * time.Second
+	// keepAliveFraction is the fraction of the keep-alive timeout stated by a target for which a connection may stay
+	// idle; the rest is a margin, since each end measures the timeout on its own clock.
+	keepAliveFraction = 0.7
+	// nonIdempotentMaxIdle is how long a connection may have been idle to be used for a non-idempotent request: if the
+	// target closed it at that moment, it would be unknown whether the request ran.
+	nonIdempotentMaxIdle = 300 * time.Millisecond
+	// maxIdlePerAddress bounds the idle connections kept to one target; targets accept a few hundred from all daemons
+	// together.
+	maxIdlePerAddress = 8
+	// maxInlineBody is the largest body that is written before the response is read. Larger ones are written
+	// concurrently, since a target may respond before it has read them.
+	maxInlineBody = 4 << 10
+	// maxStrayResponses bounds the responses to other requests that are discarded before the matching one.
+	maxStrayResponses = 2
+	readBufferSize    = 4 << 10
+)
+
+// TargetTransport sends requests to targets over connections of its own. Unlike a general HTTP client, it never sends a
+// request twice, and it reports whether any byte was written.
+type TargetTransport struct {
+	clock  clockwork.Clock
+	dialer net.Dialer
+
+	mu   sync.Mutex
+	idle map[netip.AddrPort][]*targetConn
+
+	dialed, reused, stray atomic.Int64
+}
+
+// NewTargetTransport returns a transport without open connections.
+func NewTargetTransport(clock clockwork.Clock) *TargetTransport {
+	return &TargetTransport{clock: clock, idle: map[netip.AddrPort][]*targetConn{}, dialer: net.Dialer{Timeout: connectTimeout, KeepAlive: -1}}
+}
+
+// TransportCounts holds totals since the start.
+type TransportCounts struct {
+	Dialed int64 `json:"dialed"`
+	Reused int64 `json:"reused"`
+	Stray  int64 `json:"strayAnswers"`
+}
+
+// Counts returns the totals.
+func (t *TargetTransport) Counts() TransportCounts {
+	return TransportCounts{Dialed: t.dialed.Load(), Reused: t.reused.Load(), Stray: t.stray.Load()}
+}
+
+type targetConn struct {
+	net.Conn
+	reader    *bufio.Reader
+	idleSince time.Time
+	idleUntil time.Time
+	reused    bool
+}
+
+// usable reports whether an idle connection is open and no data has arrived on it.
+func (c *targetConn) usable() bool {
+	if c.reader.Buffered() > 0 {
+		return false
+	}
+	raw, err := c.Conn.(syscall.Conn).SyscallConn()
+	if err != nil {
+		return false
+	}
+	usable := false
+	err = raw.Read(func(fd uintptr) bool {
+		var buffer [1]byte
+		_, readErr := syscall.Read(int(fd), buffer[:])
+		usable = errors.Is(readErr, syscall.EAGAIN)
+		return true
+	})
+	return err == nil && usable
+}
+
+func (t *TargetTransport) takeIdle(to netip.AddrPort, nonIdempotent bool) *targetConn {
+	now := t.clock.Now()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for {
+		conns := t.idle[to]
+		if len(conns) == 0 {
+			return nil
+		}
+		c := conns[len(conns)-1]
+		if nonIdempotent && now.Sub(c.idleSince) > nonIdempotentMaxIdle {
+			return nil
+		}
+		t.idle[to] = conns[:len(conns)-1]
+		if now.Before(c.idleUntil) && c.usable() {
+			return c
+		}
+		_ = c.Close()
+	}
+}
+
+func (t *TargetTransport) putIdle(to netip.AddrPort, c *targetConn, h http.Header) {
+	now := t.clock.Now()
+	c.idleSince, c.reused = now, true
+	c.idleUntil = now.Add(maxIdle(h))
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if conns := t.idle[to]; len(conns) < maxIdlePerAddress && c.idleUntil.After(now) {
+		t.idle[to] = append(conns, c)
+		return
+	}
+	_ = c.Close()
+}
+
+// maxIdle returns how long a connection may stay idle, based on the target's Keep-Alive header.
+func maxIdle(h http.Header) time.Duration {
+	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
+		if seconds, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") {
+			return time.Duration(keepAliveFraction * float64(seconds) * float64(time.Second))
+		}
+	}
+	return defaultMaxIdle
+}
+
+// CloseIdle closes the idle connections to an address whose target has ended, since the target may not have closed
+// them.
+func (t *TargetTransport) CloseIdle(to netip.AddrPort) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, c := range t.idle[to] {
+		_ = c.Close()
+	}
+	delete(t.idle, to)
+}
+
+// CloseExpired closes connections that have been idle for too long; it is called about once a second.
+func (t *TargetTransport) CloseExpired() {
+	now := t.clock.Now()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for to, conns := range t.idle {
+		kept := conns[:0]
+		for _, c := range conns {
+			if now.Before(c.idleUntil) {
+				kept = append(kept, c)
+				continue
+			}
+			_ = c.Close()
+		}
+		if len(kept) == 0 {
+			delete(t.idle, to)
+			continue
+		}
+		t.idle[to] = kept
+	}
+}
+
+func (t *TargetTransport) connect(ctx context.Context, to netip.AddrPort, nonIdempotent bool) (*targetConn, error) {
+	if c := t.takeIdle(to, nonIdempotent); c != nil {
+		t.reused.Add(1)
+		return c, nil
+	}
+	t.dialed.Add(1)
+	conn, err := t.dialer.DialContext(ctx, "tcp4", to.String())
+	if err != nil {
+		return nil, err
+	}
+	return &targetConn{Conn: conn, reader: bufio.NewReaderSize(conn, readBufferSize)}, nil
+}
+
+// Send writes a request and returns the status and header of its response; canceling the context closes the connection.
+func (t *TargetTransport) Send(ctx context.Context, to netip.AddrPort, out *relay.TargetRequest) (*relay.TargetResponse, error) {
+	c, err := t.connect(ctx, to, out.NonIdempotent)
+	if err != nil {
+		return nil, &relay.SendError{Err: err}
+	}
+	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
+	body := &responseBody{transport: t, to: to, conn: c, stopCancel: stop, writeDone: make(chan error, 1)}
+	sent, err := body.writeRequest(out)
+	if err != nil {
+		body.closeConn()
+		return nil, &relay.SendError{Written: sent, Err: err}
+	}
+	resp, err := body.readHead(out)
+	if err != nil {
+		body.closeConn()
+		return nil, &relay.SendError{Written: true, Err: err}
+	}
+	body.resp = resp
+	return &relay.TargetResponse{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
+}
+
+// Refuses reports whether connections to an address are refused.
+func (t *TargetTransport) Refuses(ctx context.Context, to netip.AddrPort) bool {
+	conn, err := t.dialer.DialContext(ctx, "tcp4", to.String())
+	if err != nil {
+		return errors.Is(err, syscall.ECONNREFUSED)
+	}
+	// Nothing was sent over the connection.
+	_ = conn.Close()
+	return false
+}
+
+// responseBody is a response that is being read, with the connection that it arrives on.
+type responseBody struct {
+	transport       *TargetTransport
+	to              netip.AddrPort
+	conn            *targetConn
+	stopCancel      func() bool
+	writeDone       chan error
+	concurrentWrite bool // the body is written by another goroutine
+	resp            *http.Response
+	complete        bool
+	closed          bool
+}
+
+// writeRequest writes the head and the body of a request, and reports whether any byte may have reached the target.
+func (r *responseBody) writeRequest(out *relay.TargetRequest) (sent bool, err error) {
+	var b bytes.Buffer
+	b.Grow(1024 + min(len(out.Body), maxInlineBody))
+	b.WriteString(out.Method + " " + out.URI + " HTTP/1.1\r\nHost: " + out.Host + "\r\n")
+	if err := out.Header.Write(&b); err != nil {
+		return false, &Error{Op: "write request", Kind: proto.KindInvalid, Err: err}
+	}
+	if len(out.Body) > 0 || out.Method != http.MethodGet && out.Method != http.MethodHead {
+		b.WriteString("Content-Length: " + strconv.Itoa(len(out.Body)) + "\r\n")
+	}
+	b.WriteString("\r\n")
+	if len(out.Body) <= maxInlineBody {
+		b.Write(out.Body)
+		n, err := r.conn.Write(b.Bytes())
+		return n > 0, err
+	}
+	if n, err := r.conn.Write(b.Bytes()); err != nil {
+		return n > 0, err
+	}
+	r.concurrentWrite = true
+	go func() {
+		_, err := r.conn.Write(out.Body)
+		r.writeDone <- err
+	}()
+	return true, nil
+}
+
+// readHead reads the head of the matching response; responses to earlier requests on the connection are discarded.
+func (r *responseBody) readHead(out *relay.TargetRequest) (*http.Response, error) {
+	request := &http.Request{Method: out.Method}
+	for stray := 0; ; stray++ {
+		resp, err := http.ReadResponse(r.conn.reader, request)
+		if err != nil {
+			return nil, err
+		}
+		if resp.StatusCode/100 == 1 && resp.StatusCode != http.StatusSwitchingProtocols {
+			continue
+		}
+		if out.Matches == nil || out.Matches(resp.Header) {
+			return resp, nil
+		}
+		r.transport.stray.Add(1)
+		if stray >= maxStrayResponses {
+			return nil, newError("read answer", proto.KindMismatch, "the answers on the connection are for other requests")
+		}
+		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseSize)); err != nil {
+			return nil, err
+		}
+	}
+}
+
+// Read reads the body; it returns io.EOF only at the proper end of the body.
+func (r *responseBody) Read(p []byte) (int, error) {
+	n, err := r.resp.Body.Read(p)
+	if errors.Is(err, io.EOF) {
+		r.complete = true
+	}
+	return n, err
+}
+
+// Close keeps the connection for another request if the request and its response are complete, and closes it otherwise.
+func (r *responseBody) Close() error {
+	if r.closed {
+		return nil
+	}
+	r.closed = true
+	reusable := r.complete && r.stopCancel() && !r.resp.Close && r.conn.reader.Buffered() == 0 && r.bodyWritten()
+	if !reusable {
+		r.closeConn()
+		return nil
+	}
+	r.transport.putIdle(r.to, r.conn, r.resp.Header)
+	return nil
+}
+
+// bodyWritten reports whether the whole request was written; after an early response, part of the body may still be
+// unsent.
+func (r *responseBody) bodyWritten() bool {
+	if !r.concurrentWrite {
+		return true
+	}
+	select {
+	case err := <-r.writeDone:
+		return err == nil
+	default:
+		return false
+	}
+}
+
+func (r *responseBody) closeConn() {
+	r.stopCancel()
+	_ = r.conn.Close()
+}
--- a/wire/exchange_test.go
+++ b/wire/targettransport_test.go
@@ -29,7 +29,7 @@
 // script returns the response to the n-th request of a connection, and whether to close the connection after it.
 type script func(conn, request int, r *http.Request) (answer string, closing bool)
 
-func newScripted(t *testing.T, s script) (*scriptedTarget, netip.AddrPort) {
+func newScriptedTarget(t *testing.T, s script) (*scriptedTarget, netip.AddrPort) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -51,11 +51,11 @@
 		s.conns++
 		n := s.conns
 		s.mu.Unlock()
-		go s.converse(conn, n, fn)
+		go s.serveConn(conn, n, fn)
 	}
 }
 
-func (s *scriptedTarget) converse(conn net.Conn, n int, fn script) {
+func (s *scriptedTarget) serveConn(conn net.Conn, n int, fn script) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for request := 1; ; request++ {
@@ -82,14 +82,14 @@
 
 const headerID = "X-Id"
 
-func ask(id string, body string) *relay.TargetRequest {
+func newTargetRequest(id string, body string) *relay.TargetRequest {
 	return &relay.TargetRequest{
 		Method: http.MethodPost, URI: "/x", Host: "h", Header: http.Header{headerID: {id}}, Body: []byte(body),
 		Matches: func(h http.Header) bool { return h.Get(headerID) == id },
 	}
 }
 
-func whole(id, body string) string {
+func okResponse(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nX-Id: " + id + "\r\nContent-Length: " + itoa(len(body)) + "\r\n\r\n" + body
 }
 
@@ -100,11 +100,11 @@
 	return itoa(n/10) + itoa(n%10)
 }
 
-func exchangeOnce(t *testing.T, e *TargetTransport, to netip.AddrPort, out *relay.TargetRequest) (string, error) {
+func sendOnce(t *testing.T, transport *TargetTransport, to netip.AddrPort, out *relay.TargetRequest) (string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	in, err := e.Send(ctx, to, out)
+	in, err := transport.Send(ctx, to, out)
 	if err != nil {
 		return "", err
 	}
@@ -113,11 +113,11 @@
 	return string(body), err
 }
 
-func TestAConnectionIsKeptForTheNextRequest(t *testing.T) {
-	target, to := newScripted(t, func(_, _ int, r *http.Request) (string, bool) { return whole(r.Header.Get(headerID), "ok"), false })
-	e := NewTargetTransport(clockwork.NewFakeClock())
+func TestConnectionIsReused(t *testing.T) {
+	target, to := newScriptedTarget(t, func(_, _ int, r *http.Request) (string, bool) { return okResponse(r.Header.Get(headerID), "ok"), false })
+	transport := NewTargetTransport(clockwork.NewFakeClock())
 	for _, id := range []string{"a", "b", "c"} {
-		if body, err := exchangeOnce(t, e, to, ask(id, "q")); body != "ok" || err != nil {
+		if body, err := sendOnce(t, transport, to, newTargetRequest(id, "q")); body != "ok" || err != nil {
 			t.Fatalf("%s: %q, %v", id, body, err)
 		}
 	}
@@ -126,36 +126,36 @@
 	}
 }
 
-func TestAnAnswerToAnotherRequestIsDropped(t *testing.T) {
-	_, to := newScripted(t, func(_, request int, r *http.Request) (string, bool) {
+func TestStrayResponseIsDiscarded(t *testing.T) {
+	_, to := newScriptedTarget(t, func(_, request int, r *http.Request) (string, bool) {
 		if request == 2 {
-			return whole("a", "stray") + whole(r.Header.Get(headerID), "mine"), false
+			return okResponse("a", "stray") + okResponse(r.Header.Get(headerID), "mine"), false
 		}
-		return whole(r.Header.Get(headerID), "first"), false
+		return okResponse(r.Header.Get(headerID), "first"), false
 	})
-	e := NewTargetTransport(clockwork.NewFakeClock())
-	if body, err := exchangeOnce(t, e, to, ask("a", "")); body != "first" || err != nil {
+	transport := NewTargetTransport(clockwork.NewFakeClock())
+	if body, err := sendOnce(t, transport, to, newTargetRequest("a", "")); body != "first" || err != nil {
 		t.Fatalf("%q, %v", body, err)
 	}
-	if body, err := exchangeOnce(t, e, to, ask("b", "")); body != "mine" || err != nil {
+	if body, err := sendOnce(t, transport, to, newTargetRequest("b", "")); body != "mine" || err != nil {
 		t.Fatalf("%q, %v", body, err)
 	}
-	if e.Counts().Stray != 1 {
-		t.Errorf("counts %+v", e.Counts())
+	if transport.Counts().Stray != 1 {
+		t.Errorf("counts %+v", transport.Counts())
 	}
 }
 
-func TestAConnectionWithBytesThatNobodyAskedForIsNotUsedAgain(t *testing.T) {
-	target, to := newScripted(t, func(conn, _ int, r *http.Request) (string, bool) {
-		answer := whole(r.Header.Get(headerID), "ok")
+func TestConnectionWithUnexpectedDataIsNotReused(t *testing.T) {
+	target, to := newScriptedTarget(t, func(conn, _ int, r *http.Request) (string, bool) {
+		answer := okResponse(r.Header.Get(headerID), "ok")
 		if conn == 1 {
-			answer += whole(r.Header.Get(headerID), "again")
+			answer += okResponse(r.Header.Get(headerID), "again")
 		}
 		return answer, false
 	})
-	e := NewTargetTransport(clockwork.NewFakeClock())
+	transport := NewTargetTransport(clockwork.NewFakeClock())
 	for _, id := range []string{"a", "a"} {
-		if body, err := exchangeOnce(t, e, to, ask(id, "")); body != "ok" || err != nil {
+		if body, err := sendOnce(t, transport, to, newTargetRequest(id, "")); body != "ok" || err != nil {
 			t.Fatalf("%q, %v", body, err)
 		}
 	}
@@ -164,19 +164,19 @@
 	}
 }
 
-// TestWhatGotNoAnswerIsNotSentAgain lets the target close a reused connection after it has read the second request.
-func TestWhatGotNoAnswerIsNotSentAgain(t *testing.T) {
-	target, to := newScripted(t, func(_, request int, r *http.Request) (string, bool) {
+// TestRequestWithoutResponseIsNotResent lets the target close a reused connection after it has read the second request.
+func TestRequestWithoutResponseIsNotResent(t *testing.T) {
+	target, to := newScriptedTarget(t, func(_, request int, r *http.Request) (string, bool) {
 		if request == 2 {
 			return "", true
 		}
-		return whole(r.Header.Get(headerID), "ok"), false
+		return okResponse(r.Header.Get(headerID), "ok"), false
 	})
-	e := NewTargetTransport(clockwork.NewFakeClock())
-	if _, err := exchangeOnce(t, e, to, ask("a", "")); err != nil {
+	transport := NewTargetTransport(clockwork.NewFakeClock())
+	if _, err := sendOnce(t, transport, to, newTargetRequest("a", "")); err != nil {
 		t.Fatal(err)
 	}
-	_, err := exchangeOnce(t, e, to, ask("b", ""))
+	_, err := sendOnce(t, transport, to, newTargetRequest("b", ""))
 	var sendErr *relay.SendError
 	if !errors.As(err, &sendErr) || !sendErr.Written {
 		t.Fatalf("error %v: the request may have run", err)
@@ -186,62 +186,62 @@
 	}
 }
 
-func TestWhatWasNeverWrittenIsKnownNotToRun(t *testing.T) {
+func TestRefusedConnectionReportsNothingWritten(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	to := netip.MustParseAddrPort(l.Addr().String())
 	_ = l.Close()
-	_, err = exchangeOnce(t, NewTargetTransport(clockwork.NewFakeClock()), to, ask("a", ""))
+	_, err = sendOnce(t, NewTargetTransport(clockwork.NewFakeClock()), to, newTargetRequest("a", ""))
 	var sendErr *relay.SendError
 	if !errors.As(err, &sendErr) || sendErr.Written {
 		t.Errorf("error %v: nothing was written", err)
 	}
 }
 
-// TestRequestsThatRunOnceTakeOnlyFreshConnections leaves a connection idle for longer than a non-idempotent request
+// TestNonIdempotentRequestsAvoidIdleConnections leaves a connection idle for longer than a non-idempotent request
 // accepts.
-func TestRequestsThatRunOnceTakeOnlyFreshConnections(t *testing.T) {
-	target, to := newScripted(t, func(_, _ int, r *http.Request) (string, bool) { return whole(r.Header.Get(headerID), "ok"), false })
+func TestNonIdempotentRequestsAvoidIdleConnections(t *testing.T) {
+	target, to := newScriptedTarget(t, func(_, _ int, r *http.Request) (string, bool) { return okResponse(r.Header.Get(headerID), "ok"), false })
 	clock := clockwork.NewFakeClock()
-	e := NewTargetTransport(clock)
-	once := func(id string) *relay.TargetRequest {
-		out := ask(id, "")
+	transport := NewTargetTransport(clock)
+	nonIdempotent := func(id string) *relay.TargetRequest {
+		out := newTargetRequest(id, "")
 		out.NonIdempotent = true
 		return out
 	}
 	send := func(out *relay.TargetRequest, wantConns int) {
 		t.Helper()
-		if _, err := exchangeOnce(t, e, to, out); err != nil {
+		if _, err := sendOnce(t, transport, to, out); err != nil {
 			t.Fatal(err)
 		}
 		if conns, _ := target.counts(); conns != wantConns {
 			t.Errorf("%d connections, want %d", conns, wantConns)
 		}
 	}
-	send(once("a"), 1)
-	clock.Advance(onceIdle / 2)
-	send(once("b"), 1)
-	clock.Advance(onceIdle + time.Millisecond)
-	send(ask("c", ""), 1)
-	clock.Advance(onceIdle + time.Millisecond)
-	send(once("d"), 2)
-	clock.Advance(idleMost)
-	send(ask("e", ""), 3)
+	send(nonIdempotent("a"), 1)
+	clock.Advance(nonIdempotentMaxIdle / 2)
+	send(nonIdempotent("b"), 1)
+	clock.Advance(nonIdempotentMaxIdle + time.Millisecond)
+	send(newTargetRequest("c", ""), 1)
+	clock.Advance(nonIdempotentMaxIdle + time.Millisecond)
+	send(nonIdempotent("d"), 2)
+	clock.Advance(defaultMaxIdle)
+	send(newTargetRequest("e", ""), 3)
 }
 
-func TestTheTimeThatATargetStatesIsKept(t *testing.T) {
-	for text, want := range map[string]time.Duration{"": idleMost, "timeout=10": 7 * time.Second, "max=5, timeout=2": 1400 * time.Millisecond, "timeout=x": idleMost} {
+func TestKeepAliveTimeoutOfTarget(t *testing.T) {
+	for text, want := range map[string]time.Duration{"": defaultMaxIdle, "timeout=10": 7 * time.Second, "max=5, timeout=2": 1400 * time.Millisecond, "timeout=x": defaultMaxIdle} {
 		h := http.Header{}
 		h.Set("Keep-Alive", text)
-		if got := restTime(h); got != want {
+		if got := maxIdle(h); got != want {
 			t.Errorf("%q: %s, want %s", text, got, want)
 		}
 	}
 }
 
-func TestCutAnswersAreNotWhole(t *testing.T) {
+func TestTruncatedResponses(t *testing.T) {
 	scenarios := []struct{ name, answer, body string }{
 		{"by length", "HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 10\r\n\r\nhalf", ""},
 		{"by chunks", "HTTP/1.1 200 OK\r\nX-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", ""},
@@ -251,8 +251,8 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			_, to := newScripted(t, func(int, int, *http.Request) (string, bool) { return s.answer, true })
-			body, err := exchangeOnce(t, NewTargetTransport(clockwork.NewFakeClock()), to, ask("a", ""))
+			_, to := newScriptedTarget(t, func(int, int, *http.Request) (string, bool) { return s.answer, true })
+			body, err := sendOnce(t, NewTargetTransport(clockwork.NewFakeClock()), to, newTargetRequest("a", ""))
 			if s.body == "" && err == nil || s.body != "" && (err != nil || body != s.body) {
 				t.Errorf("body %q, error %v", body, err)
 			}
@@ -260,8 +260,8 @@
 	}
 }
 
-// TestAnEarlyAnswerLeavesTheConnection lets a target respond before it has read a long body.
-func TestAnEarlyAnswerLeavesTheConnection(t *testing.T) {
+// TestConnectionIsNotReusedAfterEarlyResponse lets a target respond before it has read a long body.
+func TestConnectionIsNotReusedAfterEarlyResponse(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -277,13 +277,13 @@
 			conns <- conn
 			head := make([]byte, 64)
 			_, _ = conn.Read(head)
-			_, _ = io.WriteString(conn, whole("a", "early"))
+			_, _ = io.WriteString(conn, okResponse("a", "early"))
 		}
 	}()
-	e := NewTargetTransport(clockwork.NewFakeClock())
+	transport := NewTargetTransport(clockwork.NewFakeClock())
 	to := netip.MustParseAddrPort(l.Addr().String())
 	for range 2 {
-		if body, err := exchangeOnce(t, e, to, ask("a", strings.Repeat("x", 32<<20))); body != "early" || err != nil {
+		if body, err := sendOnce(t, transport, to, newTargetRequest("a", strings.Repeat("x", 32<<20))); body != "early" || err != nil {
 			t.Fatalf("%q, %v", body, err)
 		}
 	}
@@ -292,8 +292,8 @@
 	}
 }
 
-// TestEndingTheContextEndsTheWork cancels a request that a target is working on.
-func TestEndingTheContextEndsTheWork(t *testing.T) {
+// TestCanceledContextClosesConnection cancels a request that a target is working on.
+func TestCanceledContextClosesConnection(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -314,7 +314,7 @@
 		}
 		close(closed)
 	}()
-	_, err = NewTargetTransport(clockwork.NewFakeClock()).Send(ctx, netip.MustParseAddrPort(l.Addr().String()), ask("a", ""))
+	_, err = NewTargetTransport(clockwork.NewFakeClock()).Send(ctx, netip.MustParseAddrPort(l.Addr().String()), newTargetRequest("a", ""))
 	var sendErr *relay.SendError
 	if !errors.As(err, &sendErr) || !sendErr.Written {
 		t.Errorf("error %v", err)
@@ -322,18 +322,18 @@
 	<-closed
 }
 
-// TestConnectionsToATargetThatEndedAreNotKept ends a target whose idle connections were not closed, as happens when its
+// TestCloseIdleClosesConnectionsToEndedTarget ends a target whose idle connections were not closed, as happens when its
 // VM loses power.
-func TestConnectionsToATargetThatEndedAreNotKept(t *testing.T) {
-	e := NewTargetTransport(clockwork.NewFakeClock())
+func TestCloseIdleClosesConnectionsToEndedTarget(t *testing.T) {
+	transport := NewTargetTransport(clockwork.NewFakeClock())
 	to, other := netip.MustParseAddrPort("10.0.0.1:80"), netip.MustParseAddrPort("10.0.0.2:80")
 	near, far := net.Pipe()
 	defer far.Close()
-	e.idle[to] = []*targetConn{{Conn: near}}
-	e.idle[other] = []*targetConn{{}}
-	e.CloseIdle(to)
-	if len(e.idle[to]) != 0 || len(e.idle[other]) != 1 {
-		t.Errorf("%d connections rest to the target that ended and %d to another", len(e.idle[to]), len(e.idle[other]))
+	transport.idle[to] = []*targetConn{{Conn: near}}
+	transport.idle[other] = []*targetConn{{}}
+	transport.CloseIdle(to)
+	if len(transport.idle[to]) != 0 || len(transport.idle[other]) != 1 {
+		t.Errorf("%d connections rest to the target that ended and %d to another", len(transport.idle[to]), len(transport.idle[other]))
 	}
 	if _, err := near.Write([]byte{1}); !errors.Is(err, io.ErrClosedPipe) {
 		t.Errorf("the connection is open: %v", err)
--- a/wire/trace.go
+++ b/wire/trace.go
@@ -28,7 +28,8 @@
 
 var propagator = propagation.TraceContext{}
 
-// NewTracerProvider returns a tracer provider for an exporter; its Shutdown sends the remaining spans. It fails with KindInvalid.
+// NewTracerProvider returns a tracer provider for an exporter; its Shutdown sends the remaining spans. It fails with
+// KindInvalid.
 func NewTracerProvider(ctx context.Context, exporter Exporter, endpoint string, fraction float64) (*sdktrace.TracerProvider, error) {
 	sampler := sdktrace.ParentBased(sdktrace.TraceIDRatioBased(fraction))
 	switch exporter {
@@ -51,7 +52,7 @@
 // SetTracerProvider sets the global tracer provider.
 func SetTracerProvider(provider *sdktrace.TracerProvider) { otel.SetTracerProvider(provider) }
 
-func span(ctx context.Context, name string, kind trace.SpanKind, attrs ...attribute.KeyValue) (context.Context, trace.Span) {
+func startSpan(ctx context.Context, name string, kind trace.SpanKind, attrs ...attribute.KeyValue) (context.Context, trace.Span) {
 	return otel.Tracer(tracerName).Start(ctx, name, trace.WithSpanKind(kind), trace.WithAttributes(attrs...))
 }
 
@@ -62,10 +63,10 @@
 	s.End()
 }
 
-func inject(ctx context.Context, header http.Header) {
+func injectTrace(ctx context.Context, header http.Header) {
 	propagator.Inject(ctx, propagation.HeaderCarrier(header))
 }
 
-func extract(ctx context.Context, header http.Header) context.Context {
+func extractTrace(ctx context.Context, header http.Header) context.Context {
 	return propagator.Extract(ctx, propagation.HeaderCarrier(header))
 }
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -28,9 +28,9 @@
 	return netip.MustParseAddrPort(strings.TrimPrefix(url, "http://"))
 }
 
-// TestHostileCallers checks that every invalid request gets a clear problem document, and that nothing is run.
-func TestHostileCallers(t *testing.T) {
-	front := newBenchFront(t, 1)
+// TestInvalidRequests checks that every invalid request gets a clear problem document, and that nothing is run.
+func TestInvalidRequests(t *testing.T) {
+	front := newBenchFrontend(t, 1)
 	old := uuid.MustParse("f47ac10b-58cc-4372-a567-0e02b2c3d479")
 	scenarios := []struct {
 		name, path, key, body string
@@ -74,12 +74,12 @@
 			}
 		})
 	}
-	if callBench(t, front) == 0 {
+	if sendStreamRequest(t, front) == 0 {
 		t.Fatal("a good caller got nothing afterwards")
 	}
 }
 
-func runOnce(address netip.AddrPort, mayRepeat bool) core.AttemptEnded {
+func runAttempt(address netip.AddrPort, mayRepeat bool) core.AttemptEnded {
 	var last core.AttemptEnded
 	start := &core.Start{ID: proto.AttemptID{Request: uuid.New(), Number: 1}, Target: proto.Target{Address: address}, Input: []byte("{}"), Deadline: time.Now().Add(2 * time.Second)}
 	NewTargetClient().Run(context.Background(), start, mayRepeat, func(ev core.Event) {
@@ -90,9 +90,9 @@
 	return last
 }
 
-// TestWhatIsCertainOfAnAttempt checks that an attempt counts as not started only if no byte was written or the target
+// TestAttemptStatus checks that an attempt counts as not started only if no byte was written or the target
 // says so.
-func TestWhatIsCertainOfAnAttempt(t *testing.T) {
+func TestAttemptStatus(t *testing.T) {
 	refused, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -101,7 +101,7 @@
 	if err := refused.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if got := runOnce(closed, false).Status; got != core.StatusNotStarted {
+	if got := runAttempt(closed, false).Status; got != core.StatusNotStarted {
 		t.Errorf("refused connection: fate %d", got)
 	}
 	scenarios := []struct {
@@ -109,7 +109,7 @@
 		answer http.HandlerFunc
 		want   core.AttemptStatus
 	}{
-		{"breaks off", func(w http.ResponseWriter, _ *http.Request) { hangUp(w) }, core.StatusUnknown},
+		{"breaks off", func(w http.ResponseWriter, _ *http.Request) { closeConn(w) }, core.StatusUnknown},
 		{"says notRun", func(w http.ResponseWriter, _ *http.Request) { refuseWith(w, proto.OutcomeNotRun) }, core.StatusNotStarted},
 		{"says ran", func(w http.ResponseWriter, _ *http.Request) { refuseWith(w, proto.OutcomeRan) }, core.StatusFailed},
 		{"says nothing", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }, core.StatusUnknown},
@@ -125,7 +125,7 @@
 			}))
 			defer target.Close()
 			for _, mayRepeat := range []bool{true, false} {
-				if got := runOnce(addressOf(target.URL), mayRepeat).Status; got != scenario.want {
+				if got := runAttempt(addressOf(target.URL), mayRepeat).Status; got != scenario.want {
 					t.Errorf("fate %d, want %d", got, scenario.want)
 				}
 			}
@@ -136,7 +136,7 @@
 	}
 }
 
-func hangUp(w http.ResponseWriter) {
+func closeConn(w http.ResponseWriter) {
 	if conn, _, err := http.NewResponseController(w).Hijack(); err == nil {
 		_ = conn.Close()
 	}
@@ -211,12 +211,12 @@
 	}
 }
 
-// TestTraceGoesThrough checks that each hop has a span in the caller's trace, which the target's context belongs to.
-func TestTraceGoesThrough(t *testing.T) {
+// TestTracePropagation checks that each hop has a span in the caller's trace, which the target's context belongs to.
+func TestTracePropagation(t *testing.T) {
 	recorder := tracetest.NewSpanRecorder()
 	SetTracerProvider(sdktrace.NewTracerProvider(sdktrace.WithSpanProcessor(recorder)))
 	defer SetTracerProvider(sdktrace.NewTracerProvider(sdktrace.WithSampler(sdktrace.NeverSample())))
-	front := newBenchFront(t, 1)
+	front := newBenchFrontend(t, 1)
 	req, err := http.NewRequest(http.MethodPost, front.URL+"/v1/workspaces/w/services/s/requests", strings.NewReader("{}"))
 	if err != nil {
 		t.Fatal(err)
@@ -243,11 +243,11 @@
 	}
 }
 
-// TestSlowCallerIsGivenUp checks that a caller that does not read is dropped once too much data is buffered for it, and
+// TestSlowCallerIsDropped checks that a caller that does not read is dropped once too much data is buffered for it, and
 // that the target's stream is canceled.
-func TestSlowCallerIsGivenUp(t *testing.T) {
+func TestSlowCallerIsDropped(t *testing.T) {
 	const tokens = 4000
-	front, engine := newFrontBefore(t, streamTarget(tokens, strings.Repeat("x", 16<<10)), tokens, time.Minute)
+	front, engine := newTestFrontend(t, streamTarget(tokens, strings.Repeat("x", 16<<10)), tokens, time.Minute)
 	conn, err := net.Dial("tcp", strings.TrimPrefix(front.URL, "http://"))
 	if err != nil {
 		t.Fatal(err)
