--- a/wire/accept.go
+++ b/wire/accept.go
@@ -48,7 +48,7 @@
 		l.bytesIn.Add(int64(len(data)))
 		env, m, err := proto.Decode(data)
 		if err != nil {
-			l.log.Warn("a message cannot be decoded", "from", from, "error", err)
+			l.log.Warn("failed to decode message", "from", from, "error", err)
 			return
 		}
 		if l.isPartitioned(from) {
@@ -70,7 +70,7 @@
 	answer := l.handle(ctx, from, m)
 	data, err := proto.Encode(answer, env.Call, true, "")
 	if err != nil {
-		l.log.Error("an answer cannot be encoded", "error", err)
+		l.log.Error("failed to encode answer", "error", err)
 		return
 	}
 	writeMu.Lock()
--- a/wire/credentials_test.go
+++ b/wire/credentials_test.go
@@ -77,7 +77,7 @@
 func (f *testFiles) reload(c *Credentials) {
 	f.t.Helper()
 	if changed, err := c.Reload(); !changed || err != nil {
-		f.t.Fatalf("read again: changed %t, error %v", changed, err)
+		f.t.Fatalf("reload: changed %t, error %v", changed, err)
 	}
 }
 
@@ -147,13 +147,13 @@
 		registeredAs proto.VM // the name that the address is registered under
 		want         bool
 	}{
-		{"its own", ours.issue(t, "a", day), "b", "b", true},
-		{"a seed, of which only the address is known", ours.issue(t, "a", day), "seed 1", "", true},
-		{"another VM's", ours.issue(t, "c", day), "b", "b", false},
-		{"another authority's", theirs.issue(t, "a", day), "b", "b", false},
+		{"own certificate", ours.issue(t, "a", day), "b", "b", true},
+		{"seed known only by its address", ours.issue(t, "a", day), "seed 1", "", true},
+		{"certificate of another VM", ours.issue(t, "c", day), "b", "b", false},
+		{"certificate of another authority", theirs.issue(t, "a", day), "b", "b", false},
 		{"expired", ours.issue(t, "a", -time.Minute), "b", "b", false},
 		{"revoked", revokedA, "b", "b", false},
-		{"another daemon at the address", ours.issue(t, "a", day), "d", "d", false},
+		{"address of another daemon", ours.issue(t, "a", day), "d", "d", false},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -164,7 +164,7 @@
 				s.callee: {VM: s.registeredAs, Peer: server.address},
 			})
 			if got := client.canCall(s.callee); got != s.want {
-				t.Errorf("answered: %t, want %t", got, s.want)
+				t.Errorf("call succeeded: %t, want %t", got, s.want)
 			}
 		})
 	}
@@ -183,8 +183,8 @@
 		keyPair KeyPair
 		want    bool
 	}{
-		{"its own", ours.issue(t, "b", day), true},
-		{"another authority's", theirs.issue(t, "b", day), false},
+		{"own certificate", ours.issue(t, "b", day), true},
+		{"certificate of another authority", theirs.issue(t, "b", day), false},
 		{"expired", ours.issue(t, "b", -time.Minute), false},
 		{"revoked", revoked, false},
 	}
@@ -195,7 +195,7 @@
 			files.write(files.files.Revoked, list)
 			client := serveWithCredentials(t, "a", files.load(), map[proto.VM]proto.Alive{"b": {VM: "b", Peer: server.address}})
 			if got := client.canCall("b"); got != s.want {
-				t.Errorf("answered: %t, want %t", got, s.want)
+				t.Errorf("call succeeded: %t, want %t", got, s.want)
 			}
 		})
 	}
@@ -220,9 +220,9 @@
 		name   string
 		change func(vm proto.VM)
 	}{
-		{"the new authority is accepted too", func(vm proto.VM) { files[vm].write(files[vm].files.Authority, both) }},
-		{"it signs the certificates", func(vm proto.VM) { files[vm].writeKeyPair(second.issue(t, vm, day)) }},
-		{"the old one is not accepted any more", func(vm proto.VM) { files[vm].write(files[vm].files.Authority, second.Certificate) }},
+		{"new authority trusted as well", func(vm proto.VM) { files[vm].write(files[vm].files.Authority, both) }},
+		{"certificates signed by the new authority", func(vm proto.VM) { files[vm].writeKeyPair(second.issue(t, vm, day)) }},
+		{"old authority no longer trusted", func(vm proto.VM) { files[vm].write(files[vm].files.Authority, second.Certificate) }},
 	}
 	for _, step := range steps {
 		for _, vm := range vms {
@@ -249,7 +249,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatalf("%s: %s cannot be asked", step, to)
+	t.Fatalf("%s: %s cannot be reached", step, to)
 }
 
 func TestRevokedDaemonIsDisconnected(t *testing.T) {
@@ -260,7 +260,7 @@
 	server := serveWithCredentials(t, "b", credentialsB, nil)
 	client := serveWithCredentials(t, "a", writeTestFiles(t, a, authority.Certificate).load(), map[proto.VM]proto.Alive{"b": {VM: "b", Peer: server.address}})
 	if !client.canCall("b") {
-		t.Fatal("not answered before")
+		t.Fatal("call failed before the revocation")
 	}
 	list, err := authority.Revoke(nil, a.Certificate, time.Now(), day)
 	if err != nil {
@@ -271,7 +271,7 @@
 	server.Reconnect()
 	for range 3 {
 		if client.canCall("b") {
-			t.Fatal("answered although it is revoked")
+			t.Fatal("call succeeded with a revoked certificate")
 		}
 		time.Sleep(redialDelay)
 	}
@@ -290,11 +290,11 @@
 		change func(k *testFiles)
 		want   proto.Kind
 	}{
-		{"the key of another certificate", func(k *testFiles) { k.write(k.files.Key, authority.issue(t, "a", day).Key) }, proto.KindInvalid},
-		{"an empty certificate", func(k *testFiles) { k.write(k.files.Certificate, nil) }, proto.KindInvalid},
+		{"key of another certificate", func(k *testFiles) { k.write(k.files.Key, authority.issue(t, "a", day).Key) }, proto.KindInvalid},
+		{"empty certificate", func(k *testFiles) { k.write(k.files.Certificate, nil) }, proto.KindInvalid},
 		{"no authority", func(k *testFiles) { k.write(k.files.Authority, []byte("none")) }, proto.KindInvalid},
-		{"a list that no authority signed", func(k *testFiles) { k.write(k.files.Revoked, foreign) }, proto.KindDenied},
-		{"a file that is gone", func(k *testFiles) { _ = os.Remove(k.files.Authority) }, proto.KindInvalid},
+		{"revocation list not signed by an authority", func(k *testFiles) { k.write(k.files.Revoked, foreign) }, proto.KindDenied},
+		{"missing file", func(k *testFiles) { _ = os.Remove(k.files.Authority) }, proto.KindInvalid},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -306,7 +306,7 @@
 				t.Errorf("changed %t, error %v, want kind %s", changed, err, s.want)
 			}
 			if c.current.Load() != before {
-				t.Error("what was read before is gone")
+				t.Error("the previous credentials were replaced")
 			}
 		})
 	}
@@ -341,7 +341,7 @@
 		}
 	}
 	if _, err := newTestAuthority(t).Revoke(list, own.Certificate, time.Now(), day); proto.KindOf(err) != proto.KindDenied {
-		t.Errorf("another authority's certificate: %v", err)
+		t.Errorf("revoking another authority's certificate: %v", err)
 	}
 }
 
@@ -350,7 +350,7 @@
 	open := func(b *testing.B, client *testLinks) {
 		for b.Loop() {
 			if !client.canCall("b") {
-				b.Fatal("not answered")
+				b.Fatal("call failed")
 			}
 			client.mu.Lock()
 			lk := client.links["b"]
--- a/wire/dial_test.go
+++ b/wire/dial_test.go
@@ -17,10 +17,10 @@
 		err      error
 		attempts int
 	}{
-		{"the first try connects", 0, nil, 1},
-		{"two packets are lost", 2, nil, 3},
-		{"a refusal is an answer", 0, refused, 1},
-		{"a refusal after a lost packet", 1, refused, 2},
+		{"first attempt connects", 0, nil, 1},
+		{"two SYNs lost", 2, nil, 3},
+		{"refusal is not retried", 0, refused, 1},
+		{"refusal after a lost SYN", 1, refused, 2},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -35,7 +35,7 @@
 			})
 			_, err := dial.withRetry(time.Millisecond)(t.Context(), "tcp4", "192.0.2.1:1")
 			if !errors.Is(err, s.err) || attempts != s.attempts {
-				t.Errorf("%d tries and %v, want %d and %v", attempts, err, s.attempts, s.err)
+				t.Errorf("%d attempts and error %v, want %d and %v", attempts, err, s.attempts, s.err)
 			}
 		})
 	}
@@ -53,6 +53,6 @@
 		return nil, ctx.Err()
 	})
 	if _, err := dial.withRetry(time.Millisecond)(ctx, "tcp4", "192.0.2.1:1"); !errors.Is(err, context.Canceled) || attempts != 3 {
-		t.Errorf("%d tries and %v", attempts, err)
+		t.Errorf("%d attempts and error %v, want 3 and context.Canceled", attempts, err)
 	}
 }
--- a/wire/driver.go
+++ b/wire/driver.go
@@ -212,7 +212,7 @@
 func (d *Driver) exportCache(a core.Export) {
 	handle, err := d.targets.Export(context.Background(), a.Target.Address, a.Attempt)
 	if err != nil {
-		d.log.Warn("a KV cache could not be exported", "target", a.Target.Name, "attempt", a.Attempt, "error", err)
+		d.log.Warn("failed to export KV cache", "target", a.Target.Name, "attempt", a.Attempt, "error", err)
 	}
 	d.HandleEvent(core.Exported{Attempt: a.Attempt, Handle: handle})
 }
--- a/wire/frontend.go
+++ b/wire/frontend.go
@@ -142,7 +142,7 @@
 	buffer := f.driver.Submit(ctx, *arrival)
 	failure = f.respond(c, buffer, arrival)
 	if failure != nil {
-		f.log.Info("request ended without answer", "request", arrival.ID, "workspace", arrival.Workspace, "service", arrival.Service, "kind", failure.Kind, "outcome", failure.Outcome, "detail", failure.Detail)
+		f.log.Info("request failed", "request", arrival.ID, "workspace", arrival.Workspace, "service", arrival.Service, "kind", failure.Kind, "outcome", failure.Outcome, "detail", failure.Detail)
 	}
 	return nil
 }
--- a/wire/keepalive_test.go
+++ b/wire/keepalive_test.go
@@ -29,11 +29,11 @@
 		level, option int
 		want          int
 	}{
-		{"probes are sent", syscall.SOL_SOCKET, syscall.SO_KEEPALIVE, 1},
-		{"seconds before the first", syscall.IPPROTO_TCP, syscall.TCP_KEEPIDLE, 1},
-		{"seconds between them", syscall.IPPROTO_TCP, syscall.TCP_KEEPINTVL, 1},
-		{"number of them", syscall.IPPROTO_TCP, syscall.TCP_KEEPCNT, 2},
-		{"milliseconds without an acknowledgement", syscall.IPPROTO_TCP, tcpUserTimeout, 1200},
+		{"probes enabled", syscall.SOL_SOCKET, syscall.SO_KEEPALIVE, 1},
+		{"seconds before the first probe", syscall.IPPROTO_TCP, syscall.TCP_KEEPIDLE, 1},
+		{"seconds between probes", syscall.IPPROTO_TCP, syscall.TCP_KEEPINTVL, 1},
+		{"number of probes", syscall.IPPROTO_TCP, syscall.TCP_KEEPCNT, 2},
+		{"milliseconds without an acknowledgment", syscall.IPPROTO_TCP, tcpUserTimeout, 1200},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
--- a/wire/links.go
+++ b/wire/links.go
@@ -187,7 +187,7 @@
 func (l *Links) Send(to proto.VM, m proto.Message) {
 	data, err := proto.Encode(m, 0, false, "")
 	if err != nil {
-		l.log.Error("a message cannot be encoded", "error", err)
+		l.log.Error("failed to encode message", "error", err)
 		return
 	}
 	if lk := l.link(to); lk != nil && lk.enqueue(data) {
@@ -265,7 +265,7 @@
 	defer l.removeLink(lk)
 	conn, err := lk.dial()
 	if err != nil {
-		l.log.Trace("a link cannot be made", "to", lk.to, "error", err)
+		l.log.Trace("failed to open link", "to", lk.to, "error", err)
 		// Messages queued within this time are dropped together with this link, so that not each of them dials.
 		lk.failCalls()
 		select {
--- a/wire/operator.go
+++ b/wire/operator.go
@@ -174,7 +174,7 @@
 		if proto.KindOf(err) == proto.KindUnknown {
 			status = http.StatusGatewayTimeout
 		}
-		o.log.Warn("a change was not applied", "error", err)
+		o.log.Warn("failed to apply configuration change", "error", err)
 		return c.JSON(status, OperatorError{Kind: proto.KindOf(err), Error: err.Error()})
 	}
 	switch {
@@ -183,7 +183,7 @@
 	case len(result.Faults) > 0:
 		return c.JSON(http.StatusUnprocessableEntity, result)
 	}
-	o.log.Info("a change was applied", "generation", result.Generation, "applyId", result.ApplyID)
+	o.log.Info("applied configuration change", "generation", result.Generation, "applyId", result.ApplyID)
 	return c.JSON(http.StatusOK, result)
 }
 
--- a/wire/silentlink_test.go
+++ b/wire/silentlink_test.go
@@ -119,7 +119,7 @@
 		before := received.Load()
 		for end := time.Now().Add(20 * time.Second); received.Load() == before; time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("the other daemon hears nothing")
+				t.Fatal("the other daemon receives nothing")
 			}
 			l.Send("b", proto.Heartbeat{})
 		}
@@ -146,6 +146,6 @@
 	}
 	sendUntilReceived()
 	if n := proxy.accepted.Load(); n < 2 {
-		t.Errorf("%d connections were made", n)
+		t.Errorf("%d connections were opened, want at least 2", n)
 	}
 }
--- a/wire/targettransport_test.go
+++ b/wire/targettransport_test.go
@@ -179,10 +179,10 @@
 	_, err := sendOnce(t, transport, to, newTargetRequest("b", ""))
 	var sendErr *relay.SendError
 	if !errors.As(err, &sendErr) || !sendErr.Written {
-		t.Fatalf("error %v: the request may have run", err)
+		t.Fatalf("error %v, want one that reports the request as written", err)
 	}
 	if conns, requests := target.counts(); conns != 1 || requests != 2 {
-		t.Errorf("%d connections, %d requests: it was sent again", conns, requests)
+		t.Errorf("%d connections, %d requests: the request was resent", conns, requests)
 	}
 }
 
@@ -196,7 +196,7 @@
 	_, err = sendOnce(t, NewTargetTransport(clockwork.NewFakeClock()), to, newTargetRequest("a", ""))
 	var sendErr *relay.SendError
 	if !errors.As(err, &sendErr) || sendErr.Written {
-		t.Errorf("error %v: nothing was written", err)
+		t.Errorf("error %v, want one that reports nothing as written", err)
 	}
 }
 
@@ -243,11 +243,11 @@
 
 func TestTruncatedResponses(t *testing.T) {
 	scenarios := []struct{ name, answer, body string }{
-		{"by length", "HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 10\r\n\r\nhalf", ""},
-		{"by chunks", "HTTP/1.1 200 OK\r\nX-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", ""},
-		{"no answer at all", "HTTP/9 nonsense\r\n\r\n", ""},
-		{"other bytes", "\x00\x01\x02\r\n\r\n", ""},
-		{"without a length, to the end of the connection", "HTTP/1.1 200 OK\r\nX-Id: a\r\n\r\nall", "all"},
+		{"shorter than its Content-Length", "HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 10\r\n\r\nhalf", ""},
+		{"without the last chunk", "HTTP/1.1 200 OK\r\nX-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", ""},
+		{"invalid status line", "HTTP/9 nonsense\r\n\r\n", ""},
+		{"binary data", "\x00\x01\x02\r\n\r\n", ""},
+		{"without a length, complete at the end of the connection", "HTTP/1.1 200 OK\r\nX-Id: a\r\n\r\nall", "all"},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -288,7 +288,7 @@
 		}
 	}
 	if len(conns) != 2 {
-		t.Errorf("%d connections: one was used again while the rest of a body was due on it", len(conns))
+		t.Errorf("%d connections, want 2: one was reused while part of a body was unsent", len(conns))
 	}
 }
 
@@ -333,7 +333,7 @@
 	transport.idle[other] = []*targetConn{{}}
 	transport.CloseIdle(to)
 	if len(transport.idle[to]) != 0 || len(transport.idle[other]) != 1 {
-		t.Errorf("%d connections rest to the target that ended and %d to another", len(transport.idle[to]), len(transport.idle[other]))
+		t.Errorf("%d idle connections to the ended target and %d to another, want 0 and 1", len(transport.idle[to]), len(transport.idle[other]))
 	}
 	if _, err := near.Write([]byte{1}); !errors.Is(err, io.ErrClosedPipe) {
 		t.Errorf("the connection is open: %v", err)
--- a/wire/tls_test.go
+++ b/wire/tls_test.go
@@ -92,9 +92,9 @@
 		tls  *tls.Config
 		want bool
 	}{
-		{"its own certificate", "a", ours.config(t, "a"), true},
-		{"another VM's certificate", "a", ours.config(t, "c"), false},
-		{"another authority's", "a", theirs.config(t, "a"), false},
+		{"own certificate", "a", ours.config(t, "a"), true},
+		{"certificate of another VM", "a", ours.config(t, "c"), false},
+		{"certificate of another authority", "a", theirs.config(t, "a"), false},
 	}
 	for _, scenario := range scenarios {
 		t.Run(scenario.name, func(t *testing.T) {
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -44,9 +44,9 @@
 		{"no such service", "w/services/none", "key", "{}", nil, 404, proto.FailureNotFound},
 		{"not JSON", "w/services/s", "key", "{", nil, 400, proto.FailureBadRequest},
 		{"too large", "w/services/s", "key", `"` + strings.Repeat("x", 1<<20) + `"`, nil, 413, proto.FailureTooLarge},
-		{"bad timeout", "w/services/s", "key", "{}", map[string]string{proto.HeaderTimeout: "-1s"}, 400, proto.FailureBadRequest},
-		{"bad mark", "w/services/s", "key", "{}", map[string]string{proto.HeaderRepeatable: "maybe"}, 400, proto.FailureBadRequest},
-		{"key without time", "w/services/s", "key", "{}", map[string]string{proto.HeaderKey: old.String()}, 400, proto.FailureKeyInvalid},
+		{"negative timeout", "w/services/s", "key", "{}", map[string]string{proto.HeaderTimeout: "-1s"}, 400, proto.FailureBadRequest},
+		{"invalid Emberlead-Repeatable header", "w/services/s", "key", "{}", map[string]string{proto.HeaderRepeatable: "maybe"}, 400, proto.FailureBadRequest},
+		{"idempotency key without a timestamp", "w/services/s", "key", "{}", map[string]string{proto.HeaderKey: old.String()}, 400, proto.FailureKeyInvalid},
 	}
 	for _, scenario := range scenarios {
 		t.Run(scenario.name, func(t *testing.T) {
@@ -75,7 +75,7 @@
 		})
 	}
 	if sendStreamRequest(t, front) == 0 {
-		t.Fatal("a good caller got nothing afterwards")
+		t.Fatal("a valid request got an empty response afterwards")
 	}
 }
 
@@ -102,18 +102,18 @@
 		t.Fatal(err)
 	}
 	if got := runAttempt(closed, false).Status; got != core.StatusNotStarted {
-		t.Errorf("refused connection: fate %d", got)
+		t.Errorf("refused connection: status %d", got)
 	}
 	scenarios := []struct {
 		name   string
 		answer http.HandlerFunc
 		want   core.AttemptStatus
 	}{
-		{"breaks off", func(w http.ResponseWriter, _ *http.Request) { closeConn(w) }, core.StatusUnknown},
-		{"says notRun", func(w http.ResponseWriter, _ *http.Request) { refuseWith(w, proto.OutcomeNotRun) }, core.StatusNotStarted},
-		{"says ran", func(w http.ResponseWriter, _ *http.Request) { refuseWith(w, proto.OutcomeRan) }, core.StatusFailed},
-		{"says nothing", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }, core.StatusUnknown},
-		{"answers another attempt", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"attempt":"other"}`) }, core.StatusUnknown},
+		{"connection closed", func(w http.ResponseWriter, _ *http.Request) { closeConn(w) }, core.StatusUnknown},
+		{"outcome notRun", func(w http.ResponseWriter, _ *http.Request) { refuseWith(w, proto.OutcomeNotRun) }, core.StatusNotStarted},
+		{"outcome ran", func(w http.ResponseWriter, _ *http.Request) { refuseWith(w, proto.OutcomeRan) }, core.StatusFailed},
+		{"no outcome", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }, core.StatusUnknown},
+		{"response to another attempt", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"attempt":"other"}`) }, core.StatusUnknown},
 	}
 	for _, scenario := range scenarios {
 		t.Run(scenario.name, func(t *testing.T) {
@@ -126,7 +126,7 @@
 			defer target.Close()
 			for _, mayRepeat := range []bool{true, false} {
 				if got := runAttempt(addressOf(target.URL), mayRepeat).Status; got != scenario.want {
-					t.Errorf("fate %d, want %d", got, scenario.want)
+					t.Errorf("status %d, want %d", got, scenario.want)
 				}
 			}
 			if calls.Load() != 2 {
@@ -165,17 +165,17 @@
 	}
 	store.LoseResponses(1)
 	if kind := proto.KindOf(write(0)); kind != proto.KindUnknown {
-		t.Fatalf("lost answer: %q", kind)
+		t.Fatalf("lost response: kind %q", kind)
 	}
 	if kind := proto.KindOf(write(0)); kind != proto.KindConflict {
-		t.Fatalf("the lost write took effect, so this is a conflict, not %q", kind)
+		t.Fatalf("kind %q, want a conflict, since the write with the lost response took effect", kind)
 	}
 	if _, writes := store.Counts(); writes != 2 {
 		t.Fatalf("%d writes were sent", writes)
 	}
 	store.SetDown(true)
 	if kind := proto.KindOf(write(1)); kind != proto.KindUnavailable {
-		t.Fatalf("store out: %q", kind)
+		t.Fatalf("store down: kind %q", kind)
 	}
 	store.SetDown(false)
 	row, err := p.Read(ctx, "a")
@@ -206,7 +206,7 @@
 		}
 		// Without this line, daemons with different keys would stay apart unnoticed.
 		if told := strings.Contains(log.String(), "does not accept this one's key"); told == want {
-			t.Errorf("key %q: the log says so: %v", key, told)
+			t.Errorf("key %q: refusal logged: %v", key, told)
 		}
 	}
 }
@@ -263,5 +263,5 @@
 		}
 		time.Sleep(25 * time.Millisecond)
 	}
-	t.Fatalf("still open: %d; %+v", engine.OpenRequests(), engine.Stats().Report().Workspaces)
+	t.Fatalf("requests still open: %d; %+v", engine.OpenRequests(), engine.Stats().Report().Workspaces)
 }
