--- a/wire/bench_test.go
+++ b/wire/bench_test.go
@@ -119,12 +119,12 @@
 		b.Run(fmt.Sprintf("tokens=%d", tokens), func(b *testing.B) {
 			front := newBenchFrontend(b, tokens)
 			n, calls := int64(0), 0
-			began := cpuTime(b)
+			startTime := cpuTime(b)
 			for b.Loop() {
 				n = sendStreamRequest(b, front)
 				calls++
 			}
-			b.ReportMetric(float64(cpuTime(b)-began)/float64(calls), "cpu-ns/op")
+			b.ReportMetric(float64(cpuTime(b)-startTime)/float64(calls), "cpu-ns/op")
 			b.ReportMetric(float64(n), "callerBytes")
 		})
 	}
--- a/wire/credentials_test.go
+++ b/wire/credentials_test.go
@@ -287,25 +287,25 @@
 	}
 	scenarios := []struct {
 		name   string
-		change func(k *testFiles)
+		change func(f *testFiles)
 		want   proto.Kind
 	}{
-		{"key of another certificate", func(k *testFiles) { k.write(k.files.Key, authority.issue(t, "a", day).Key) }, proto.KindInvalid},
-		{"empty certificate", func(k *testFiles) { k.write(k.files.Certificate, nil) }, proto.KindInvalid},
-		{"no authority", func(k *testFiles) { k.write(k.files.Authority, []byte("none")) }, proto.KindInvalid},
-		{"revocation list not signed by an authority", func(k *testFiles) { k.write(k.files.Revoked, foreign) }, proto.KindDenied},
-		{"missing file", func(k *testFiles) { _ = os.Remove(k.files.Authority) }, proto.KindInvalid},
+		{"key of another certificate", func(f *testFiles) { f.write(f.files.Key, authority.issue(t, "a", day).Key) }, proto.KindInvalid},
+		{"empty certificate", func(f *testFiles) { f.write(f.files.Certificate, nil) }, proto.KindInvalid},
+		{"no authority", func(f *testFiles) { f.write(f.files.Authority, []byte("none")) }, proto.KindInvalid},
+		{"revocation list not signed by an authority", func(f *testFiles) { f.write(f.files.Revoked, foreign) }, proto.KindDenied},
+		{"missing file", func(f *testFiles) { _ = os.Remove(f.files.Authority) }, proto.KindInvalid},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			k := writeTestFiles(t, own, authority.Certificate)
-			c := k.load()
-			before := c.current.Load()
-			s.change(k)
+			f := writeTestFiles(t, own, authority.Certificate)
+			c := f.load()
+			previous := c.current.Load()
+			s.change(f)
 			if changed, err := c.Reload(); changed || proto.KindOf(err) != s.want {
 				t.Errorf("changed %t, error %v, want kind %s", changed, err, s.want)
 			}
-			if c.current.Load() != before {
+			if c.current.Load() != previous {
 				t.Error("the previous credentials were replaced")
 			}
 		})
@@ -347,7 +347,7 @@
 
 // BenchmarkLinkOpened measures opening a link and its first call, both ends together.
 func BenchmarkLinkOpened(b *testing.B) {
-	open := func(b *testing.B, client *testLinks) {
+	measure := func(b *testing.B, client *testLinks) {
 		for b.Loop() {
 			if !client.canCall("b") {
 				b.Fatal("call failed")
@@ -360,7 +360,7 @@
 	}
 	b.Run("key", func(b *testing.B) {
 		server := serveWithSharedKey(b, "b", nil)
-		open(b, serveWithSharedKey(b, "a", map[proto.VM]proto.Alive{"b": {VM: "b", Peer: server.address}}))
+		measure(b, serveWithSharedKey(b, "a", map[proto.VM]proto.Alive{"b": {VM: "b", Peer: server.address}}))
 	})
 	b.Run("certificates", func(b *testing.B) {
 		authority := newTestAuthority(b)
@@ -368,6 +368,6 @@
 			return writeTestFiles(b, authority.issue(b, vm, day), authority.Certificate).load()
 		}
 		server := serveWithCredentials(b, "b", load("b"), nil)
-		open(b, serveWithCredentials(b, "a", load("a"), map[proto.VM]proto.Alive{"b": {VM: "b", Peer: server.address}}))
+		measure(b, serveWithCredentials(b, "a", load("a"), map[proto.VM]proto.Alive{"b": {VM: "b", Peer: server.address}}))
 	})
 }
--- a/wire/dial.go
+++ b/wire/dial.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// attempt makes one attempt and reports whether it ended because no answer arrived in time.
+// attempt dials once and reports whether that failed because no answer arrived in time.
 func (dial dialFunc) attempt(ctx context.Context, attemptTimeout time.Duration, network, address string) (conn net.Conn, timedOut bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
--- a/wire/frontend.go
+++ b/wire/frontend.go
@@ -296,16 +296,16 @@
 	Tokens int    `json:"tokens"`
 }
 
-func (f *Frontend) writeFinish(c echo.Context, a *core.Arrival, end *core.Finish) {
+func (f *Frontend) writeFinish(c echo.Context, a *core.Arrival, finish *core.Finish) {
 	switch {
-	case end.Failure != nil && c.Response().Committed:
-		_ = f.writeSingleEvent(c, "error", -1, proto.NewProblem(end.Failure, a.ID.String()))
-	case end.Failure != nil:
-		_ = f.writeProblem(c, end.Failure, a.ID.String())
+	case finish.Failure != nil && c.Response().Committed:
+		_ = f.writeSingleEvent(c, "error", -1, proto.NewProblem(finish.Failure, a.ID.String()))
+	case finish.Failure != nil:
+		_ = f.writeProblem(c, finish.Failure, a.ID.String())
 	case a.Stream:
-		_ = f.writeSingleEvent(c, "done", -1, json.RawMessage(end.Output))
+		_ = f.writeSingleEvent(c, "done", -1, json.RawMessage(finish.Output))
 	default:
-		_ = f.writeBeforeDeadline(c, func() error { return c.JSONBlob(http.StatusOK, end.Output) })
+		_ = f.writeBeforeDeadline(c, func() error { return c.JSONBlob(http.StatusOK, finish.Output) })
 	}
 }
 
--- a/wire/silentlink_test.go
+++ b/wire/silentlink_test.go
@@ -97,23 +97,23 @@
 // connections itself; TestDialedConnectionHasKeepAliveOptions checks the options by which the kernel does so.
 func TestSilentLinkIsReopened(t *testing.T) {
 	var received atomic.Int64
-	other := NewLinks(LinksConfig{
+	peer := NewLinks(LinksConfig{
 		Self: "b", SharedKey: "k", Log: hclog.NewNullLogger(), Resolve: func(proto.VM) (proto.Alive, bool) { return proto.Alive{}, false },
 		Handle: func(context.Context, proto.VM, proto.Message) proto.Message {
 			received.Add(1)
 			return proto.Done{}
 		},
 	})
-	server := httptest.NewServer(other.Handler())
+	server := httptest.NewServer(peer.Handler())
 	t.Cleanup(server.Close)
 	proxy := newSilenceableProxy(t, server.Listener.Addr().String())
-	l := NewLinks(LinksConfig{
+	links := NewLinks(LinksConfig{
 		Self: "a", SharedKey: "k", Log: hclog.NewNullLogger(), Handle: func(context.Context, proto.VM, proto.Message) proto.Message { return proto.Done{} },
 		Resolve: func(proto.VM) (proto.Alive, bool) {
 			return proto.Alive{VM: "b", Peer: netip.MustParseAddrPort(proxy.listener.Addr().String())}, true
 		},
 	})
-	t.Cleanup(l.Close)
+	t.Cleanup(links.Close)
 	sendUntilReceived := func() {
 		t.Helper()
 		before := received.Load()
@@ -121,18 +121,18 @@
 			if time.Now().After(end) {
 				t.Fatal("the other daemon receives nothing")
 			}
-			l.Send("b", proto.Heartbeat{})
+			links.Send("b", proto.Heartbeat{})
 		}
 	}
 	sendUntilReceived()
 	// Data in flight must arrive before the connection goes silent.
-	if _, err := l.Call(t.Context(), "b", proto.RoutingAsk{}); err != nil {
+	if _, err := links.Call(t.Context(), "b", proto.RoutingAsk{}); err != nil {
 		t.Fatal(err)
 	}
 	proxy.silenceOpenConns()
 	called := make(chan error, 1)
 	go func() {
-		_, err := l.Call(t.Context(), "b", proto.RoutingAsk{})
+		_, err := links.Call(t.Context(), "b", proto.RoutingAsk{})
 		called <- err
 	}()
 	select {
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -205,13 +205,13 @@
 			t.Errorf("key %q: %+v %v", key, m, err)
 		}
 		// Without this line, daemons with different keys would stay apart unnoticed.
-		if told := strings.Contains(log.String(), "does not accept this one's key"); told == want {
-			t.Errorf("key %q: refusal logged: %v", key, told)
+		if logged := strings.Contains(log.String(), "does not accept this one's key"); logged == want {
+			t.Errorf("key %q: refusal logged: %v", key, logged)
 		}
 	}
 }
 
-// TestTracePropagation checks that each hop has a span in the caller's trace, which the target's context belongs to.
+// TestTracePropagation checks that the request and its attempt have spans in the trace of the caller.
 func TestTracePropagation(t *testing.T) {
 	recorder := tracetest.NewSpanRecorder()
 	SetTracerProvider(sdktrace.NewTracerProvider(sdktrace.WithSpanProcessor(recorder)))
