--- a/demo/bench_test.go
+++ b/demo/bench_test.go
@@ -35,8 +35,8 @@
 	return sum
 }
 
-// BenchmarkDaemons runs real daemons over real links in one process, without requests, for some seconds: what
-// each spends on control, with the stand-ins' own time in it.
+// BenchmarkDaemons runs daemons over real links in one process without requests for some seconds and reports what each
+// daemon spends on control traffic. The processor time includes that of the fakes.
 func BenchmarkDaemons(b *testing.B) {
 	const length = 6 * time.Second
 	for _, n := range []int{4, 8, 16, 32} {
--- a/demo/caller.go
+++ b/demo/caller.go
@@ -37,7 +37,7 @@
 	endBroken
 )
 
-// call is one request as its caller keeps it.
+// call is one request, as recorded by its caller.
 type call struct {
 	number    int
 	workspace string
@@ -49,15 +49,15 @@
 	sent      time.Time
 }
 
-// ledger is what the callers remember of their requests.
+// ledger records the outcomes of all requests, as seen by their callers.
 type ledger struct {
 	mu        sync.Mutex
 	report    Report
 	latency   *hdrhistogram.Histogram
 	asked     map[string]int
 	onTime    map[string]int
-	notRun    map[string]bool // nonces of requests that every answer refused as not run
-	maxAtOnce map[string]bool // "service/stage nonce" that must run at most once
+	notRun    map[string]bool // nonces of requests whose every response was a refusal as not run
+	maxAtOnce map[string]bool // "service/stage nonce" of stages that must run at most once
 }
 
 func newLedger() *ledger {
@@ -67,7 +67,7 @@
 	}
 }
 
-// callers send requests as the deployment's callers would, through whichever daemons the balancer holds to be ready.
+// callers sends requests through the daemons that the load balancer considers ready, as the deployment's callers would.
 type callers struct {
 	file     *proto.File
 	balancer *balancer
@@ -89,7 +89,7 @@
 	return c
 }
 
-// next draws a request; the first workspaces are the large ones.
+// next generates a random request; the first workspaces of the file get the most requests.
 func (c *callers) next(number int) *call {
 	service := &c.file.Services[c.random.IntN(len(c.file.Services))]
 	workspace := c.file.Workspaces[min(c.random.IntN(len(c.file.Workspaces)), c.random.IntN(len(c.file.Workspaces)))]
@@ -107,7 +107,7 @@
 	return k
 }
 
-// start sends a request in the background.
+// start sends a request in a new goroutine.
 func (c *callers) start(ctx context.Context, k *call) {
 	c.ledger.began(k, c.pools)
 	c.group.Go(func() {
@@ -117,7 +117,9 @@
 	})
 }
 
-// send tries again through another daemon as a caller may: what was not run or broke off, and with a key whatever may have run.
+// send makes up to mostSends attempts, each through another daemon. It repeats requests that were not run, whose
+// connection broke, or that may have run: the latter is safe, since requests of services that may not be repeated carry
+// an idempotency key.
 func (c *callers) send(ctx context.Context, k *call) ending {
 	deadline := k.sent.Add(k.service.Deadline.Std())
 	end := endBroken
@@ -191,7 +193,8 @@
 	return endUnknown
 }
 
-// readStream checks that the chunks follow each other without a gap or a double and that the end repeats the whole.
+// readStream checks that the chunks follow one another without gaps or duplicates and that the final event holds the
+// complete text.
 func (k *call) readStream(body io.Reader) ending {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(nil, 1<<20)
@@ -225,7 +228,7 @@
 	return endBroken
 }
 
-// verify checks that an answer is the whole one to this request.
+// verify checks that an answer is complete and belongs to this request.
 func (k *call) verify(data []byte) ending {
 	var answer struct {
 		Nonce string `json:"nonce"`
@@ -290,7 +293,7 @@
 	}
 }
 
-// judge completes the report from what the targets remember.
+// judge completes the report with the runs that the targets recorded.
 func (l *ledger) judge(runs map[string]int) Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/demo/faults.go
+++ b/demo/faults.go
@@ -12,10 +12,10 @@
 	"emberlead/proto"
 )
 
-// FaultName names a fault that a run can cause.
+// FaultName is the name of a fault that can be injected into a run.
 type FaultName string
 
-// Faults of a run.
+// Names of the faults.
 const (
 	FaultEntryDies        FaultName = "entryDies"
 	FaultEntryPauses      FaultName = "entryPauses"
@@ -29,19 +29,19 @@
 	FaultBurst            FaultName = "burst"
 )
 
-// FaultNames are all faults.
+// FaultNames lists all faults.
 var FaultNames = []FaultName{
 	FaultEntryDies, FaultEntryPauses, FaultStoreDown, FaultStoreLosesAnswer, FaultStageSlow,
 	FaultTargetFails, FaultTargetLeaves, FaultVMStops, FaultConflictingApply, FaultBurst,
 }
 
-// Fault is a fault and when it comes.
+// Fault is a fault and the offset into the run at which it is injected.
 type Fault struct {
 	Name FaultName
 	At   time.Duration
 }
 
-// ParseFault reads NAME or NAME@OFFSET; without an offset the fault comes after a third of the run.
+// ParseFault parses NAME or NAME@OFFSET. Without an offset the fault is injected after a third of the run.
 func ParseFault(text string, duration time.Duration) (Fault, error) {
 	name, offset, found := strings.Cut(text, "@")
 	f := Fault{Name: FaultName(name), At: duration / 3}
@@ -66,7 +66,7 @@
 	leaveGrace  = 3 * time.Second
 )
 
-// cause brings a fault about and returns what was seen of it, once that can be told.
+// cause injects a fault and returns what was observed of it, once that is known.
 func (r *runner) cause(ctx context.Context, f Fault) string {
 	lasting := r.options.Duration / 3
 	switch f.Name {
@@ -113,7 +113,7 @@
 	}
 }
 
-// victim is the last daemon that is still whole, so that two faults hit two daemons.
+// victim returns the last daemon without an injected fault, so that two faults hit two daemons; nil if there is none.
 func (r *runner) victim() *entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -175,7 +175,8 @@
 	return whole[i%len(whole)]
 }
 
-// changed returns the file with the deadline of its first service changed, which harms nobody.
+// changed returns the configuration file with the deadline of its first service extended, a change that fails no
+// request.
 func (r *runner) changed(by time.Duration) []byte {
 	copied := *r.world.file
 	copied.Services = slices.Clone(copied.Services)
--- a/demo/report.go
+++ b/demo/report.go
@@ -10,7 +10,7 @@
 	"emberlead/core"
 )
 
-// Report is the result of a run, as callers and targets saw it.
+// Report is the result of a run as observed by callers and targets.
 type Report struct {
 	Deployment    string                     `json:"deployment"`
 	Seed          uint64                     `json:"seed"`
@@ -31,19 +31,19 @@
 	Faults        []FaultReport              `json:"faults,omitempty"`
 }
 
-// FaultReport says what was seen of one fault.
+// FaultReport describes what was observed of one fault.
 type FaultReport struct {
 	Fault string `json:"fault"`
 	At    string `json:"at"`
 	Seen  string `json:"seen"`
 }
 
-// Holds tells whether nothing was lost, doubled, misdelivered or run though it was refused as not run.
+// Holds reports whether no request was lost, run twice, misdelivered, or run although it was refused as not run.
 func (r *Report) Holds() bool {
 	return r.Lost == 0 && r.Doubled == 0 && r.Misdelivered == 0 && r.RanThoughNot == 0
 }
 
-// Table writes the report for people.
+// Table writes the report in human-readable form.
 func (r *Report) Table(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(out, "\n%s, seed %d: %d sent, %d delivered, %d on time, %d late, %d refused as not run, %d unknown\n",
--- a/demo/run.go
+++ b/demo/run.go
@@ -15,13 +15,13 @@
 	"emberlead/proto"
 )
 
-// Options are what a run is made of.
+// Options configures a run.
 type Options struct {
 	Deployment string
 	File       *proto.File
 	Duration   time.Duration
 	Seed       uint64
-	Rate       float64 // requests a second
+	Rate       float64 // requests per second
 	Entries    int
 	Faults     []Fault
 	Progress   io.Writer
@@ -38,7 +38,7 @@
 	faults []FaultReport
 }
 
-// Run carries out a run and returns what callers and targets saw of it.
+// Run executes a run and returns what callers and targets observed.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	w, err := newWorld(o.File, o.Entries, o.Seed, o.Log)
 	if err != nil {
@@ -78,7 +78,7 @@
 	r.faults = append(r.faults, FaultReport{Fault: string(f.Name), At: f.At.String(), Seen: seen})
 }
 
-// load sends requests at random times whose mean is the rate, and prints a line each second.
+// load sends requests as a Poisson process with the configured mean rate and prints progress once a second.
 func (r *runner) load(ctx context.Context, c *callers) {
 	random := rand.New(rand.NewPCG(r.options.Seed, 11))
 	began := time.Now()
--- a/demo/world.go
+++ b/demo/world.go
@@ -24,7 +24,7 @@
 
 var anyPort = netip.MustParseAddrPort("127.0.0.1:0")
 
-// entry is one daemon of the world with the gate that holds it up.
+// entry is one daemon of the deployment, with the gate that can suspend it.
 type entry struct {
 	vm     proto.VM
 	daemon *serve.Daemon
@@ -34,7 +34,7 @@
 	dead   atomic.Bool
 }
 
-// gate lets events through, holds them up for a time, or for good.
+// gate lets events pass, or blocks them for a time or for good.
 type gate struct {
 	mu sync.RWMutex
 }
@@ -49,7 +49,7 @@
 	time.AfterFunc(length, g.mu.Unlock)
 }
 
-// world is a deployment with its stand-ins.
+// world is a deployment of daemons with the fakes that they depend on.
 type world struct {
 	log      hclog.Logger
 	file     *proto.File
@@ -123,7 +123,8 @@
 	return nil
 }
 
-// ready waits until every daemon has the first configuration in force and keeps its part of the claims.
+// ready applies the first configuration and waits until it is in force on every daemon and the replicas of all claims
+// are ready.
 func (w *world) ready(ctx context.Context) error {
 	body, err := w.targets.Body()
 	if err != nil {
@@ -159,7 +160,7 @@
 	return true
 }
 
-// kill ends a daemon as a crash would: nothing is handed over and every connection breaks.
+// kill stops a daemon as a crash would: it hands nothing over and all its connections break.
 func (w *world) kill(e *entry) {
 	e.dead.Store(true)
 	e.gate.mu.Lock()
@@ -183,7 +184,7 @@
 	w.targets.Close()
 }
 
-// balancer stands in for the platform's: it sends to daemons whose /readyz answers, in turn.
+// balancer stands in for the platform's load balancer: it sends to the daemons whose /readyz succeeds, round robin.
 type balancer struct {
 	world *world
 	mu    sync.Mutex
--- a/entry/app.go
+++ b/entry/app.go
@@ -15,7 +15,7 @@
 	"emberlead/serve"
 )
 
-// Exit codes of every command.
+// Exit codes of all commands.
 const (
 	ExitDone     = 0
 	ExitFailed   = 1
@@ -24,7 +24,7 @@
 	ExitUnknown  = 4
 )
 
-// exitError carries an exit code; an empty message prints nothing.
+// exitError carries an exit code. If its message is empty, nothing is printed.
 type exitError struct {
 	code int
 	err  error
@@ -40,10 +40,10 @@
 	return exit(ExitUsage, newError("usage", proto.KindInvalid, format, args...))
 }
 
-// errSilent ends a command whose output has said everything.
+// errSilent ends a command whose output already contains everything that the user needs.
 var errSilent = errors.New("")
 
-// Main runs the program and returns its exit code.
+// Main runs the command line and returns its exit code.
 func Main(args []string, stdout, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
--- a/entry/apply.go
+++ b/entry/apply.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// FaultReport is what check prints as JSON.
+// FaultReport is the JSON output of the check command.
 type FaultReport struct {
 	File   string        `json:"file"`
 	Faults []proto.Fault `json:"faults"`
--- a/entry/client.go
+++ b/entry/client.go
@@ -24,7 +24,8 @@
 	}, extra...)
 }
 
-// operatorCall sends a request to the operators' listener and decodes its answer; other statuses than those accepted are errors.
+// operatorCall sends a request to the operators' listener and decodes the response into into. Statuses other than 200
+// and the accepted ones are errors.
 func operatorCall(ctx context.Context, c *cli.Command, method, path string, body []byte, into any, accepted ...int) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, clientWait)
 	defer cancel()
@@ -53,7 +54,8 @@
 	return resp.StatusCode, refused(resp.StatusCode, data)
 }
 
-// unreachable says that a change may have been made if its answer was lost.
+// unreachable returns the error for a request without a response. The outcome of a POST is unknown, since the change
+// may have been made although its response was lost.
 func unreachable(method string, err error) error {
 	code := ExitFailed
 	kind := proto.KindUnavailable
--- a/entry/demo.go
+++ b/entry/demo.go
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// deployment reads an example by its name, or else a file.
+// deployment reads the example with the given name or, if there is none, the file at that path.
 func deployment(name string) (*proto.File, error) {
 	data, err := examples.Files.ReadFile(name + ".json")
 	if err != nil {
--- a/entry/doc.go
+++ b/entry/doc.go
@@ -1,2 +1,2 @@
-// Package entry is the command line: it reads arguments, hands over to the other packages and prints what they return.
+// Package entry implements the command line: it parses arguments, calls the other packages and prints their results.
 package entry
--- a/entry/fake.go
+++ b/entry/fake.go
@@ -63,7 +63,7 @@
 	return address, nil
 }
 
-// parseVM reads NAME=PEER@ZONE.
+// parseVM parses NAME=PEER-ADDRESS@ZONE.
 func parseVM(text string) (proto.VMEntry, error) {
 	name, rest, ok := strings.Cut(text, "=")
 	peer, zone, okZone := strings.Cut(rest, "@")
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// targetCall sends a request to the stand-in for a target of a file.
+// targetCall sends a request to the fake of a target from a configuration file.
 func targetCall(ctx context.Context, c *cli.Command, method, path string, body []byte) ([]byte, error) {
 	if c.Args().Len() != 2 {
 		return nil, usage("%s takes a file and a target", c.Name)
@@ -181,7 +181,7 @@
 	return nil
 }
 
-// writeFile writes beside the file and renames, so that a reader never sees half of it.
+// writeFile writes a temporary file and renames it, so that a reader never sees partial contents.
 func writeFile(path string, data []byte) error {
 	if path == "" {
 		return nil
--- a/entry/helpers_test.go
+++ b/entry/helpers_test.go
@@ -12,7 +12,7 @@
 
 const untilMost = 15 * time.Second
 
-// runUntil repeats a command until its output contains a text: until TEXT COMMAND [ARG ...].
+// runUntil repeats a command until its output contains TEXT: until TEXT COMMAND [ARG ...].
 func runUntil() {
 	text := os.Args[1]
 	var out []byte
@@ -27,7 +27,7 @@
 	os.Exit(1)
 }
 
-// runSignal sends a signal to the daemon that wrote a file with its process id: signal NAME FILE.
+// runSignal sends a signal to the daemon whose process id is in FILE: signal NAME FILE.
 func runSignal() {
 	signals := map[string]syscall.Signal{"TERM": syscall.SIGTERM, "KILL": syscall.SIGKILL, "STOP": syscall.SIGSTOP, "CONT": syscall.SIGCONT}
 	data, err := os.ReadFile(os.Args[2])
--- a/entry/linkkeys.go
+++ b/entry/linkkeys.go
@@ -18,7 +18,7 @@
 const (
 	authorityValid   = 5 * 365 * 24 * time.Hour
 	certificateValid = 90 * 24 * time.Hour
-	// listValid is stated in lists of revoked certificates; daemons go by them whatever their age.
+	// listValid is the validity period stated in lists of revoked certificates. Daemons use a list whatever its age.
 	listValid = 365 * 24 * time.Hour
 
 	fileAuthority    = "authority.pem"
@@ -130,7 +130,8 @@
 	return text, nil
 }
 
-// writePair writes the key first: a daemon that reads between the two keeps what it had.
+// writePair writes the key before the certificate: a daemon that reads the files in between keeps the credentials it
+// has.
 func writePair(c *cli.Command, folder, certificate, key string, pair wire.KeyPair) error {
 	if err := replaceFile(c, filepath.Join(folder, key), pair.Key, secretMode); err != nil {
 		return err
@@ -138,7 +139,7 @@
 	return replaceFile(c, filepath.Join(folder, certificate), pair.Certificate, publicMode)
 }
 
-// replaceFile replaces a file as a whole, so that no daemon reads half of it.
+// replaceFile replaces a file atomically, so that no daemon reads partial contents.
 func replaceFile(c *cli.Command, path string, text []byte, mode os.FileMode) error {
 	next := path + ".next"
 	err := os.WriteFile(next, text, mode)
--- a/entry/linkkeys_test.go
+++ b/entry/linkkeys_test.go
@@ -13,7 +13,7 @@
 	"emberlead/wire"
 )
 
-// TestLinkKeys makes an authority and certificates, and reads them as a daemon does.
+// TestLinkKeys creates an authority and certificates, and loads them as a daemon does.
 func TestLinkKeys(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name string) string { return filepath.Join(dir, name) }
@@ -65,7 +65,7 @@
 	}
 }
 
-// TestRelayTakesCertificatesTogetherOrNotAtAll gives relay's flags without starting a daemon.
+// TestRelayTakesCertificatesTogetherOrNotAtAll parses relay's certificate flags without starting a daemon.
 func TestRelayTakesCertificatesTogetherOrNotAtAll(t *testing.T) {
 	scenarios := []struct {
 		testName string
--- a/entry/losses.go
+++ b/entry/losses.go
@@ -17,7 +17,7 @@
 	"emberlead/proto"
 )
 
-// lossWindow is the length of the spans of time whose losses are shown, unless another is asked for.
+// lossWindow is the default length of the intervals for which losses are shown.
 const lossWindow = 2 * time.Second
 
 func lossesCommand() *cli.Command {
@@ -53,13 +53,14 @@
 	return report.print(c.Root().Writer)
 }
 
-// worth is what an answer counts for.
+// worth is the value of an answer delivered in time, and that of a late one.
 type worth struct{ full, late float64 }
 
-// routeWorths holds the worth of requests by their routes' goals, since the names of routes change.
+// routeWorths maps the goals of routes to the worth of their requests. The key is the goal, since names of routes
+// change.
 type routeWorths map[time.Duration]worth
 
-// of returns 1 for an answer in time, and nothing for a late one, where nothing else is known.
+// of returns the worth for a goal. For an unknown goal it is 1 for an answer in time and 0 for a late one.
 func (w routeWorths) of(goal time.Duration) worth {
 	if known, ok := w[goal]; ok {
 		return known
@@ -67,8 +68,8 @@
 	return worth{full: 1}
 }
 
-// counted leaves out the requests of routes whose worth is not known, such as those that only try whether a route is
-// there; without any worth all count.
+// counted drops the requests of routes without a known worth, such as probes of whether a route exists, and returns the
+// number of those dropped. Without any --worth all requests count.
 func (w routeWorths) counted(ends []requestEnd) (counted []requestEnd, left int) {
 	for i := range ends {
 		if _, known := w[ends[i].goal]; known || len(w) == 0 {
@@ -78,16 +79,17 @@
 	return counted, len(ends) - len(counted)
 }
 
-// sizeMost bounds how many times the worth of its route a large request counts for.
+// sizeMost bounds the factor by which the worth of a large request exceeds that of its route.
 const sizeMost = 4
 
-// scaled is the worth of a request that is so many times as large as the mean of its route.
+// scaled returns the worth of a request whose size is times the mean of its route; sized is the part that scales with
+// it.
 func (w worth) scaled(times, sized float64) worth {
 	factor := min(sizeMost, 1-sized+sized*times)
 	return worth{w.full * factor, w.late * factor}
 }
 
-// meanTokens returns the mean size of the requests of each route.
+// meanTokens returns the mean request size for each goal.
 func meanTokens(ends []requestEnd) map[time.Duration]float64 {
 	sum, count := map[time.Duration]float64{}, map[time.Duration]float64{}
 	for i := range ends {
@@ -120,13 +122,13 @@
 	return worths, nil
 }
 
-// loss is the worth that requests lost for one reason.
+// loss is the number of requests that lost worth for one reason, and the worth lost.
 type loss struct {
 	requests int
 	worth    float64
 }
 
-// lossReport says where worth was lost: by route and reason, and by moment.
+// lossReport breaks lost worth down by route and reason, and by interval.
 type lossReport struct {
 	asked   map[time.Duration]int
 	owed    map[time.Duration]float64
@@ -135,9 +137,9 @@
 	every   time.Duration
 	lost    float64
 	total   float64
-	// uncounted are the requests of routes without a worth.
+	// uncounted is the number of requests of routes without a worth.
 	uncounted int
-	// unrouted are the tries that were refused before their route was known, by reason.
+	// unrouted counts, by reason, the attempts that were refused before their route was known.
 	unrouted map[string]int
 }
 
@@ -195,7 +197,7 @@
 
 func (l loss) plus(worth float64) loss { return loss{l.requests + 1, l.worth + worth} }
 
-// worstMoments is how many spans of time are shown.
+// worstMoments is the number of intervals shown.
 const worstMoments = 10
 
 func (r *lossReport) print(w io.Writer) error {
--- a/entry/losses_test.go
+++ b/entry/losses_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// dayLog writes the lines of a day, each at a number of milliseconds, and returns the file's path.
+// dayLog writes log lines to a file and returns its path.
 func dayLog(t *testing.T, lines ...string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "day.log")
@@ -21,7 +21,7 @@
 	return path
 }
 
-// line is one line of a daemon's log.
+// line returns one line of a daemon's log, ms milliseconds into the log.
 func line(ms int, message, request, rest string) string {
 	at := time.Date(2030, 1, 1, 12, 0, 0, 0, time.UTC).Add(time.Duration(ms) * time.Millisecond)
 	return fmt.Sprintf(`vm-1 {"@timestamp":%q,"@message":%q,"vm":"vm-1","request":%q%s}`, at.Format(time.RFC3339Nano), message, request, rest)
@@ -54,7 +54,8 @@
 	if code := Main([]string{"emberlead", "losses", "--worth", "1s=4/1", path}, &out, &out); code != ExitDone {
 		t.Fatalf("code %d: %s", code, out.String())
 	}
-	// Owed are six of seven callers: the one who left is not. Three were late at 3 each, two got nothing at 4 each.
+	// Six of the seven callers are owed an answer; the one that left is not. Three were late and lost 3 each, two got
+	// no answer and lost 4 each.
 	for _, want := range []string{
 		"lost 17.0 of 24.0 owed",
 		"late: queue of stage 0",
@@ -105,8 +106,8 @@
 	}
 }
 
-// TestLossesCountRequestsByTheirSize has two requests of a route, one three times as large as the other, and one of a
-// route whose worth nobody stated.
+// TestLossesCountRequestsByTheirSize has two requests of one route, one about three times as large as the other, and
+// one of a route without a stated worth.
 func TestLossesCountRequestsByTheirSize(t *testing.T) {
 	sized := func(ms int, request, due string, prompt, most int) string {
 		return line(ms, "request accepted", request, fmt.Sprintf(`,"route":"r","prompt":%q,"due":%q,"left":"6s","promptTokens":%d,"mostTokens":%d`, request, due, prompt, most))
@@ -135,8 +136,8 @@
 	}
 }
 
-// TestLossesCountWhatHasNoRouteAndGroupReasons has an outage in which no configuration was known, and streams that broke
-// off at several targets.
+// TestLossesCountWhatHasNoRouteAndGroupReasons covers refusals while no configuration was known, and streams that broke
+// off at several targets, whose addresses must not split their reason.
 func TestLossesCountWhatHasNoRouteAndGroupReasons(t *testing.T) {
 	const unknown = `,"status":503,"took":"1ms","reason":"no configuration is known yet"`
 	broken := func(from, to string) string {
--- a/entry/lossreason.go
+++ b/entry/lossreason.go
@@ -10,36 +10,37 @@
 	"time"
 )
 
-// requestOutcome is how a request ended for its caller.
+// requestOutcome is the outcome of a request as its caller saw it.
 type requestOutcome uint8
 
 const (
 	outcomeInTime requestOutcome = iota
 	outcomeLate
-	// outcomeLost requests got no answer, or one of failure.
+	// outcomeLost marks requests that got no answer, or a failure.
 	outcomeLost
-	// outcomeNotOwed requests could not be answered: their caller left, or asked what is not allowed.
+	// outcomeNotOwed marks requests that could not be answered: their caller left or was not allowed to send them.
 	outcomeNotOwed
 )
 
-// requestEnd is what the logs say of one request, with the tries of a caller who came back taken as one.
+// requestEnd is the outcome of one request according to the logs. The attempts of a caller that retries are one
+// request.
 type requestEnd struct {
 	first time.Time
 	goal  time.Duration
-	// tokens is its size: those of its prompt and, each counted several times, those of its answer at most.
+	// tokens is the size of the request: the tokens of its prompt plus answerToken times its maximum answer tokens.
 	tokens  float64
 	outcome requestOutcome
 	reason  string
 }
 
-// answerToken is how many tokens of a prompt one of an answer counts for in the size of a request: engines make them one
-// after the other, and read a prompt many at a time.
+// answerToken is the weight of an answer token relative to a prompt token in the size of a request: engines generate
+// tokens one after another but read many prompt tokens at a time.
 const answerToken = 10
 
-// heldFrom is the part of the time that a request had, from which a refusal counts as one after holding it.
+// heldFrom is the fraction of a request's available time after which a refusal counts as one that was held first.
 const heldFrom = 0.25
 
-// attemptLog are the lines of one try of a caller.
+// attemptLog holds the log lines of one attempt of a caller.
 type attemptLog struct {
 	id     string
 	lines  []*logLine
@@ -47,8 +48,8 @@
 	end    *logLine
 }
 
-// requestEnds reads the fate of each request from the lines of all daemons, oldest first, and of those that were refused
-// before their routes were known how many there are for each reason.
+// requestEnds returns the outcomes of all requests in the logs of all daemons, oldest first, and the numbers of
+// attempts that were refused before their routes were known, by reason.
 func requestEnds(lines []logLine) (ends []requestEnd, unrouted map[string]int) {
 	tries := map[string]*attemptLog{}
 	var order []*attemptLog
@@ -69,8 +70,8 @@
 	return join(order), unroutedRefusals(order)
 }
 
-// unroutedRefusals counts the tries that were refused before their route was known, so that nobody can tell what they
-// were worth. A caller who came back counts for each try.
+// unroutedRefusals counts, by reason, the attempts that were refused before their route was known and whose worth is
+// therefore unknown. Each attempt of a caller that retries counts.
 func unroutedRefusals(tries []*attemptLog) map[string]int {
 	reasons := map[string]int{}
 	for _, t := range tries {
@@ -91,8 +92,8 @@
 	}
 }
 
-// join takes a try that follows a refusal of the same prompt on the same route, while its caller still waited, as the
-// same request.
+// join merges an attempt into the preceding refused one if it has the same prompt and route and started while the
+// caller of the refused one was still waiting.
 func join(tries []*attemptLog) []requestEnd {
 	type pending struct {
 		at    int
@@ -120,7 +121,7 @@
 	return ends
 }
 
-// retried is a request that was refused, with the try that came after it.
+// retried returns the outcome of a refused request combined with that of the next attempt.
 func (e requestEnd) retried(next requestEnd) requestEnd {
 	switch next.outcome {
 	case outcomeLost:
@@ -133,7 +134,7 @@
 	return e
 }
 
-// caller tells requests apart by what their caller asked; empty if the log does not say.
+// caller returns a key that identifies a request by what its caller sent; empty if the log does not say.
 func (t *attemptLog) caller() string {
 	if t.accept == nil || t.accept.text("prompt") == "" {
 		return ""
@@ -141,7 +142,7 @@
 	return t.accept.text("route") + "/" + t.accept.text("prompt")
 }
 
-// time is a duration that the line of acceptance tells, 0 if it does not.
+// time returns a duration from the line that logged the acceptance; 0 if there is none.
 func (t *attemptLog) time(name string) time.Duration {
 	if t.accept == nil {
 		return 0
@@ -149,7 +150,7 @@
 	return t.accept.duration(name)
 }
 
-// judge says how a try ended; false if it was not accepted, so that nothing was owed.
+// judge returns the outcome of an attempt; false if it was not accepted, so that no answer was owed.
 func (t *attemptLog) judge() (requestEnd, bool) {
 	if t.accept == nil {
 		return requestEnd{}, false
@@ -194,10 +195,10 @@
 	return reason
 }
 
-// anAddress finds an address with its port, or two with an arrow between them.
+// anAddress matches an address with its port, or two of them with an arrow in between.
 var anAddress = regexp.MustCompile(`\d+\.\d+\.\d+\.\d+:\d+(->\d+\.\d+\.\d+\.\d+:\d+)?`)
 
-// plain leaves out of a reason what differs from day to day, such as names of pools and addresses.
+// plain removes the varying parts of a reason, such as names of pools and addresses.
 func plain(reason string) string {
 	if stage, rest, ok := strings.Cut(reason, ": "); ok && strings.HasPrefix(stage, "stage ") {
 		reason = "a stage: " + rest
@@ -205,16 +206,16 @@
 	return anAddress.ReplaceAllString(reason, "ADDRESS")
 }
 
-// part is one of the spans of time that a request went through.
+// part is one of the intervals of a request's time.
 type part struct {
 	name string
 	took time.Duration
 }
 
-// where names the span in which most of a request's time went, up to its first event.
+// where returns the name of the longest interval of a request up to its first event.
 func (t *attemptLog) where() string { return t.longest().name }
 
-// longest is the span in which most of a request's time went, up to its first event.
+// longest returns the longest interval of a request up to its first event.
 func (t *attemptLog) longest() part {
 	lost := false
 	var parts []part
@@ -245,16 +246,16 @@
 	return slices.MaxFunc(parts, func(a, b part) int { return cmp.Compare(a.took, b.took) })
 }
 
-// paused tells whether a stream was late only for a pause between its events.
+// paused reports whether a stream was late only because of a pause between its events.
 func (t *attemptLog) paused() bool {
 	return t.end.Message == "request delivered" && t.end.Fields["inTime"] == false &&
 		t.end.duration("pause") > 0 && t.end.duration("first") <= t.end.duration("goal")
 }
 
-// fateLost is the fate of a stage whose inputs were gone, as the log names it.
+// fateLost is the fate that the log gives to a stage whose inputs were lost.
 const fateLost = "lost"
 
-// stageLine is how one stage of a request went.
+// stageLine is the log entry of one stage of a request.
 type stageLine struct {
 	stage  int
 	fate   string
@@ -290,7 +291,7 @@
 
 func (l *logLine) duration(name string) time.Duration { return durationOf(l.Fields[name]) }
 
-// durationOf reads a duration of the log; a field that is missing counts as none.
+// durationOf parses a duration from the log; a missing or invalid one is 0.
 func durationOf(value any) time.Duration {
 	text, _ := value.(string)
 	d, err := time.ParseDuration(text)
--- a/entry/output.go
+++ b/entry/output.go
@@ -23,7 +23,7 @@
 	}}
 }
 
-// printed writes a value as one line of JSON or as the table that a function writes.
+// printed writes a value as one line of JSON, or as the table that the given function writes.
 func printed(c *cli.Command, value any, table func(w io.Writer)) error {
 	out := c.Root().Writer
 	if c.String("output") == outputJSON {
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -16,13 +16,13 @@
 	"emberlead/wire"
 )
 
-// logFlush is how long a process that ends waits for the reader of its log.
+// logFlush is how long a terminating process waits for its log to be read.
 const logFlush = 100 * time.Millisecond
 
-// linkKeyVariable is the environment variable that a key for the links may come from.
+// linkKeyVariable is the environment variable that may hold the key for the links between daemons.
 const linkKeyVariable = "EMBERLEAD_LINK_KEY"
 
-// Flags of the certificates between daemons.
+// Names of the flags for the certificates between daemons.
 const (
 	flagLinkCertificate    = "link-certificate"
 	flagLinkCertificateKey = "link-certificate-key"
@@ -73,7 +73,7 @@
 	return serve.NewRelay(settings, state.NewClock(), log, sink, options...).Run(ctx)
 }
 
-// linkCredentials reads the certificates between daemons, nil if the flags name none.
+// linkCredentials loads the certificates for the links between daemons. It returns nil if no flag is set.
 func linkCredentials(c *cli.Command) (*wire.Credentials, error) {
 	files := wire.CredentialFiles{
 		Certificate: c.String(flagLinkCertificate), Key: c.String(flagLinkCertificateKey),
--- a/entry/script_test.go
+++ b/entry/script_test.go
@@ -17,7 +17,8 @@
 	})
 }
 
-// Each file in testdata/script is one end-to-end test with real processes; it starts with a line that says what it shows.
+// TestScripts runs every file in testdata/script as an end-to-end test with real processes. The first line of each file
+// says what it tests.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata/script",
--- a/entry/trace.go
+++ b/entry/trace.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// traceLine bounds one line of a log, in bytes.
+	// traceLine is the maximum length of a log line in bytes.
 	traceLine = 1 << 20
-	// traceBefore is how long before a request what was learnt of its targets is shown.
+	// traceBefore is how long before the request the log lines about its targets are shown.
 	traceBefore = 10 * time.Second
 )
 
@@ -49,7 +49,7 @@
 	return t.print(c.Root().Writer)
 }
 
-// traceTime is how a moment is shown.
+// traceTime is the format of the times shown.
 const traceTime = "15:04:05.000"
 
 // logLine is one line of a daemon's log.
@@ -63,11 +63,11 @@
 	Reason  string    `json:"reason"`
 	Status  int       `json:"status"`
 	Detail  string    `json:"detail"`
-	// Fields holds the rest for display.
+	// Fields holds all fields for display.
 	Fields map[string]any `json:"-"`
 }
 
-// readLogs reads the files of several daemons.
+// readLogs reads the log files of several daemons.
 func readLogs(paths []string) ([]logLine, error) {
 	var lines []logLine
 	for _, path := range paths {
@@ -80,7 +80,7 @@
 	return lines, nil
 }
 
-// readLog reads a file of log lines; what stands before the first brace of a line is passed over.
+// readLog reads a log file. Text before the first brace of a line is ignored.
 func readLog(path string) ([]logLine, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -110,17 +110,17 @@
 	if at < 0 || json.Unmarshal(text[at:], &line) != nil || line.Message == "" {
 		return line, false
 	}
-	// The text was read as JSON just now.
+	// Unmarshalling into line succeeded, so the text is valid JSON.
 	_ = json.Unmarshal(text[at:], &line.Fields)
 	return line, true
 }
 
-// trace is what logs say of one request: its own lines, and what was learnt of its targets shortly before.
+// trace holds what the logs say about one request: its own lines, and those about its targets shortly before.
 type trace struct {
 	id      string
 	own     []logLine
 	context []logLine
-	// restart is the next start of a daemon that the request was at; nil if there is none.
+	// restart is the next start of a daemon that handled the request; nil if there is none.
 	restart *logLine
 	config  configTrace
 }
@@ -156,12 +156,12 @@
 	return t
 }
 
-// ofAllTargets are messages on what concerns targets without naming one.
+// ofAllTargets are the messages about events that concern targets without naming one.
 var ofAllTargets = map[string]bool{
 	"availability zone evacuated": true, "availability zone in service again": true, "the store is in a new era": true,
 }
 
-// end is the request's last line, which says how it ended if any does.
+// end returns the line that logged the outcome of the request or, if there is none, the request's last line.
 func (t *trace) end() *logLine {
 	last := &t.own[len(t.own)-1]
 	for i := range t.own {
@@ -173,7 +173,7 @@
 	return last
 }
 
-// cause is one sentence on how the request ended and why.
+// cause describes in one sentence how the request ended and why.
 func (t *trace) cause() string {
 	last := t.end()
 	switch last.Message {
@@ -195,7 +195,8 @@
 	return "The log does not say how the request ended; its daemon may have died. The last line is: " + last.Message + "."
 }
 
-// ends is a sentence on the targets that ended, if the request was refused for that: which, who saw it, and how long before.
+// ends describes the crashes of targets for which the request was refused, if any: which target, which VM observed it,
+// and how long before.
 func (t *trace) ends() string {
 	var told []string
 	for i := range t.own {
@@ -217,8 +218,8 @@
 	return " The ends: " + strings.Join(told, ", ") + "."
 }
 
-// spent is a sentence on where most of a request's time went, if its stages took some: what is refused in the end was
-// often held up long before.
+// spent describes where most of the request's time went, if its stages took any: a request that is refused has often
+// been delayed long before.
 func spent(end *logLine) string {
 	if len(end.stages()) == 0 {
 		return ""
@@ -245,7 +246,7 @@
 	return nil
 }
 
-// facts are the other fields of a line in order of name.
+// facts formats the remaining fields of a line, sorted by name.
 func (l *logLine) facts() string {
 	var names []string
 	for name := range l.Fields {
--- a/entry/trace_test.go
+++ b/entry/trace_test.go
@@ -105,7 +105,8 @@
 	}
 }
 
-// TestATraceNamesClosedZones has a zone be evacuated at the request's daemon, and another one at a daemon that it was not at.
+// TestATraceNamesClosedZones covers an evacuated zone logged by the request's daemon, and one logged by a daemon that
+// did not handle the request.
 func TestATraceNamesClosedZones(t *testing.T) {
 	at := time.Date(2026, 12, 1, 9, 0, 5, 0, time.UTC)
 	line := func(vm, request, message string, before time.Duration) logLine {
--- a/entry/traceconfig.go
+++ b/entry/traceconfig.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// traceAfter is how long after a request it is looked for when its daemon learnt of a newer configuration.
+// traceAfter is how long after the request a newer configuration on its daemon is taken into account.
 const traceAfter = 10 * time.Second
 
 const messageInForce = "configuration in force"
 
-// configTrace is what logs say of the configuration that answered a request.
+// configTrace holds what the logs say about the configuration that a request was handled with.
 type configTrace struct {
 	version float64
-	// elsewhere is the first line of another daemon that had a newer one in force when the request came, and later that of
-	// the request's own daemon when it had one; nil if there is none.
+	// elsewhere is the first line of another daemon that had a newer configuration in force when the request arrived;
+	// later is the line of the request's own daemon that put a newer one in force. Each is nil if there is none.
 	elsewhere, later *logLine
 	came             time.Time
 	store            []logLine
 }
 
-// newConfigTrace looks through the lines of all daemons, in order of time, for a request's first and last line.
+// newConfigTrace searches the lines of all daemons, sorted by time, given the first and last line of a request.
 func newConfigTrace(first, last *logLine, lines []logLine) configTrace {
 	c := configTrace{version: last.number("routing"), came: first.At}
 	for i := range lines {
@@ -42,8 +42,8 @@
 	return c
 }
 
-// cause says by how much the configuration was behind, if another daemon had a newer one in force when the request came,
-// or this one was out of touch with the store.
+// cause says how far the configuration was behind, if another daemon had a newer one in force when the request arrived
+// or the request's daemon was out of touch with the store.
 func (c *configTrace) cause() string {
 	switch {
 	case c.version == 0:
@@ -62,7 +62,7 @@
 	return ""
 }
 
-// outOfTouch tells whether the store's table of the configuration gave the daemon no answer at some moment between the
+// outOfTouch reports whether the store's configuration table did not respond to the daemon at some time between the
 // request and the newer configuration.
 func (c *configTrace) outOfTouch() bool {
 	out := false
--- a/fakes/doc.go
+++ b/fakes/doc.go
@@ -1,2 +1,2 @@
-// Package fakes holds small stand-ins for the platform and for targets, for tests, the demo and trials by hand.
+// Package fakes implements in-process fakes of the platform and of targets, for tests, the demo and manual trials.
 package fakes
--- a/fakes/host.go
+++ b/fakes/host.go
@@ -10,31 +10,32 @@
 )
 
 const (
-	// hostClaimPort is where a host listens for as long as its address is in use.
+	// hostClaimPort is the port that a host listens on while its address is reserved.
 	hostClaimPort = 19_999
-	// hostFirstPort and hostLastPort bound the ports that a host gives out. They lie below the range that the kernel hands out.
+	// hostFirstPort and hostLastPort bound the ports that a host allocates. They lie below the kernel's ephemeral port
+	// range.
 	hostFirstPort = 20_000
 	hostLastPort  = 32_000
-	// hostNetwork and hostPrefix are the first octet and the lowest second octet of the addresses of hosts.
+	// hostNetwork is the first octet of the host addresses, hostPrefix the lowest second octet.
 	hostNetwork, hostPrefix = 127, 64
-	// hostSpan is how many addresses there are.
+	// hostSpan is the number of host addresses.
 	hostSpan = 64 << 16
-	// hostsOfProcess is how far apart the first addresses of two processes with adjacent ids lie.
+	// hostsOfProcess is the distance between the first addresses of two processes with adjacent ids.
 	hostsOfProcess = 256
 )
 
-// hostsTried counts the addresses that this process has tried to claim.
+// hostsTried counts the addresses that this process has tried to reserve.
 var hostsTried atomic.Uint32
 
-// Host is a loopback address that its owner has for itself among all processes of the machine, so that deployments which run side by side
-// never reach each other.
+// Host is a loopback address reserved for its owner among all processes of the machine, so that deployments that run
+// concurrently never connect to each other.
 type Host struct {
 	ip    netip.Addr
 	claim net.Listener
 	ports atomic.Uint32
 }
 
-// ReserveHost returns an address that nobody else claims until it is closed; it fails with KindUnavailable.
+// ReserveHost reserves an address until Close is called. It fails with KindUnavailable if none is free.
 func ReserveHost() (*Host, error) {
 	for range hostSpan {
 		ip := hostAddress(uint32(os.Getpid())*hostsOfProcess + hostsTried.Add(1))
@@ -54,13 +55,14 @@
 	return netip.AddrFrom4([4]byte{hostNetwork, hostPrefix + byte(n>>16), byte(n >> 8), byte(n)})
 }
 
-// IP returns the address of the host.
+// IP returns the host's address.
 func (h *Host) IP() netip.Addr { return h.ip }
 
-// Close gives the address up.
+// Close releases the address.
 func (h *Host) Close() error { return h.claim.Close() }
 
-// FreePort returns the address with a port that it gives out once; it fails with KindUnavailable.
+// FreePort returns the host's address with a port that it returns only once. It fails with KindUnavailable if no port
+// is free.
 func (h *Host) FreePort() (netip.AddrPort, error) {
 	for port := h.ports.Add(1); port <= hostLastPort; port = h.ports.Add(1) {
 		address := netip.AddrPortFrom(h.ip, uint16(port))
--- a/fakes/host_test.go
+++ b/fakes/host_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestAHostIsClaimedOnce guards against two processes that take one address, and one that takes a port in use.
+// TestAHostIsClaimedOnce guards against two processes reserving the same address, and against allocating a port that is
+// already in use.
 func TestAHostIsClaimedOnce(t *testing.T) {
 	h, err := ReserveHost()
 	if err != nil {
--- a/fakes/platform.go
+++ b/fakes/platform.go
@@ -17,22 +17,23 @@
 	weightsPerSecond = 20
 	weightBurst      = 5
 	maxBody          = 8 << 20
-	// HeaderClient names the caller to the fake platform, so that a test can cut it off.
+	// HeaderClient identifies the caller to the fake platform, so that a test can make the store unreachable for one
+	// client.
 	HeaderClient = "Emberlead-Client"
 )
 
-// Platform serves a Store by HTTP, with a rate-limited weight store and switches for faults.
+// Platform serves a Store over HTTP, together with a rate-limited weight store and an endpoint for fault injection.
 type Platform struct {
 	store   *Store
 	weights *rate.Limiter
 }
 
-// NewPlatform returns the HTTP face of a store.
+// NewPlatform returns a Platform that serves store.
 func NewPlatform(store *Store) *Platform {
 	return &Platform{store: store, weights: rate.NewLimiter(weightsPerSecond, weightBurst)}
 }
 
-// Handler returns the platform's routes.
+// Handler returns the platform's HTTP routes.
 func (p *Platform) Handler() http.Handler {
 	e := echo.New()
 	e.HideBanner = true
@@ -52,7 +53,7 @@
 	return p.store.ClientFor(c.Request().Header.Get(HeaderClient))
 }
 
-// dropConnection closes the connection without an answer, as a lost answer looks to the client.
+// dropConnection closes the connection without a response, which the client sees as a lost response.
 func dropConnection(c echo.Context) error {
 	conn, _, err := http.NewResponseController(c.Response()).Hijack()
 	if err != nil {
@@ -139,7 +140,7 @@
 	return c.JSON(http.StatusOK, map[string]string{"model": c.Param("model")})
 }
 
-// PlatformFault is a change of the platform's faults.
+// PlatformFault is a request to change the injected faults of the platform.
 type PlatformFault struct {
 	Down        *bool           `json:"down,omitempty"`
 	LoseAnswers int             `json:"loseAnswers,omitempty"`
--- a/fakes/store.go
+++ b/fakes/store.go
@@ -10,7 +10,7 @@
 	"emberlead/proto"
 )
 
-// Store stands in for the platform's table service, object store and VM list.
+// Store is an in-memory fake of the platform's table service, object store and VM list.
 type Store struct {
 	mu      sync.Mutex
 	rows    map[string]proto.Row
@@ -36,52 +36,52 @@
 	}
 }
 
-// SetDown makes every call fail as unavailable, or work again.
+// SetDown sets whether every call fails with KindUnavailable.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
 }
 
-// LoseResponses makes the next n writes take effect without an answer.
+// LoseResponses makes the next n writes take effect and then fail as if their responses were lost.
 func (s *Store) LoseResponses(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loseNext = n
 }
 
-// SetUnreachable makes the store unreachable for one client, or reachable again.
+// SetUnreachable sets whether the store is unreachable for one client.
 func (s *Store) SetUnreachable(client string, cut bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cut[client] = cut
 }
 
-// Counts returns how many reads and writes were asked for.
+// Counts returns the numbers of read and write calls, including those that failed.
 func (s *Store) Counts() (reads, writes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reads, s.writes
 }
 
-// SetVM puts a VM on the list.
+// SetVM adds a VM to the list or replaces its entry.
 func (s *Store) SetVM(entry proto.VMEntry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.vms[entry.VM] = entry
 }
 
-// RemoveVM takes a VM off the list.
+// RemoveVM removes a VM from the list.
 func (s *Store) RemoveVM(vm proto.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.vms, vm)
 }
 
-// ClientFor returns the store as one client sees it, so that a test can cut that client off.
+// ClientFor returns a view of the store for one client, so that a test can make it unreachable for that client alone.
 func (s *Store) ClientFor(client string) *Client { return &Client{store: s, name: client} }
 
-// Client is the store as one client sees it.
+// Client is one client's view of the Store.
 type Client struct {
 	store *Store
 	name  string
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// Read returns a row; one that does not exist has version 0.
+// Read returns a row. A row that does not exist has version 0.
 func (c *Client) Read(_ context.Context, key string) (proto.Row, error) {
 	s := c.store
 	s.mu.Lock()
@@ -110,7 +110,7 @@
 	return row, nil
 }
 
-// List returns up to limit rows whose keys start with prefix and come after the given one.
+// List returns up to limit rows whose keys start with prefix and sort after the key after.
 func (c *Client) List(_ context.Context, prefix, after string, limit int) (proto.RowList, error) {
 	s := c.store
 	s.mu.Lock()
@@ -136,7 +136,8 @@
 	return list, nil
 }
 
-// Transact carries out a transaction; it fails with KindConflict, KindUnavailable or, if the answer is lost, KindUnknown.
+// Transact executes a transaction. It fails with KindConflict, with KindUnavailable or, if the response is lost, with
+// KindUnknown.
 func (c *Client) Transact(_ context.Context, tx proto.Transaction) error {
 	s := c.store
 	s.mu.Lock()
@@ -177,7 +178,7 @@
 	return nil
 }
 
-// Get returns the object with the hash; it fails with KindNotFound or KindUnavailable.
+// Get returns the object with the given hash. It fails with KindNotFound or KindUnavailable.
 func (c *Client) Get(_ context.Context, hash string) ([]byte, error) {
 	s := c.store
 	s.mu.Lock()
--- a/fakes/target.go
+++ b/fakes/target.go
@@ -12,17 +12,17 @@
 	"emberlead/proto"
 )
 
-// Profile is how a kind of target behaves.
+// Profile describes the performance of a kind of target.
 type Profile struct {
 	Slots    int
-	Base     time.Duration // time of one run or of a prompt without cached prefix
+	Base     time.Duration // duration of a run, or of the prefill of a prompt without a cached prefix
 	PerToken time.Duration
-	Crowd    float64 // part of the base time that each further running request adds
-	Cache    int     // prefixes that the cache holds
-	Most     int     // requests that may wait
+	Crowd    float64 // fraction of the base time that each further running request adds
+	Cache    int     // maximum number of prefixes in the cache
+	Most     int     // maximum number of waiting requests
 }
 
-// ProfileOf returns the behaviour of a kind of pool.
+// ProfileOf returns the profile for a kind of pool.
 func ProfileOf(kind proto.PoolKind) Profile {
 	switch kind {
 	case proto.PoolEncoder:
@@ -50,7 +50,7 @@
 	turn     chan struct{}
 }
 
-// Target stands in for an encoder, retriever, reranker, engine or plain service.
+// Target is a fake encoder, retriever, reranker, engine or plain service.
 type Target struct {
 	mu      sync.Mutex
 	spec    proto.Target
@@ -64,7 +64,7 @@
 	events  []proto.CacheEvent
 	count   uint64
 	cancels map[string]context.CancelFunc
-	runs    map[string]int // by stage and nonce
+	runs    map[string]int // by "service/stage nonce"
 	started int
 	epochs  map[string]uint64
 	models  []string
@@ -76,7 +76,7 @@
 	hanging bool
 }
 
-// NewTarget returns a stand-in for a target of a pool.
+// NewTarget returns a fake of a target of a pool.
 func NewTarget(spec proto.Target, pool *proto.Pool, seed uint64) *Target {
 	profile := ProfileOf(pool.Kind)
 	if spec.Slots > 0 {
@@ -95,14 +95,14 @@
 	}
 }
 
-// TargetFault is a change of a target's faults.
+// TargetFault is the set of faults injected into a target.
 type TargetFault struct {
 	Slow    float64 `json:"slow,omitempty"`
 	Failing float64 `json:"failing,omitempty"`
 	Hanging bool    `json:"hanging,omitempty"`
 }
 
-// SetFault replaces the target's faults; a zero value ends them.
+// SetFault replaces the target's injected faults. The zero value clears them.
 func (t *Target) SetFault(f TargetFault) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -111,7 +111,7 @@
 	t.hanging = f.Hanging
 }
 
-// Runs returns how often each stage ran for each nonce, as "stage nonce".
+// Runs returns the number of runs of each stage for each nonce, keyed by "service/stage nonce".
 func (t *Target) Runs() map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -122,14 +122,14 @@
 	return copied
 }
 
-// Running returns the requests in progress, waiting ones included.
+// Running returns the number of requests in progress, including waiting ones.
 func (t *Target) Running() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.running + len(t.waiting)
 }
 
-// Load returns the target's load now.
+// Load returns the target's load at now.
 func (t *Target) Load(now time.Time) proto.Load {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -139,7 +139,7 @@
 	}
 }
 
-// admit waits for a slot in order of priority; it returns false if too many wait or the caller gives up.
+// admit waits for a slot in order of priority. It returns false if the queue is full or ctx ends first.
 func (t *Target) admit(ctx context.Context, priority int) bool {
 	t.mu.Lock()
 	if t.running < t.profile.Slots && len(t.waiting) == 0 {
@@ -195,7 +195,7 @@
 	t.running--
 }
 
-// stretch is the factor that crowding and faults put on a time.
+// stretch returns the factor by which concurrent requests and faults lengthen a duration.
 func (t *Target) stretch() float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -209,7 +209,7 @@
 	return t.random.Float64() < t.failing, t.hanging
 }
 
-// prefill looks a prefix up in the cache and takes it in; it returns whether it was there.
+// prefill looks a prefix up in the cache, adds it if it is missing, and reports whether it was cached.
 func (t *Target) prefill(prefix string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -237,7 +237,7 @@
 	}
 }
 
-// CacheEvents returns the kept events after a sequence number; older ones are gone.
+// CacheEvents returns the retained events with a sequence number above after; older events have been discarded.
 func (t *Target) CacheEvents(after uint64) []proto.CacheEvent {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -250,13 +250,13 @@
 	return events
 }
 
-// nonced is the part of an input that the fakes carry from stage to stage.
+// nonced is the part of an input that the fakes pass on from stage to stage.
 type nonced struct {
 	Nonce string   `json:"nonce"`
 	Trail []string `json:"trail,omitempty"`
 }
 
-// Text returns the text that an engine generates for a nonce, from one token to another.
+// Text returns the text that an engine generates for a nonce for the tokens from (inclusive) to to (exclusive).
 func Text(nonce string, from, to int) string {
 	text := ""
 	for i := from; i < to; i++ {
@@ -283,7 +283,7 @@
 	}
 }
 
-// run is one attempt after its admission; emit is nil unless the answer is streamed.
+// run executes an admitted attempt. emit is nil unless the answer is streamed.
 func (t *Target) run(ctx context.Context, req *proto.RunRequest, emit func(proto.RunChunk) bool) (proto.RunAnswer, bool) {
 	var in nonced
 	_ = json.Unmarshal(req.Input, &in)
@@ -330,7 +330,7 @@
 	return true
 }
 
-// Started returns how many runs the target has started.
+// Started returns the number of runs that the target has started.
 func (t *Target) Started() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/fakes/targethttp.go
+++ b/fakes/targethttp.go
@@ -13,10 +13,10 @@
 	"emberlead/proto"
 )
 
-// loadLag is how old the load is that a target reports.
+// loadLag is the age beyond which a target replaces the load that it reports.
 const loadLag = 200 * time.Millisecond
 
-// Handler returns the routes of the target.
+// Handler returns the target's HTTP routes.
 func (t *Target) Handler() http.Handler {
 	e := echo.New()
 	e.HideBanner = true
@@ -119,7 +119,7 @@
 	return c.NoContent(http.StatusNoContent)
 }
 
-// serveLoad answers with the load of a moment ago, since real targets report late.
+// serveLoad responds with a load recorded earlier, since real targets report with a delay.
 func (t *Target) serveLoad(c echo.Context) error {
 	now := time.Now()
 	t.mu.Lock()
@@ -156,7 +156,7 @@
 	return c.JSON(http.StatusOK, proto.ExportAnswer{Handle: t.spec.Name + "/" + attempt})
 }
 
-// ApplyOrder takes an order; a target that checks refuses an epoch lower than one seen for the lease.
+// ApplyOrder executes an order. A target that checks orders rejects an epoch lower than the highest one seen for the lease.
 func (t *Target) ApplyOrder(order proto.Order) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/fakes/world.go
+++ b/fakes/world.go
@@ -18,7 +18,7 @@
 
 const headerWait = 5 * time.Second
 
-// Serve starts to serve a handler on an address; port 0 takes any free one. It fails with KindUnavailable.
+// Serve starts serving a handler on an address; port 0 picks a free one. It fails with KindUnavailable.
 func Serve(address netip.AddrPort, handler http.Handler) (*Server, error) {
 	l, err := net.Listen("tcp", address.String())
 	if err != nil {
@@ -32,17 +32,18 @@
 	return s, nil
 }
 
-// Close ends the server and its connections at once.
+// Close stops the server and closes its connections immediately.
 func (s *Server) Close() { _ = s.server.Close() }
 
-// Targets are the stand-ins for all targets of a file.
+// Targets are the running fakes of all targets of a configuration file.
 type Targets struct {
 	File    *proto.File
 	Targets map[string]*Target
 	servers map[string]*Server
 }
 
-// StartTargets starts a stand-in for every target of a file; with anyPort set the file's addresses are replaced by free ones.
+// StartTargets starts a fake for every target of a file. With anyPort the addresses in the file are replaced by ones
+// with free ports.
 func StartTargets(file *proto.File, seed uint64, anyPort bool) (*Targets, error) {
 	all := &Targets{File: file, Targets: map[string]*Target{}, servers: map[string]*Server{}}
 	for i := range file.Pools {
@@ -66,7 +67,7 @@
 	return all, nil
 }
 
-// Body returns the file with the addresses that the stand-ins listen on.
+// Body returns the file as JSON, with the addresses that the fakes listen on.
 func (t *Targets) Body() ([]byte, error) {
 	body, err := json.MarshalIndent(t.File, "", "  ")
 	if err != nil {
@@ -75,14 +76,14 @@
 	return body, nil
 }
 
-// Close ends all stand-ins.
+// Close stops all fakes.
 func (t *Targets) Close() {
 	for _, server := range t.servers {
 		server.Close()
 	}
 }
 
-// Runs returns how often each stage ran for each nonce over all targets, as "service/stage nonce".
+// Runs returns the number of runs of each stage for each nonce over all targets, keyed by "service/stage nonce".
 func (t *Targets) Runs() map[string]int {
 	sum := map[string]int{}
 	for _, target := range t.Targets {
--- a/tools/capacity.go
+++ b/tools/capacity.go
@@ -1,4 +1,4 @@
-// Command tools works out docs/CAPACITY.md from the output of the benchmarks.
+// Command tools computes the tables of docs/CAPACITY.md from the output of the benchmarks.
 package main
 
 import (
@@ -13,13 +13,13 @@
 	"strings"
 )
 
-// point is one size and what was measured there.
+// point is a size and the value measured at that size.
 type point struct{ x, y float64 }
 
-// series holds the points of each benchmark and unit.
+// series maps a benchmark and unit to the measured points.
 type series map[string][]point
 
-// slope is a least-squares line and the largest relative distance of a point from it.
+// slope is a weighted least-squares line, with the largest relative distance of a point from it.
 type slope struct {
 	base, per, residual float64
 	points              int
@@ -54,7 +54,7 @@
 	return all, scanner.Err()
 }
 
-// fit weighs points by 1/y, so that small sizes count as much as large ones.
+// fit weights each point by 1/y², so that it minimizes relative errors and small sizes count as much as large ones.
 func fit(points []point) slope {
 	var sw, sx, sy, sxx, sxy float64
 	for _, p := range points {
@@ -78,7 +78,7 @@
 
 func (s slope) at(x float64) float64 { return s.base + s.per*x }
 
-// size is what the system has to carry in about two years.
+// size is the load that the system is expected to carry in about two years.
 var size = struct {
 	daemons, requests, tokens, workspaces, changes, runners, pools, stages, keyed, subset, events float64
 	replicas, rosterMembers, retention                                                            float64
--- a/tools/tables.go
+++ b/tools/tables.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// Overheads that are counted on top of what is encoded: WebSocket, TCP and IP headers of a small message.
+// frameBytes is the overhead of a small message on top of its encoded size: WebSocket, TCP and IP headers.
 const frameBytes = 6 + 40
 
 const (
-	heartbeatsPerSecond = 0.5 // one a second today
+	heartbeatsPerSecond = 0.5 // currently one per second
 	ticksPerSecond      = 100.0
-	loadInterval        = 8.0 // seconds at the target's size; half a second today
-	usageInterval       = 4.0 // seconds at the target's size; half a second today
+	loadInterval        = 8.0 // seconds at the target size; currently half a second
+	usageInterval       = 4.0 // seconds at the target size; currently half a second
 )
 
 func tables(all series) string {
@@ -46,10 +46,10 @@
 
 type cost struct {
 	role, state, messages, from, mechanism string
-	cpu, memory, bytes                     float64 // nanoseconds a second, bytes, bytes a second both ways
+	cpu, memory, bytes                     float64 // nanoseconds per second; bytes; bytes per second in both directions
 }
 
-// control works out what one daemon spends besides relaying requests.
+// control computes the resources that one daemon uses for everything except relaying requests.
 func control(f map[string]slope, last, one map[string]float64) []cost {
 	links := last["Members links"]
 	beat := f["Members beatBytes"].base + frameBytes
--- a/trial/bound.go
+++ b/trial/bound.go
@@ -7,7 +7,7 @@
 	"emberlead/proto"
 )
 
-// work is the slot time that a request of a service takes at a pool whose slots are all taken.
+// work returns the slot time that a request of a service takes at a pool with all slots occupied.
 func work(service *proto.Service, pool *proto.Pool, hit bool) time.Duration {
 	sum := time.Duration(0)
 	for i := range service.Stages {
@@ -19,7 +19,8 @@
 	return sum
 }
 
-// capacity is the requests a second of the even mix that the tightest pool can do without cache hits.
+// capacity returns the rate, in requests per second of an even mix of services, that the tightest pool sustains without
+// cache hits.
 func capacity(file *proto.File) float64 {
 	least := 0.0
 	for i := range file.Pools {
@@ -40,8 +41,9 @@
 	return least
 }
 
-// bound is at most how many of the requests asked for any scheduler could have delivered, taking each pool by
-// itself: it knows all arrivals, has every prefix cached, and serves the cheapest requests of a pool first.
+// bound returns an upper bound on the number of requests that any scheduler could have delivered. It considers each
+// pool by itself and assumes a scheduler that knows all arrivals, has every prefix cached, and serves the cheapest
+// requests of a pool first.
 func bound(file *proto.File, asked map[string]int, length time.Duration) int {
 	total := 0
 	for _, n := range asked {
--- a/trial/cases.go
+++ b/trial/cases.go
@@ -8,30 +8,30 @@
 	"emberlead/proto"
 )
 
-// Case is a situation that policies are compared in.
+// Case is a scenario in which policies are compared.
 type Case struct {
 	Name string
-	// Use is the part of the tightest pool's capacity that is asked for.
+	// Use is the offered load as a fraction of the tightest pool's capacity.
 	Use float64
-	// Lag is how late load reports are.
+	// Lag is the delay of load reports.
 	Lag time.Duration
-	// Burst multiplies the requests of one service in the middle of the run.
+	// Burst multiplies the request rate of one service, by name, in the middle of the run.
 	Burst map[string]float64
-	// Flood multiplies the requests of the first workspace in the middle of the run.
+	// Flood multiplies the request rate of the first workspace in the middle of the run.
 	Flood float64
-	// Slow, Fail and Gone are faults of a pool's targets, or of a zone, in the middle of the run.
+	// Slow, Fail and Gone inject faults into a pool's targets, or into a zone, in the middle of the run.
 	Slow float64
 	Fail bool
 	Gone bool
 	// Uneven sends half of the requests to the first daemon.
 	Uneven bool
-	// Cold empties all caches in the middle of the run.
+	// Cold clears all caches in the middle of the run.
 	Cold bool
 }
 
 const defaultLag = 200 * time.Millisecond
 
-// Cases returns the situations for a deployment.
+// Cases returns the scenarios for a deployment.
 func Cases(deployment string) []*Case {
 	burst := &Case{Name: "burst of match-end summaries", Use: 0.6, Burst: map[string]float64{"match-summary": 6}}
 	if deployment == "institute" {
@@ -60,7 +60,7 @@
 	return cases
 }
 
-// The middle of the run, in which faults and bursts last.
+// The middle of the run, during which faults and bursts are active, as offsets from the end of the warm-up.
 const (
 	middleFrom = 4 * time.Second
 	middleTo   = 12 * time.Second
@@ -83,12 +83,14 @@
 	return rate * (1 + extra)
 }
 
-// workspaceShare is the part of the requests that the i-th of n workspaces sends: the first ones are large.
+// workspaceShare returns the fraction of the requests that the i-th of n workspaces sends; the first ones send the
+// most.
 func workspaceShare(n, i int) float64 {
 	return float64(2*(n-i)-1) / float64(n*n)
 }
 
-// draw picks service and workspace so that a burst or flood adds to what the others send, and takes nothing from them.
+// draw picks a service and a workspace at random. A burst or flood adds to the traffic of the others and displaces none
+// of it.
 func (c *Case) draw(s *sim, source *rand.Rand, passed time.Duration) (*proto.Service, string) {
 	services, workspaces := s.file.Services, s.file.Workspaces
 	service := &services[source.IntN(len(services))]
@@ -122,7 +124,7 @@
 	return entry
 }
 
-// begin arms the faults of the counted part.
+// begin schedules the faults of the measured part of the run.
 func (c *Case) begin(s *sim) {
 	s.after(middleFrom, func() { c.fault(s, true) })
 	s.after(middleTo, func() { c.fault(s, false) })
@@ -154,7 +156,7 @@
 	}
 }
 
-// Variant is a policy under comparison.
+// Variant is one of the policies under comparison.
 type Variant struct {
 	Name    string
 	Options func() []core.Option
@@ -168,14 +170,14 @@
 	}}
 }
 
-// plain turns off what a simple balancer does not have.
+// plain disables the features that a simple load balancer lacks.
 func plain(t *core.Tuning) {
 	t.Admission, t.FairQueueing, t.Limits = false, false, false
 	t.HedgeRatio = 0
 	t.EjectAfter = 0
 }
 
-// Variants returns the policy that daemons run with, and the baselines.
+// Variants returns the policy that daemons use, followed by the baselines.
 func Variants() []Variant {
 	same := func(*core.Tuning) {}
 	return []Variant{
--- a/trial/doc.go
+++ b/trial/doc.go
@@ -1,5 +1,6 @@
-// Package trial compares policies: it drives real engines through small models of targets under a virtual clock.
+// Package trial compares scheduling policies: it runs real engines against simple models of targets under a virtual
+// clock.
 //
-// There is no model of a network and none of coordination. Every variant sees the
-// same arrivals, and the seeds are fixed, so that a difference is the policy's.
+// The model includes neither the network nor coordination between daemons. Every variant sees the same arrivals, and
+// the seeds are fixed, so a difference between results is due to the policy.
 package trial
--- a/trial/result.go
+++ b/trial/result.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// WorkspaceResult counts how the requests of a workspace ended.
+// WorkspaceResult counts the outcomes of a workspace's requests.
 type WorkspaceResult struct {
 	Asked, OnTime, Late, NotRun, Failed int
 }
 
-// StageResult is the cost of a stage.
+// StageResult is the slot time spent on a stage.
 type StageResult struct {
 	Busy   time.Duration
 	Wasted time.Duration
 }
 
-// Result is what one run came to, or several runs together.
+// Result is the outcome of one run, or of several runs combined.
 type Result struct {
 	Workspaces    map[string]*WorkspaceResult
 	Stages        map[string]*StageResult
@@ -50,7 +50,8 @@
 	}
 }
 
-// Attainment returns the worst workspace's, that of all requests together, and the number asked.
+// Attainment returns the lowest attainment of any workspace, that of all requests together, and the number of requests
+// sent.
 func (r *Result) Attainment() (worst, mean float64, asked int) {
 	worst = 1
 	onTime := 0
@@ -64,7 +65,7 @@
 	return worst, float64(onTime) / float64(max(1, asked)), asked
 }
 
-// OnTime returns the number of requests delivered in time.
+// OnTime returns the number of requests delivered before their deadlines.
 func (r *Result) OnTime() int {
 	n := 0
 	for _, w := range r.Workspaces {
@@ -73,7 +74,7 @@
 	return n
 }
 
-// Cost returns the busy time of all stages, and the part of it that was wasted.
+// Cost returns the busy time of all stages and the part of it that was wasted.
 func (r *Result) Cost() (busy, wasted time.Duration) {
 	for _, st := range r.Stages {
 		busy += st.Busy
@@ -82,7 +83,7 @@
 	return busy, wasted
 }
 
-// add takes in another run; quantiles are averaged over the runs.
+// add merges another run into r; quantiles are averaged over the runs.
 func (r *Result) add(other Result) {
 	for _, name := range slices.Sorted(maps.Keys(other.Workspaces)) {
 		w, o := r.workspace(name), other.Workspaces[name]
--- a/trial/run.go
+++ b/trial/run.go
@@ -12,12 +12,12 @@
 	"emberlead/proto"
 )
 
-// Seeds are those of a comparison.
+// Seeds are the seeds that a comparison uses.
 var Seeds = []uint64{1, 2, 3}
 
 const entries = 4
 
-// LoadExample returns an example deployment; it fails with proto.KindInvalid.
+// LoadExample returns an example deployment. It fails with proto.KindNotFound or proto.KindInvalid.
 func LoadExample(name string) (*proto.File, error) {
 	data, err := examples.Files.ReadFile(name + ".json")
 	if err != nil {
@@ -30,7 +30,7 @@
 	return file, nil
 }
 
-// Run plays one case with one variant over all seeds.
+// Run simulates one case with one variant for every seed and returns the combined result.
 func Run(file *proto.File, c *Case, v Variant, seeds []uint64) (Result, Bound) {
 	total := Result{Workspaces: map[string]*WorkspaceResult{}}
 	b := Bound{}
@@ -42,7 +42,7 @@
 	return total, b
 }
 
-// Bound is what an omniscient scheduler could have delivered at most.
+// Bound is the number of requests that an omniscient scheduler could have delivered at most.
 type Bound struct {
 	Asked int
 	Most  int
@@ -66,8 +66,8 @@
 	bound  Bound
 }
 
-// Compare plays every case of a deployment with every variant and writes a table for each case.
-// If only is not empty, the other cases are left out.
+// Compare simulates every case of a deployment with every variant and writes a table for each case. If only is not
+// empty, the cases that it does not name are skipped.
 func Compare(w io.Writer, deployment string, seeds []uint64, only []string) error {
 	file, err := LoadExample(deployment)
 	if err != nil {
--- a/trial/sim.go
+++ b/trial/sim.go
@@ -24,14 +24,14 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// event is something that happens at a virtual instant.
+// event is an action scheduled at an instant of virtual time.
 type event struct {
 	at       time.Time
 	sequence int
 	do       func()
 }
 
-// asked is one request as its caller keeps it.
+// asked is one request, as recorded by its caller.
 type asked struct {
 	workspace string
 	service   *proto.Service
@@ -40,7 +40,7 @@
 	ended     bool
 }
 
-// sim is one run of one variant.
+// sim is the simulation of one variant in one case with one seed.
 type sim struct {
 	scenario *Case
 	file     *proto.File
@@ -118,7 +118,8 @@
 	s.after(d, again)
 }
 
-// run plays a warm-up, in which the estimates are learnt, then the counted part, then lets the last requests end.
+// run simulates a warm-up, in which the engines learn their estimates, then the measured part, and then lets the
+// remaining requests finish.
 func (s *sim) run() Result {
 	for i := range s.engines {
 		s.every(tickEvery, func() { s.feed(i, core.Tick{}) })
@@ -142,7 +143,7 @@
 	return s.finish()
 }
 
-// arrive draws the next request; all draws come from one source that no variant touches.
+// arrive schedules the arrivals; all random draws come from one source that no variant uses.
 func (s *sim) arrive() {
 	source := rand.New(rand.NewPCG(s.random.Uint64(), 9))
 	var next func()
@@ -173,7 +174,7 @@
 	})
 }
 
-// feed hands an event to an engine and carries out its actions.
+// feed passes an event to an engine and executes the resulting actions.
 func (s *sim) feed(entry int, ev core.Event) {
 	for _, action := range s.engines[entry].Handle(s.now, ev) {
 		switch a := action.(type) {
@@ -242,7 +243,7 @@
 	}
 }
 
-// release frees the slot and starts the next job that still matters.
+// release frees the slot of a job and starts queued jobs that have not been cancelled.
 func (s *sim) release(t *target, j *job) {
 	if !j.running {
 		return
@@ -281,7 +282,7 @@
 	}
 }
 
-// report sends every target's load to every engine, as late as the case says.
+// report sends every target's load to every engine with the delay of the case.
 func (s *sim) report() {
 	for _, t := range s.order {
 		if t.dead {
--- a/trial/target.go
+++ b/trial/target.go
@@ -9,7 +9,7 @@
 	"emberlead/proto"
 )
 
-// profile is how a kind of target behaves in the model.
+// profile describes the performance of a kind of target in the model.
 type profile struct {
 	slots    int
 	base     time.Duration
@@ -39,7 +39,7 @@
 	defaultTokens = 32
 )
 
-// full is the time of a run when all slots are taken.
+// full returns the duration of a run when all slots are occupied.
 func (p profile) full(tokens int, hit bool) time.Duration {
 	return time.Duration(float64(p.idle(tokens, hit)) * (1 + p.crowd*float64(p.slots-1)))
 }
@@ -62,7 +62,8 @@
 	hit     bool
 }
 
-// target models slots, a queue ordered by priority, crowding, a prefix cache and faults.
+// target models a target with slots, a queue ordered by priority, slowdown by concurrent jobs, a prefix cache, and
+// faults.
 type target struct {
 	spec    proto.Target
 	pool    string
@@ -88,7 +89,7 @@
 	return stage.MaxTokens
 }
 
-// lookUp takes a prefix into the cache and returns whether it was there.
+// lookUp reports whether a prefix is cached, and adds it to the cache or marks it as most recently used.
 func (t *target) lookUp(prefix string) bool {
 	if prefix == "" || t.profile.cache == 0 {
 		return false
@@ -107,7 +108,7 @@
 	return i >= 0
 }
 
-// note keeps a cache event for the next report; one in ten is lost.
+// note records a cache event for the next report. One in ten events is dropped.
 func (t *target) note(prefix string, present bool) {
 	if t.random.IntN(10) > 0 {
 		t.events = append(t.events, proto.CacheEvent{Target: t.spec.Name, Prefix: prefix, Present: present})
--- a/trial/trial_test.go
+++ b/trial/trial_test.go
@@ -16,7 +16,7 @@
 	return nil
 }
 
-// A trial comes out the same each time, so a difference between two policies is theirs.
+// TestTrialsRepeat checks that a simulation is deterministic, so that a difference between two policies is due to them.
 func TestTrialsRepeat(t *testing.T) {
 	file, err := LoadExample("venture")
 	if err != nil {
@@ -30,7 +30,8 @@
 	}
 }
 
-// Virtual time and fixed seeds make these figures the same on any machine.
+// TestPolicyKeepsWorkspacesWhole checks attainment in absolute figures; virtual time and fixed seeds make them the same
+// on any machine.
 func TestPolicyKeepsWorkspacesWhole(t *testing.T) {
 	for _, name := range []string{"a third of a pool failing", "a zone gone"} {
 		file, err := LoadExample("institute")
@@ -48,7 +49,8 @@
 	}
 }
 
-// Under overload what is refused is refused before it runs, and more is delivered than without admission.
+// TestAdmissionUnderOverload checks that overload is refused before requests run, and that more requests are delivered
+// in time than without admission control.
 func TestAdmissionUnderOverload(t *testing.T) {
 	file, err := LoadExample("venture")
 	if err != nil {
