--- a/tools/capacity.go
+++ b/tools/capacity.go
@@ -19,15 +19,15 @@
 // series maps a benchmark and unit to the measured points.
 type series map[string][]point
 
-// slope is a weighted least-squares line, with the largest relative distance of a point from it.
-type slope struct {
-	base, per, residual float64
-	points              int
+// linearFit is a weighted least-squares line, with the largest relative distance of a point from it.
+type linearFit struct {
+	intercept, slope, residual float64
+	points                     int
 }
 
 var benchLine = regexp.MustCompile(`^Benchmark(\w+)/\w+=(\d+)-\d+\s+\d+\s+(.*)$`)
 
-func read(path string) (series, error) {
+func parseBenchmarks(path string) (series, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -54,8 +54,8 @@
 	return all, scanner.Err()
 }
 
-// fit weights each point by 1/y², so that it minimizes relative errors and small sizes count as much as large ones.
-func fit(points []point) slope {
+// fitLine weights each point by 1/y², so that it minimizes relative errors and small sizes count as much as large ones.
+func fitLine(points []point) linearFit {
 	var sw, sx, sy, sxx, sxy float64
 	for _, p := range points {
 		w := 1 / math.Max(1e-9, p.y*p.y)
@@ -65,21 +65,21 @@
 		sxx += w * p.x * p.x
 		sxy += w * p.x * p.y
 	}
-	s := slope{points: len(points)}
+	s := linearFit{points: len(points)}
 	if d := sw*sxx - sx*sx; d > 0 && len(points) > 1 {
-		s.per = (sw*sxy - sx*sy) / d
+		s.slope = (sw*sxy - sx*sy) / d
 	}
-	s.base = (sy - s.per*sx) / sw
+	s.intercept = (sy - s.slope*sx) / sw
 	for _, p := range points {
-		s.residual = math.Max(s.residual, math.Abs(s.base+s.per*p.x-p.y)/math.Max(1e-9, p.y))
+		s.residual = math.Max(s.residual, math.Abs(s.intercept+s.slope*p.x-p.y)/math.Max(1e-9, p.y))
 	}
 	return s
 }
 
-func (s slope) at(x float64) float64 { return s.base + s.per*x }
+func (s linearFit) valueAt(x float64) float64 { return s.intercept + s.slope*x }
 
-// size is the load that the system is expected to carry in about two years.
-var size = struct {
+// targetLoad is the load that the system is expected to carry in about two years.
+var targetLoad = struct {
 	daemons, requests, tokens, workspaces, changes, runners, pools, stages, keyed, subset, events float64
 	replicas, rosterMembers, retention                                                            float64
 }{
@@ -87,9 +87,9 @@
 	keyed: 0.1, subset: 48, events: 840, replicas: 3, rosterMembers: 256, retention: 1800,
 }
 
-func pct(nsPerSecond float64) string { return fmt.Sprintf("%.3f%%", nsPerSecond/1e7) }
+func formatCorePercent(nsPerSecond float64) string { return fmt.Sprintf("%.3f%%", nsPerSecond/1e7) }
 
-func bytesOf(v float64) string {
+func formatBytes(v float64) string {
 	switch {
 	case v >= 1<<20:
 		return fmt.Sprintf("%.1f MB", v/(1<<20))
@@ -106,16 +106,16 @@
 	check := flag.Bool("check", false, "only check that the page is well formed")
 	flag.Parse()
 	if *check {
-		if err := wellFormed(*page); err != nil {
+		if err := checkPage(*page); err != nil {
 			log.Fatal(err)
 		}
 		return
 	}
-	all, err := read(*bench)
+	all, err := parseBenchmarks(*bench)
 	if err != nil {
 		log.Fatal(err)
 	}
-	if err := rewrite(*page, tables(all)); err != nil {
+	if err := rewriteGenerated(*page, tables(all)); err != nil {
 		log.Fatal(err)
 	}
 }
@@ -125,7 +125,7 @@
 	endMark   = "<!-- generated: end -->"
 )
 
-func rewrite(path, generated string) error {
+func rewriteGenerated(path, generated string) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -139,7 +139,7 @@
 	return os.WriteFile(path, []byte(text), 0o644)
 }
 
-func wellFormed(path string) error {
+func checkPage(path string) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return err
