--- a/entry/helpers_test.go
+++ b/entry/helpers_test.go
@@ -23,7 +23,7 @@
 			return
 		}
 	}
-	fmt.Printf("%q never came; last output: %s\n", text, out)
+	fmt.Printf("%q did not appear in the output; last output: %s\n", text, out)
 	os.Exit(1)
 }
 
--- a/entry/linkkeys_test.go
+++ b/entry/linkkeys_test.go
@@ -37,7 +37,7 @@
 	}
 	mustRun("certificate", dir, "vm-1")
 	if changed, err := credentials.Reload(); !changed || err != nil {
-		t.Errorf("after a renewal: changed %t, error %v", changed, err)
+		t.Errorf("after renewing the certificate: changed %t, error %v", changed, err)
 	}
 	mustRun("certificate", dir, "vm-2")
 	mustRun("revoke", dir, file("vm-2.pem"))
@@ -72,10 +72,10 @@
 		args     []string
 		want     proto.Kind
 	}{
-		{"none", nil, ""},
-		{"a certificate without its key", []string{"--link-certificate", "a.pem"}, proto.KindInvalid},
-		{"a list without certificates", []string{"--link-revoked", "a.pem"}, proto.KindInvalid},
-		{"files that are missing", []string{"--link-certificate", "no.pem", "--link-certificate-key", "no.key", "--link-authority", "no.pem"}, proto.KindInvalid},
+		{"no certificates", nil, ""},
+		{"certificate without key", []string{"--link-certificate", "a.pem"}, proto.KindInvalid},
+		{"revocation list without certificates", []string{"--link-revoked", "a.pem"}, proto.KindInvalid},
+		{"missing files", []string{"--link-certificate", "no.pem", "--link-certificate-key", "no.key", "--link-authority", "no.pem"}, proto.KindInvalid},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
--- a/entry/losses_test.go
+++ b/entry/losses_test.go
@@ -78,9 +78,9 @@
 		want string
 	}{
 		{"no file", nil, "at least one file"},
-		{"a worth without both values", []string{"--worth", "1s=4", path}, "is not of the form"},
-		{"a worth that is no number", []string{"--worth", "1s=4/x", path}, `"x" is not a number`},
-		{"a file that is not there", []string{filepath.Join(t.TempDir(), "none")}, "no such file"},
+		{"worth with one value", []string{"--worth", "1s=4", path}, "is not of the form"},
+		{"worth that is not a number", []string{"--worth", "1s=4/x", path}, `"x" is not a number`},
+		{"missing file", []string{filepath.Join(t.TempDir(), "none")}, "no such file"},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -102,7 +102,7 @@
 		sum += l.worth
 	}
 	if math.Abs(sum-r.lost) > 1e-9 || r.lost != 8 || r.total != 9 {
-		t.Errorf("lost %v of %v, the reasons sum up to %v", r.lost, r.total, sum)
+		t.Errorf("lost %v of %v, the sum over the reasons is %v", r.lost, r.total, sum)
 	}
 }
 
@@ -121,9 +121,9 @@
 	scenarios := []struct {
 		name, sized, want string
 	}{
-		{"all alike", "0", "lost 10.0 of 20.0 owed"},
-		{"by size alone", "1", "lost 15.0 of 20.0 owed"},
-		{"by size in part", "0.5", "lost 12.5 of 20.0 owed"},
+		{"size ignored", "0", "lost 10.0 of 20.0 owed"},
+		{"worth proportional to size", "1", "lost 15.0 of 20.0 owed"},
+		{"worth partly proportional to size", "0.5", "lost 12.5 of 20.0 owed"},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
--- a/entry/trace_test.go
+++ b/entry/trace_test.go
@@ -66,25 +66,25 @@
 		code int
 		want []string // in this order
 	}{
-		{"a request that ended targets", []string{"r1", crashes}, ExitSuccess, []string{"is not run, since", "Refused as not run: targets ended that ran it. The ends: t-1 (seen by vm-1 3.2s before), t-2 (seen by vm-2 1.1s before)."}},
+		{"refused after target crashes", []string{"r1", crashes}, ExitSuccess, []string{"is not run, since", "Refused as not run: targets ended that ran it. The ends: t-1 (seen by vm-1 3.2s before), t-2 (seen by vm-2 1.1s before)."}},
 		{"refused", []string{"r1", a, b}, ExitSuccess, []string{"target leaving", "vm-2", "pieces refused", "attempt failed", "request refused", "Refused as not run: no target is left."}},
 		{"delivered", []string{"r2", a}, ExitSuccess, []string{"The whole answer was delivered by target i-2."}},
-		{"its daemon died", []string{"r3", a}, ExitSuccess, []string{"request accepted", "process died before the request ended: vm-1 started again at 09:00:09.000"}},
-		{"held up before it was refused", []string{"r5", a}, ExitSuccess, []string{"Refused as not run: the queue is long. Of its 5.1s most went into the queue of stage 1: 4.7s."}},
-		{"not ended yet", []string{"r4", a}, ExitSuccess, []string{"The log does not say how the request ended"}},
-		{"an older configuration", []string{"r1", older, newer}, ExitSuccess, []string{
+		{"daemon died", []string{"r3", a}, ExitSuccess, []string{"request accepted", "process died before the request ended: vm-1 started again at 09:00:09.000"}},
+		{"delayed before refusal", []string{"r5", a}, ExitSuccess, []string{"Refused as not run: the queue is long. Of its 5.1s most went into the queue of stage 1: 4.7s."}},
+		{"no outcome logged", []string{"r4", a}, ExitSuccess, []string{"The log does not say how the request ended"}},
+		{"older configuration", []string{"r1", older, newer}, ExitSuccess, []string{
 			"state of the store not confirmed age=2.1s", "request refused",
 			"Ended with status 404: no route. It was answered by configuration 3, and vm-2 had 8 in force since 3s before. vm-1 had a newer one 1s later.",
 		}},
-		{"an older configuration everywhere", []string{"r1", older}, ExitSuccess, []string{
+		{"older configuration while the store was lost", []string{"r1", older}, ExitSuccess, []string{
 			"It was answered by configuration 3 while vm-1 was out of touch with the store, and a newer one was in force there 1s later.",
 		}},
-		{"the store was lost before and after", []string{"r1", storeLost}, ExitSuccess, []string{"Ended with status 404: no route.\n"}},
-		{"the newest configuration", []string{"r2", older, newer}, ExitSuccess, []string{"Ended with status 404: no route.\n"}},
+		{"store lost before and after the request", []string{"r1", storeLost}, ExitSuccess, []string{"Ended with status 404: no route.\n"}},
+		{"newest configuration", []string{"r2", older, newer}, ExitSuccess, []string{"Ended with status 404: no route.\n"}},
 		{"unknown request", []string{"r9", a}, ExitFailure, []string{"no line of 8 is about request r9"}},
 		{"no file", []string{"r1"}, ExitUsage, []string{"trace needs the id of a request and at least one file"}},
 		{"missing file", []string{"r1", a + ".none"}, ExitUsage, []string{"read log: notFound"}},
-		{"no log", []string{"r1", empty}, ExitUsage, []string{"holds no line of a daemon's log"}},
+		{"file without log lines", []string{"r1", empty}, ExitUsage, []string{"holds no line of a daemon's log"}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -117,6 +117,6 @@
 		line("vm-1", "", "target added", 2*time.Second), line("vm-1", "r1", "request refused", 0),
 	})
 	if len(tr.contextLines) != 1 || tr.contextLines[0].VM != "vm-1" || tr.contextLines[0].Message != "availability zone evacuated" {
-		t.Errorf("shown beside the request: %+v", tr.contextLines)
+		t.Errorf("context lines: %+v", tr.contextLines)
 	}
 }
--- a/fakes/host_test.go
+++ b/fakes/host_test.go
@@ -16,7 +16,7 @@
 	defer h.Close()
 	if l, err := net.Listen("tcp4", netip.AddrPortFrom(h.IP(), hostReservationPort).String()); err == nil {
 		_ = l.Close()
-		t.Errorf("%s may be claimed twice", h.IP())
+		t.Errorf("%s can be reserved twice", h.IP())
 	}
 	occupied, err := net.Listen("tcp4", netip.AddrPortFrom(h.IP(), hostFirstPort+1).String())
 	if err != nil {
