--- a/demo/bench_test.go
+++ b/demo/bench_test.go
@@ -24,9 +24,9 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-func sumLinkCounts(w *deployment) wire.LinkCounts {
+func sumLinkCounts(d *deployment) wire.LinkCounts {
 	var sum wire.LinkCounts
-	for _, e := range w.entries {
+	for _, e := range d.entries {
 		c := e.daemon.Links().Counts()
 		sum.Sent += c.Sent
 		sum.BytesOut += c.BytesOut
@@ -54,7 +54,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				if err := w.ready(context.Background()); err != nil {
+				if err := w.waitReady(context.Background()); err != nil {
 					b.Fatal(err)
 				}
 				time.Sleep(3 * time.Second)
--- a/demo/deployment.go
+++ b/demo/deployment.go
@@ -65,20 +65,20 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &deployment{log: log, file: file, targets: targets, store: fakes.NewStore()}
-	w.zones = zonesOf(file)
-	w.platform, err = fakes.Serve(anyLoopbackPort, fakes.NewPlatform(w.store).Handler())
+	d := &deployment{log: log, file: file, targets: targets, store: fakes.NewStore()}
+	d.zones = zonesOf(file)
+	d.platform, err = fakes.Serve(anyLoopbackPort, fakes.NewPlatform(d.store).Handler())
 	if err != nil {
-		w.close()
+		d.close()
 		return nil, err
 	}
 	for i := range entries {
-		if err := w.addEntry(i); err != nil {
-			w.close()
+		if err := d.addEntry(i); err != nil {
+			d.close()
 			return nil, err
 		}
 	}
-	return w, nil
+	return d, nil
 }
 
 func zonesOf(file *proto.File) []proto.Zone {
@@ -95,43 +95,43 @@
 	return zones
 }
 
-func (w *deployment) addEntry(i int) error {
+func (d *deployment) addEntry(i int) error {
 	e := &entryDaemon{vm: proto.VM(fmt.Sprintf("entry-%d", i+1)), gate: &gate{}, done: make(chan struct{})}
 	s := serve.DefaultSettings()
-	s.VM, s.Zone = e.vm, w.zones[i%len(w.zones)]
+	s.VM, s.Zone = e.vm, d.zones[i%len(d.zones)]
 	s.Callers.Listen, s.Peers.Listen, s.Operators.Listen = anyLoopbackPort, anyLoopbackPort, anyLoopbackPort
 	s.Peers.SharedKey = "demo"
-	s.Platform.Address = "http://" + w.platform.Address.String()
+	s.Platform.Address = "http://" + d.platform.Address.String()
 	if err := s.Validate(); err != nil {
 		return err
 	}
-	daemon, err := serve.New(s, serve.WithLog(w.log.With("vm", e.vm)), serve.WithGate(e.gate.wait))
+	daemon, err := serve.New(s, serve.WithLog(d.log.With("vm", e.vm)), serve.WithGate(e.gate.wait))
 	if err != nil {
 		return err
 	}
 	e.daemon = daemon
-	w.store.SetVM(proto.VMEntry{VM: e.vm, Zone: s.Zone, Peer: daemon.PeerAddr(), Entry: true})
+	d.store.SetVM(proto.VMEntry{VM: e.vm, Zone: s.Zone, Peer: daemon.PeerAddr(), Entry: true})
 	ctx, cancel := context.WithCancel(context.Background())
 	e.cancel = cancel
 	go func() {
 		defer close(e.done)
 		if err := daemon.Run(ctx); err != nil {
-			w.log.Debug("daemon ended", "vm", e.vm, "error", err)
+			d.log.Debug("daemon ended", "vm", e.vm, "error", err)
 		}
 	}()
-	w.entries = append(w.entries, e)
+	d.entries = append(d.entries, e)
 	return nil
 }
 
-// ready applies the first configuration and waits until it is in force on every daemon and the replicas of all claims
+// waitReady applies the first configuration and waits until it is in force on every daemon and the replicas of all claims
 // are ready.
-func (w *deployment) ready(ctx context.Context) error {
-	body, err := w.targets.EncodeFile()
+func (d *deployment) waitReady(ctx context.Context) error {
+	body, err := d.targets.EncodeFile()
 	if err != nil {
 		return err
 	}
-	first := w.entries[0].daemon.Node()
-	applied, err := first.ConfigStore.Apply(ctx, first.Config, coord.ApplyRequest{Body: body, By: "demo"})
+	firstNode := d.entries[0].daemon.Node()
+	applied, err := firstNode.ConfigStore.Apply(ctx, firstNode.Config, coord.ApplyRequest{Body: body, By: "demo"})
 	if err != nil {
 		return err
 	}
@@ -140,7 +140,7 @@
 	}
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
-		if w.allReady(applied.Generation) {
+		if d.allReady(applied.Generation) {
 			return nil
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -148,40 +148,40 @@
 	return newError("start", proto.KindUnavailable, "the daemons were not ready within %s", readyTimeout)
 }
 
-func (w *deployment) allReady(generation proto.Generation) bool {
-	for _, e := range w.entries {
+func (d *deployment) allReady(generation proto.Generation) bool {
+	for _, e := range d.entries {
 		ok, _ := e.daemon.Ready()
 		claims := e.daemon.Node().Replica.Counts()
 		members := e.daemon.Node().Members.Counts()
-		if !ok || e.daemon.Node().Config.Generation() < generation || claims.Epoch == 0 || claims.Ready < claims.Slots || members.Known < len(w.entries) {
+		if !ok || e.daemon.Node().Config.Generation() < generation || claims.Epoch == 0 || claims.Ready < claims.Slots || members.Known < len(d.entries) {
 			return false
 		}
 	}
 	return true
 }
 
-// kill stops a daemon as a crash would: it hands nothing over and all its connections break.
-func (w *deployment) kill(e *entryDaemon) {
+// crash stops a daemon as a crash would: it hands nothing over and all its connections break.
+func (d *deployment) crash(e *entryDaemon) {
 	e.dead.Store(true)
 	e.gate.mu.Lock()
 	e.daemon.Kill()
 }
 
-func (w *deployment) close() {
-	for _, e := range w.entries {
+func (d *deployment) close() {
+	for _, e := range d.entries {
 		if !e.dead.Load() {
 			e.cancel()
 		}
 	}
-	for _, e := range w.entries {
+	for _, e := range d.entries {
 		if !e.dead.Load() {
 			<-e.done
 		}
 	}
-	if w.platform != nil {
-		w.platform.Close()
+	if d.platform != nil {
+		d.platform.Close()
 	}
-	w.targets.Close()
+	d.targets.Close()
 }
 
 // balancer stands in for the platform's load balancer: it sends to the daemons whose /readyz succeeds, round robin.
@@ -192,22 +192,22 @@
 	next       int
 }
 
-func newBalancer(w *deployment) *balancer {
-	b := &balancer{deployment: w}
-	for _, e := range w.entries {
+func newBalancer(d *deployment) *balancer {
+	b := &balancer{deployment: d}
+	for _, e := range d.entries {
 		b.ready = append(b.ready, e.daemon.CallerAddr())
 	}
 	return b
 }
 
-func (b *balancer) pick() netip.AddrPort {
+func (b *balancer) nextAddr() netip.AddrPort {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.next++
 	return b.ready[b.next%len(b.ready)]
 }
 
-func (b *balancer) watch(ctx context.Context) {
+func (b *balancer) pollLoop(ctx context.Context) {
 	client := &http.Client{Timeout: balancerPollInterval}
 	ticker := time.NewTicker(balancerPollInterval)
 	defer ticker.Stop()
--- a/demo/faults.go
+++ b/demo/faults.go
@@ -71,16 +71,16 @@
 	duration := r.options.Duration / 3
 	switch f.Name {
 	case FaultEntryDies:
-		return r.entryDies()
+		return r.crashEntry()
 	case FaultEntryPauses:
-		return r.entryPauses()
+		return r.pauseEntry()
 	case FaultStoreDown:
 		r.deployment.store.SetDown(true)
 		sleep(ctx, duration)
 		r.deployment.store.SetDown(false)
 		return fmt.Sprintf("the store was out for %s", duration)
 	case FaultStoreLosesAnswer:
-		return r.storeLosesAnswer(ctx)
+		return r.loseStoreResponse(ctx)
 	case FaultStageSlow:
 		pool := r.retrieverPool()
 		r.setTargetFaults(pool, len(pool.Targets), fakes.TargetFault{Slow: slowFactor})
@@ -94,11 +94,11 @@
 		r.setTargetFaults(pool, len(pool.Targets), fakes.TargetFault{})
 		return fmt.Sprintf("a third of pool %s failed every request for %s", pool.Name, duration)
 	case FaultTargetLeaves:
-		return r.targetLeaves(ctx)
+		return r.markTargetLeaving(ctx)
 	case FaultVMStops:
-		return r.vmStops(ctx)
+		return r.stopVM(ctx)
 	case FaultConflictingApply:
-		return r.conflictingApply(ctx)
+		return r.applyConcurrently(ctx)
 	}
 	r.rateFactor.Store(burstFactor)
 	sleep(ctx, duration/2)
@@ -127,13 +127,13 @@
 	return nil
 }
 
-func (r *runner) entryDies() string {
+func (r *runner) crashEntry() string {
 	e := r.pickEntry()
 	if e == nil {
 		return "no daemon was left to kill"
 	}
 	startedAt := time.Now()
-	r.deployment.kill(e)
+	r.deployment.crash(e)
 	noticed := r.waitUntil(func() bool {
 		for _, other := range r.deployment.entries {
 			if !other.dead.Load() && other.daemon.Node().Members.Counts().Dead == 0 {
@@ -155,7 +155,7 @@
 	return "no"
 }
 
-func (r *runner) entryPauses() string {
+func (r *runner) pauseEntry() string {
 	e := r.pickEntry()
 	if e == nil {
 		return "no daemon was left to pause"
@@ -202,7 +202,7 @@
 	return fmt.Sprintf("generation %d in force everywhere: %s after %s", generation, reached, time.Since(startedAt).Round(time.Millisecond))
 }
 
-func (r *runner) storeLosesAnswer(ctx context.Context) string {
+func (r *runner) loseStoreResponse(ctx context.Context) string {
 	node := r.unfaultedEntry(0).daemon.Node()
 	r.deployment.store.LoseResponses(1)
 	startedAt := time.Now()
@@ -213,7 +213,7 @@
 	return "the answer to a write was lost; " + r.waitInForce(applied.Generation, startedAt)
 }
 
-func (r *runner) conflictingApply(ctx context.Context) string {
+func (r *runner) applyConcurrently(ctx context.Context) string {
 	type result struct {
 		applied coord.ApplyResult
 		err     error
@@ -262,7 +262,7 @@
 	}
 }
 
-func (r *runner) targetLeaves(ctx context.Context) string {
+func (r *runner) markTargetLeaving(ctx context.Context) string {
 	pool := r.retrieverPool()
 	target := pool.Targets[0]
 	r.deployment.store.SetVM(proto.VMEntry{VM: target.VM, Zone: target.Zone, Leaving: true})
@@ -273,7 +273,7 @@
 	return fmt.Sprintf("%s is leaving; work that it got from %s later on: %d", target.Name, leaveGrace, after-before)
 }
 
-func (r *runner) vmStops(ctx context.Context) string {
+func (r *runner) stopVM(ctx context.Context) string {
 	e := r.pickEntry()
 	if e == nil {
 		return "no daemon was left to stop"
--- a/demo/loadgen.go
+++ b/demo/loadgen.go
@@ -45,7 +45,7 @@
 	nonce     string
 	key       proto.Key
 	prefix    string
-	stream    bool
+	streamed  bool
 	sentAt    time.Time
 }
 
@@ -96,7 +96,7 @@
 	workspace := c.file.Workspaces[min(c.random.IntN(len(c.file.Workspaces)), c.random.IntN(len(c.file.Workspaces)))]
 	k := &call{
 		number: number, workspace: workspace.Name, service: service, nonce: fmt.Sprintf("n%d", number),
-		prefix: fmt.Sprintf("%s-%d", service.Name, c.random.IntN(prefixCount)), stream: c.random.IntN(2) == 0,
+		prefix: fmt.Sprintf("%s-%d", service.Name, c.random.IntN(prefixCount)), streamed: c.random.IntN(2) == 0,
 	}
 	var random [10]byte
 	for i := range random {
@@ -149,7 +149,7 @@
 	ctx, cancel := context.WithDeadline(ctx, deadline.Add(responseGrace))
 	defer cancel()
 	body := fmt.Sprintf(`{"nonce":%q,"prefix":%q,"prompt":"request %d"}`, k.nonce, k.prefix, k.number)
-	url := fmt.Sprintf("http://%s/v1/workspaces/%s/services/%s/requests", c.balancer.pick(), k.workspace, k.service.Name)
+	url := fmt.Sprintf("http://%s/v1/workspaces/%s/services/%s/requests", c.balancer.nextAddr(), k.workspace, k.service.Name)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader([]byte(body)))
 	if err != nil {
 		return outcomeConnectionLost
@@ -162,7 +162,7 @@
 	if k.key != (proto.Key{}) {
 		req.Header.Set(proto.HeaderKey, k.key.String())
 	}
-	if k.stream {
+	if k.streamed {
 		req.Header.Set("Accept", "text/event-stream")
 	}
 	resp, err := c.client.Do(req)
--- a/demo/run.go
+++ b/demo/run.go
@@ -40,20 +40,20 @@
 
 // Run executes a run and returns what callers and targets observed.
 func Run(ctx context.Context, o Options) (*Report, error) {
-	w, err := newDeployment(o.File, o.Entries, o.Seed, o.Log)
+	d, err := newDeployment(o.File, o.Entries, o.Seed, o.Log)
 	if err != nil {
 		return nil, err
 	}
-	defer w.close()
-	if err := w.ready(ctx); err != nil {
+	defer d.close()
+	if err := d.waitReady(ctx); err != nil {
 		return nil, err
 	}
-	r := &runner{options: o, deployment: w, faulted: map[proto.VM]bool{}}
+	r := &runner{options: o, deployment: d, faulted: map[proto.VM]bool{}}
 	r.rateFactor.Store(1)
-	loadBalancer := newBalancer(w)
+	loadBalancer := newBalancer(d)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go loadBalancer.watch(ctx)
+	go loadBalancer.pollLoop(ctx)
 	generator := newLoadGenerator(o.File, loadBalancer, o.Seed)
 	var faults sync.WaitGroup
 	for _, f := range o.Faults {
@@ -62,7 +62,7 @@
 	r.generateLoad(ctx, generator)
 	generator.group.Wait()
 	faults.Wait()
-	report := generator.recorder.finalReport(w.targets.Runs())
+	report := generator.recorder.finalReport(d.targets.Runs())
 	r.completeReport(&report)
 	return &report, nil
 }
--- a/entry/losses.go
+++ b/entry/losses.go
@@ -93,7 +93,7 @@
 func meanTokens(ends []requestResult) map[time.Duration]float64 {
 	sum, count := map[time.Duration]float64{}, map[time.Duration]float64{}
 	for i := range ends {
-		sum[ends[i].goal] += ends[i].tokens
+		sum[ends[i].goal] += ends[i].size
 		count[ends[i].goal]++
 	}
 	for goal := range sum {
@@ -161,7 +161,7 @@
 	for i := range ends {
 		w := worths.forGoal(ends[i].goal)
 		if meanSize := mean[ends[i].goal]; meanSize > 0 {
-			w = w.scaled(ends[i].tokens/meanSize, sizeShare)
+			w = w.scaled(ends[i].size/meanSize, sizeShare)
 		}
 		r.record(&ends[i], w, start)
 	}
--- a/entry/lossreason.go
+++ b/entry/lossreason.go
@@ -27,9 +27,9 @@
 type requestResult struct {
 	startedAt time.Time
 	goal      time.Duration
-	// tokens is the size of the request: the tokens of its prompt plus answerTokenWeight times its maximum answer
+	// size is the size of the request: the tokens of its prompt plus answerTokenWeight times its maximum answer
 	// tokens.
-	tokens  float64
+	size    float64
 	outcome requestOutcome
 	reason  string
 }
@@ -157,7 +157,7 @@
 		return requestResult{}, false
 	}
 	e := requestResult{startedAt: t.acceptLine.At, goal: t.time("due"), outcome: outcomeLost, reason: "its daemon died"}
-	e.tokens = t.acceptLine.number("promptTokens") + answerTokenWeight*t.acceptLine.number("mostTokens")
+	e.size = t.acceptLine.number("promptTokens") + answerTokenWeight*t.acceptLine.number("mostTokens")
 	if t.endLine == nil {
 		return e, true
 	}
--- a/fakes/store.go
+++ b/fakes/store.go
@@ -87,7 +87,7 @@
 	name  string
 }
 
-func (c *Client) countCall(op string, counter *int64) error {
+func (c *Client) beginCall(op string, counter *int64) error {
 	*counter++
 	if c.store.down || c.store.unreachable[c.name] {
 		return newError(op, proto.KindUnavailable, "the store is out")
@@ -100,7 +100,7 @@
 	s := c.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := c.countCall("read", &s.reads); err != nil {
+	if err := c.beginCall("read", &s.reads); err != nil {
 		return proto.Row{}, err
 	}
 	row, ok := s.rows[key]
@@ -115,7 +115,7 @@
 	s := c.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := c.countCall("list", &s.reads); err != nil {
+	if err := c.beginCall("list", &s.reads); err != nil {
 		return proto.RowList{}, err
 	}
 	var keys []string
@@ -142,7 +142,7 @@
 	s := c.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := c.countCall("transact", &s.writes); err != nil {
+	if err := c.beginCall("transact", &s.writes); err != nil {
 		return err
 	}
 	for _, condition := range tx.Conditions {
@@ -171,7 +171,7 @@
 	s := c.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := c.countCall("put", &s.writes); err != nil {
+	if err := c.beginCall("put", &s.writes); err != nil {
 		return err
 	}
 	s.objects[hash] = slices.Clone(data)
@@ -183,7 +183,7 @@
 	s := c.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := c.countCall("get", &s.reads); err != nil {
+	if err := c.beginCall("get", &s.reads); err != nil {
 		return nil, err
 	}
 	data, ok := s.objects[hash]
@@ -198,7 +198,7 @@
 	s := c.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := c.countCall("list vms", &s.reads); err != nil {
+	if err := c.beginCall("list vms", &s.reads); err != nil {
 		return proto.VMList{}, err
 	}
 	var list proto.VMList
--- a/fakes/targethttp.go
+++ b/fakes/targethttp.go
@@ -23,7 +23,7 @@
 	e.POST(proto.PathRun, t.serveRun)
 	e.POST(proto.PathCancel, t.serveCancel)
 	e.GET(proto.PathLoad, t.serveLoad)
-	e.GET(proto.PathCacheEvents, t.serveCaches)
+	e.GET(proto.PathCacheEvents, t.serveCacheEvents)
 	e.POST(proto.PathOrders, t.serveOrder)
 	e.POST(proto.PathExport, t.serveExport)
 	e.GET("/runs", func(c echo.Context) error { return c.JSON(http.StatusOK, t.Runs()) })
@@ -137,7 +137,7 @@
 	return c.JSON(http.StatusOK, reported)
 }
 
-func (t *Target) serveCaches(c echo.Context) error {
+func (t *Target) serveCacheEvents(c echo.Context) error {
 	after, err := strconv.ParseUint(c.QueryParam("after"), 10, 64)
 	if err != nil {
 		after = 0
--- a/trial/run.go
+++ b/trial/run.go
@@ -35,9 +35,9 @@
 	total := Result{Workspaces: map[string]*WorkspaceResult{}}
 	bound := Bound{}
 	for _, seed := range seeds {
-		s := newSim(file, c, v, seed, entryCount)
-		total.merge(s.run())
-		bound.addRun(s)
+		simulation := newSim(file, c, v, seed, entryCount)
+		total.merge(simulation.run())
+		bound.addRun(simulation)
 	}
 	return total, bound
 }
