--- a/entry/losses.go
+++ b/entry/losses.go
@@ -47,9 +47,9 @@
 		return withExitCode(ExitUsage, err)
 	}
 	all, unrouted := requestResults(lines)
-	ends, uncounted := worths.kept(all)
-	report := newLossReport(ends, worths, c.Duration("every"), c.Float("sized"))
-	report.uncounted, report.unrouted = uncounted, unrouted
+	results, dropped := worths.withKnownWorth(all)
+	report := newLossReport(results, worths, c.Duration("every"), c.Float("sized"))
+	report.uncounted, report.unrouted = dropped, unrouted
 	return report.print(c.Root().Writer)
 }
 
@@ -68,33 +68,33 @@
 	return worth{inTime: 1}
 }
 
-// kept drops the requests of routes without a known worth, such as probes of whether a route exists, and returns the
-// number of those dropped. Without any --worth all requests count.
-func (w routeWorths) kept(ends []requestResult) (kept []requestResult, dropped int) {
-	for i := range ends {
-		if _, known := w[ends[i].goal]; known || len(w) == 0 {
-			kept = append(kept, ends[i])
+// withKnownWorth drops the requests of routes without a known worth, such as probes of whether a route exists, and
+// returns the number of those dropped. Without any --worth all requests count.
+func (w routeWorths) withKnownWorth(results []requestResult) (kept []requestResult, dropped int) {
+	for i := range results {
+		if _, known := w[results[i].goal]; known || len(w) == 0 {
+			kept = append(kept, results[i])
 		}
 	}
-	return kept, len(ends) - len(kept)
+	return kept, len(results) - len(kept)
 }
 
 // maxSizeFactor bounds the factor by which the worth of a large request exceeds that of its route.
 const maxSizeFactor = 4
 
 // scaled returns the worth of a request whose size is relativeSize times the mean of its route; sizeShare is the part
-// of the worth that grows with the size. it.
+// of the worth that grows with the size.
 func (w worth) scaled(relativeSize, sizeShare float64) worth {
 	factor := min(maxSizeFactor, 1-sizeShare+sizeShare*relativeSize)
 	return worth{w.inTime * factor, w.late * factor}
 }
 
-// meanTokens returns the mean request size for each goal.
-func meanTokens(ends []requestResult) map[time.Duration]float64 {
+// meanSizes returns the mean request size for each goal.
+func meanSizes(results []requestResult) map[time.Duration]float64 {
 	sum, count := map[time.Duration]float64{}, map[time.Duration]float64{}
-	for i := range ends {
-		sum[ends[i].goal] += ends[i].size
-		count[ends[i].goal]++
+	for i := range results {
+		sum[results[i].goal] += results[i].size
+		count[results[i].goal]++
 	}
 	for goal := range sum {
 		sum[goal] /= count[goal]
@@ -106,14 +106,14 @@
 	worths := routeWorths{}
 	for _, text := range texts {
 		goal, values, ok := strings.Cut(text, "=")
-		full, late, hasLate := strings.Cut(values, "/")
+		inTime, late, hasLate := strings.Cut(values, "/")
 		duration, err := time.ParseDuration(goal)
 		if !ok || !hasLate || err != nil {
 			return nil, usageError("worth: %q is not of the form 1.1s=4.7/0.7", text)
 		}
 		var w worth
-		for value, into := range map[string]*float64{full: &w.inTime, late: &w.late} {
-			if *into, err = strconv.ParseFloat(value, 64); err != nil {
+		for value, field := range map[string]*float64{inTime: &w.inTime, late: &w.late} {
+			if *field, err = strconv.ParseFloat(value, 64); err != nil {
 				return nil, usageError("worth: %q is not a number in %q", value, text)
 			}
 		}
@@ -148,22 +148,22 @@
 	reason string
 }
 
-func newLossReport(ends []requestResult, worths routeWorths, interval time.Duration, sizeShare float64) *lossReport {
+func newLossReport(results []requestResult, worths routeWorths, interval time.Duration, sizeShare float64) *lossReport {
 	r := &lossReport{
 		requests: map[time.Duration]int{}, owed: map[time.Duration]float64{}, reasons: map[lossKey]loss{},
 		intervals: map[time.Duration]map[string]loss{}, interval: interval,
 	}
-	if len(ends) == 0 {
+	if len(results) == 0 {
 		return r
 	}
-	start := ends[0].startedAt
-	mean := meanTokens(ends)
-	for i := range ends {
-		w := worths.forGoal(ends[i].goal)
-		if meanSize := mean[ends[i].goal]; meanSize > 0 {
-			w = w.scaled(ends[i].size/meanSize, sizeShare)
+	start := results[0].startedAt
+	mean := meanSizes(results)
+	for i := range results {
+		w := worths.forGoal(results[i].goal)
+		if meanSize := mean[results[i].goal]; meanSize > 0 {
+			w = w.scaled(results[i].size/meanSize, sizeShare)
 		}
-		r.record(&ends[i], w, start)
+		r.record(&results[i], w, start)
 	}
 	return r
 }
--- a/entry/lossreason.go
+++ b/entry/lossreason.go
@@ -60,13 +60,13 @@
 		if l.Request == "" {
 			continue
 		}
-		t := attempts[l.Request]
-		if t == nil {
-			t = &attemptLog{id: l.Request}
-			attempts[l.Request] = t
-			order = append(order, t)
+		attempt := attempts[l.Request]
+		if attempt == nil {
+			attempt = &attemptLog{id: l.Request}
+			attempts[l.Request] = attempt
+			order = append(order, attempt)
 		}
-		t.add(l)
+		attempt.add(l)
 	}
 	return mergeRetries(order), unroutedRefusals(order)
 }
@@ -75,9 +75,9 @@
 // therefore unknown. Each attempt of a caller that retries counts.
 func unroutedRefusals(attempts []*attemptLog) map[string]int {
 	reasons := map[string]int{}
-	for _, t := range attempts {
-		if t.acceptLine == nil && t.endLine != nil && t.endLine.Status == http.StatusServiceUnavailable {
-			reasons[formatRefusal(t.endLine)]++
+	for _, attempt := range attempts {
+		if attempt.acceptLine == nil && attempt.endLine != nil && attempt.endLine.Status == http.StatusServiceUnavailable {
+			reasons[formatRefusal(attempt.endLine)]++
 		}
 	}
 	return reasons
@@ -97,25 +97,25 @@
 // the caller of the refused one was still waiting.
 func mergeRetries(attempts []*attemptLog) []requestResult {
 	type pending struct {
-		at    int
+		index int
 		until time.Time
 	}
 	var results []requestResult
 	pendingRetries := map[string]pending{}
-	for _, t := range attempts {
-		result, ok := t.result()
+	for _, attempt := range attempts {
+		result, ok := attempt.result()
 		if !ok {
 			continue
 		}
-		key := t.callerKey()
+		key := attempt.callerKey()
 		if previous, ok := pendingRetries[key]; ok && key != "" && !result.startedAt.After(previous.until) {
 			delete(pendingRetries, key)
-			results[previous.at] = results[previous.at].mergeRetry(result)
+			results[previous.index] = results[previous.index].mergeRetry(result)
 			continue
 		}
 		results = append(results, result)
 		if result.outcome == outcomeLost && key != "" {
-			pendingRetries[key] = pending{len(results) - 1, result.startedAt.Add(t.time("left"))}
+			pendingRetries[key] = pending{len(results) - 1, result.startedAt.Add(attempt.time("left"))}
 		}
 	}
 	slices.SortStableFunc(results, func(a, b requestResult) int { return a.startedAt.Compare(b.startedAt) })
@@ -184,8 +184,8 @@
 	return e, true
 }
 
-func formatRefusal(end *logLine) string {
-	return fmt.Sprintf("refused with %d: %s", end.Status, normalizeReason(end.Reason))
+func formatRefusal(endLine *logLine) string {
+	return fmt.Sprintf("refused with %d: %s", endLine.Status, normalizeReason(endLine.Reason))
 }
 
 func (t *attemptLog) refusalReason() string {
