--- a/entry/losses_test.go
+++ b/entry/losses_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// TestLossesWeightRequestsBySize has two requests of one route, one about three times as large as the other, and
+// TestLossesWeightRequestsBySize has two requests of one route, one three times as large as the other, and
 // one of a route without a stated worth.
 func TestLossesWeightRequestsBySize(t *testing.T) {
 	acceptedWithSize := func(ms int, request, due string, prompt, most int) string {
--- a/entry/trace.go
+++ b/entry/trace.go
@@ -207,8 +207,8 @@
 		}
 		descriptions = nil
 		for _, end := range ends {
-			if e, ok := end.(map[string]any); ok {
-				descriptions = append(descriptions, fmt.Sprintf("%v (seen by %v %v before)", e["run"], e["by"], e["age"]))
+			if fields, ok := end.(map[string]any); ok {
+				descriptions = append(descriptions, fmt.Sprintf("%v (seen by %v %v before)", fields["run"], fields["by"], fields["age"]))
 			}
 		}
 	}
--- a/fakes/servers.go
+++ b/fakes/servers.go
@@ -85,11 +85,11 @@
 
 // Runs returns the number of runs of each stage for each nonce over all targets, keyed by "service/stage nonce".
 func (t *Targets) Runs() map[string]int {
-	sum := map[string]int{}
+	counts := map[string]int{}
 	for _, target := range t.Targets {
 		for key, n := range target.Runs() {
-			sum[key] += n
+			counts[key] += n
 		}
 	}
-	return sum
+	return counts
 }
--- a/fakes/target.go
+++ b/fakes/target.go
@@ -115,11 +115,11 @@
 func (t *Target) Runs() map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	copied := make(map[string]int, len(t.runs))
+	counts := make(map[string]int, len(t.runs))
 	for key, n := range t.runs {
-		copied[key] = n
+		counts[key] = n
 	}
-	return copied
+	return counts
 }
 
 // Running returns the number of requests in progress, including waiting ones.
--- a/trial/bound.go
+++ b/trial/bound.go
@@ -44,39 +44,39 @@
 // deliveryBound returns an upper bound on the number of requests that any scheduler could have delivered. It considers
 // each pool by itself and assumes a scheduler that knows all arrivals, has every prefix cached, and serves the cheapest
 // requests of a pool first.
-func deliveryBound(file *proto.File, requests map[string]int, length time.Duration) int {
+func deliveryBound(file *proto.File, requests map[string]int, duration time.Duration) int {
 	total := 0
 	for _, n := range requests {
 		total += n
 	}
-	best := total
+	bound := total
 	for i := range file.Pools {
-		best = min(best, poolBound(file, &file.Pools[i], requests, length))
+		bound = min(bound, poolBound(file, &file.Pools[i], requests, duration))
 	}
-	return best
+	return bound
 }
 
-func poolBound(file *proto.File, pool *proto.Pool, requests map[string]int, length time.Duration) int {
-	type kind struct {
-		n    int
-		work time.Duration
+func poolBound(file *proto.File, pool *proto.Pool, requests map[string]int, duration time.Duration) int {
+	type serviceDemand struct {
+		requests int
+		slotTime time.Duration
 	}
-	var demands []kind
+	var demands []serviceDemand
 	for i := range file.Services {
 		s := &file.Services[i]
-		demands = append(demands, kind{requests[s.Name], slotTime(s, pool, true)})
+		demands = append(demands, serviceDemand{requests[s.Name], slotTime(s, pool, true)})
 	}
-	sort.Slice(demands, func(i, j int) bool { return demands[i].work < demands[j].work })
-	remaining := time.Duration(len(pool.Targets)*profileOf(pool.Kind).slots) * length
+	sort.Slice(demands, func(i, j int) bool { return demands[i].slotTime < demands[j].slotTime })
+	remaining := time.Duration(len(pool.Targets)*profileOf(pool.Kind).slots) * duration
 	served := 0
-	for _, k := range demands {
-		if k.work == 0 {
-			served += k.n
+	for _, demand := range demands {
+		if demand.slotTime == 0 {
+			served += demand.requests
 			continue
 		}
-		n := min(k.n, int(remaining/k.work))
+		n := min(demand.requests, int(remaining/demand.slotTime))
 		served += n
-		remaining -= time.Duration(n) * k.work
+		remaining -= time.Duration(n) * demand.slotTime
 	}
 	return served
 }
