--- a/relay/admitask.go
+++ b/relay/admitask.go
@@ -8,11 +8,11 @@
 	"emberlead/state"
 )
 
-// admit asks whether a request for a pool of engines may start while the engines are busy. Requests that the engines
-// cannot handle in time are refused before any work is done for them.
+// admit asks whether a request for a pool of engines may start while these are busy. What they cannot handle in time is
+// refused before any work is done for it.
 func (f *flow) admit(ctx context.Context) *failure {
 	if f.poolSpec.Engine == nil || f.req.After > 0 {
-		// The caller has a part of the stream already, and would lose it if the rest were refused.
+		// The caller has a part of the stream, and would lose it if the rest were refused.
 		return nil
 	}
 	stagesTime := f.timeToEngine()
@@ -53,8 +53,8 @@
 	return f.server.pieces.QueueDelay(pool, f.rank) + f.server.callTimes.mean(pool, f.stageCallTime(stage)) + rest
 }
 
-// Admit returns whether to start a request, and the daemon that decided it, which is the owner of the pool's placement.
-// The owner is not asked while the pool is not busy. If the owner does not answer, the request is admitted.
+// Admit returns whether to start a request, and the daemon that decided: the owner of the pool's placement. The owner
+// is not asked while the pool is not busy. Without its answer the request is admitted.
 func (p *Placer) Admit(ctx context.Context, ask proto.AdmitAsk) (proto.AdmitAnswer, proto.VM) {
 	owner := p.peers.Owner(placementTaskPrefix+ask.Pool, nil)
 	if owner == "" || owner == p.self {
@@ -71,7 +71,7 @@
 	m, err := p.peers.Call(ctx, owner, ask)
 	answer, ok := m.(proto.AdmitAnswer)
 	if err != nil || !ok {
-		p.log.Info("request admitted without a decision: the owner of the pool did not answer", "pool", ask.Pool, "owner", owner, "error", err)
+		p.log.Info("the owner of the pool did not answer; admitting the request without a decision", "pool", ask.Pool, "owner", owner, "error", err)
 		return proto.AdmitAnswer{}, ""
 	}
 	p.recordBusy(ask.Pool, answer.AdmissionRequired)
