--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -16,30 +16,26 @@
 	// minAttemptTime is the minimum remaining time for another attempt: one round trip and some work.
 	minAttemptTime = 20 * time.Millisecond
 	// startDelayFactor is the multiple of the typical upper bound of the time to the first event or the response after
-	// which another target is tried. It is large because a second attempt costs as much work as the first one and takes
-	// as long.
+	// which another target is tried: a second attempt costs as much work as the first, and takes as long.
 	startDelayFactor = 4
-	// minStartTimeout is the minimum of that delay, however fast responses have been so far: on a busy machine the
-	// daemon and the target wait for their turn while other processes use up their time slices of a few milliseconds
-	// each.
+	// minStartTimeout is the minimum of that delay: on a busy machine the daemon and the target wait for their turn
+	// while others use up time slices of a few milliseconds.
 	minStartTimeout = 50 * time.Millisecond
 	// initialResponseTime is the upper bound of the time to a response before any was observed for the pool.
 	initialResponseTime = 60 * time.Millisecond
-	// silenceFactor is the multiple of the route's longest allowed pause for which a stream may be silent before
-	// another target is asked to resume it. By then the stream is late, and resuming it elsewhere requires the prompt
-	// to be read again.
+	// silenceFactor is the multiple of the route's MaxPause for which a stream may be silent before another target is
+	// asked to resume it. By then it is late, and resuming it requires the prompt to be read again.
 	silenceFactor = 2.2
 	// minSilenceStarts is the minimum of that silence, as a multiple of the upper bound of the time to the first event.
 	minSilenceStarts = 3
-	// maxAttempts limits the attempts of one request, including refused ones, and maxConcurrentAttempts those that run
-	// at the same time.
+	// maxAttempts limits the attempts of one request, refused ones included, and maxConcurrentAttempts those in
+	// progress.
 	maxAttempts           = 6
 	maxConcurrentAttempts = 2
-	// maxResponseBytes limits a response that is buffered until it is complete.
+	// maxResponseBytes limits a response that is buffered until complete.
 	maxResponseBytes = 16 << 20
-	// restartGrace is how long an attempt continues after the target's next run has become known, so that what the
-	// previous run sent before it ended is still read. It covers a network delay of a few milliseconds and the delay of
-	// a busy daemon.
+	// restartGrace is how long an attempt continues once the target's next run is known, so that what the previous run
+	// sent is still read: a network delay of a few milliseconds, and the delay of a busy daemon.
 	restartGrace = 250 * time.Millisecond
 	// busyRetryAfter is the Retry-After for a pool whose targets refuse requests.
 	busyRetryAfter = 300 * time.Millisecond
@@ -64,7 +60,7 @@
 	// response is a complete failure response of the target, which is forwarded if no better response arrives.
 	response *bufferedResponse
 	reason   string
-	// misdirected is set if another target has the address. err is why the request was not sent or not answered.
+	// misdirected is set if another target has the address, and err is why the request was not sent or not answered.
 	misdirected bool
 	// noTarget is set if no target of the pool may get the request now.
 	noTarget bool
@@ -77,8 +73,8 @@
 	body   []byte
 }
 
-// runAttempts makes attempts until one succeeds or no further one is allowed or useful. lost is set if the inputs have
-// to be rebuilt first.
+// runAttempts makes attempts until one succeeds or no further one is allowed or useful. lost is set if the inputs must
+// be rebuilt first.
 func (f *flow) runAttempts(ctx context.Context) (fail *failure, lost bool) {
 	s := f.server
 	r := newRace(ctx, f)
@@ -128,7 +124,7 @@
 	return f.notRunFailure(f.targetRetryAfter(&last), last.reason), false
 }
 
-// forwardFallback forwards the failure response of a target, if there is one and nothing was sent to the caller yet.
+// forwardFallback forwards the failure response of a target, if there is one and the caller got nothing yet.
 func (f *flow) forwardFallback() bool {
 	if f.fallback == nil || f.committed {
 		return false
@@ -172,8 +168,7 @@
 	return true
 }
 
-// spendRetry takes a further attempt from the retry budget of the pool, if there is any left. reason is why the
-// attempt is made.
+// spendRetry takes an attempt from the pool's retry budget, if any is left. reason is why the attempt is made.
 func (f *flow) spendRetry(reason string) bool {
 	s := f.server
 	share := s.peers.Share()
@@ -221,9 +216,8 @@
 	return reasonNoTarget
 }
 
-// targetRetryAfter returns when a caller should come back whose request no target accepted. If targets are cold, that
-// is when the first one is warm; if targets have rate limits or ask for backoff, when one of them may get a request
-// again.
+// targetRetryAfter returns when a caller should come back whose request no target accepted: when the first cold target
+// is warm, or when a target with a rate limit or in backoff may get a request again.
 func (f *flow) targetRetryAfter(last *attemptResult) time.Duration {
 	if !last.noTarget {
 		return busyRetryAfter
@@ -241,7 +235,7 @@
 	return f.limitRetryAfter(wait)
 }
 
-// limitRetryAfter limits a wait to the fraction of the remaining time for which callers still wait for a response.
+// limitRetryAfter limits a wait to the fraction of the remaining time for which callers wait.
 func (f *flow) limitRetryAfter(wait time.Duration) time.Duration {
 	return max(busyRetryAfter, min(wait, f.timeLeft()/retryAfterDivisor))
 }
@@ -258,34 +252,33 @@
 	return w
 }
 
-// attempt is one request to one target. Its own goroutine sends the request and reads the response; everything else is
-// done by the goroutine of the request, which receives updates from it.
+// attempt is one request to one target. Its own goroutine sends the request and reads the response; all else is done by
+// the goroutine of the request, which receives its updates.
 type attempt struct {
 	race      *race
 	placement *Placement
-	// ctx is the context of the attempt. If this daemon canceled it, the cause says why.
+	// ctx is canceled with a cause if this daemon ends the attempt.
 	ctx       context.Context
 	cancel    context.CancelCauseFunc
 	span      trace.Span
 	startedAt time.Time
-	// startDelay is how long the attempt may take to start answering before another one is made.
+	// startDelay is how long the attempt may take to start answering before a hedging attempt.
 	startDelay hedgeDelay
-	// cancelFreeing stops the timer that frees the inputs, and stopWatching stops watching for the end of the target's
-	// run.
+	// cancelFreeing stops the timer that frees the inputs, and stopWatching the watch for the end of the target's run.
 	cancelFreeing, stopWatching func()
 
 	verdict HealthVerdict
 	load    Load
-	// late is set if the attempt has taken too long, which was already reported as a failure of its target.
+	// late is set if the attempt took too long, which was already reported as a failure of its target.
 	late bool
 	// repeated is set if the target may have run the request before.
 	repeated bool
-	// counted is set if the attempt is counted in the runs of the request, streamStarted if its first event has
-	// arrived, and answered if the complete response has arrived and is not a failure.
+	// counted is set if the attempt is counted in the runs of the request, streamStarted once its first event has
+	// arrived, and answered once the complete response has arrived and is no failure.
 	counted, streamStarted, answered bool
 }
 
-// hedgeDelay is how long an attempt may be silent before another one is made, and what this is based on.
+// hedgeDelay is how long an attempt may be silent before a hedging attempt, and the basis of that time.
 type hedgeDelay struct {
 	delay time.Duration
 	// typical is the upper bound that is nearly always sufficient.
@@ -294,7 +287,7 @@
 	basis string
 }
 
-// What a hedgeDelay may be based on.
+// Values of hedgeDelay.basis.
 const (
 	basisTypical  = "what is usual"
 	basisGoal     = "the goal of the route"
@@ -303,8 +296,7 @@
 	basisMaxPause = "the pause that the route allows"
 )
 
-// startHedgeDelay returns how long a target may take to start answering before another one is asked to run the request
-// too.
+// startHedgeDelay returns how long a target may take to start answering before a hedging attempt.
 func (f *flow) startHedgeDelay() hedgeDelay {
 	timeLeft := f.timeLeft()
 	if f.route.Kind == routeStream {
@@ -315,8 +307,7 @@
 	return hedgeDelayFor(typical, startDelayFactor).atLeast(f.route.LatencyGoal, basisGoal).atMost(timeLeft / 2)
 }
 
-// silenceHedgeDelay returns how long a stream that has started may be silent before another target is asked to resume
-// it.
+// silenceHedgeDelay returns how long a started stream may be silent before another target is asked to resume it.
 func (f *flow) silenceHedgeDelay() hedgeDelay {
 	return hedgeDelayFor(f.timeToFirstEvent(), minSilenceStarts).atLeast(time.Duration(silenceFactor*float64(f.route.MaxPause)), basisMaxPause)
 }
@@ -343,8 +334,8 @@
 	return w
 }
 
-// nextAttempt chooses a target for an attempt: a new one while the route allows one, and otherwise one whose attempt
-// was canceled in favor of another, which has failed or is late since. It returns nil if there is none.
+// nextAttempt chooses a target: a new one while the route allows one, otherwise one whose attempt was canceled in favor
+// of another that has failed or is late since. It returns nil if there is none.
 func (r *race) nextAttempt() *attempt {
 	if r.possibleRuns() < r.flow.maxRuns() {
 		if a := r.newAttempt(); a != nil {
@@ -354,13 +345,13 @@
 	return r.repeatAttempt()
 }
 
-// newAttempt chooses a target that has not been tried yet. It returns nil if there is none.
+// newAttempt chooses a target that was not tried yet, or returns nil.
 func (r *race) newAttempt() *attempt {
 	f := r.flow
 	return r.newAttemptAt(f.server.placer.Choose(r.ctx, f.pool, f.criteria()))
 }
 
-// repeatAttempt chooses a target whose attempt was canceled, each of them once. It returns nil if there is none.
+// repeatAttempt chooses a target whose attempt was canceled, each one once, or returns nil.
 func (r *race) repeatAttempt() *attempt {
 	f := r.flow
 	for len(f.superseded) > 0 {
@@ -410,7 +401,7 @@
 	go x.run(out)
 }
 
-// freeInputsAfterFetch frees the inputs once the target has had enough time to fetch them. stop cancels this.
+// freeInputsAfterFetch frees the inputs once the target has had time to fetch them, unless stop is called before.
 func (a *attempt) freeInputsAfterFetch() (stop func()) {
 	f := a.race.flow
 	if len(f.inputHandles) == 0 {
@@ -424,7 +415,7 @@
 	return func() { timer.Stop() }
 }
 
-// recordFetch learns whether inputs that were freed before the target answered had been fetched by then.
+// recordFetch records whether inputs that were freed before the target answered had been fetched by then.
 func (f *flow) recordFetch(sent time.Time, fetched bool) {
 	if !f.inputsFreed() {
 		return
@@ -469,7 +460,7 @@
 		a.markFailed()
 		result.reason = cause.Error()
 	case errors.Is(cause, errDeadlineReached), errors.Is(cause, errClosing):
-		// Most of the time may have been spent on the stages, so this alone says nothing about the target.
+		// Most of the time may have gone into the stages, so this alone says nothing about the target.
 		result.reason = cause.Error()
 	case a.ctx.Err() != nil:
 		result.reason = "the caller left"
@@ -497,8 +488,8 @@
 	return result
 }
 
-// handleResponse handles a complete response, none of which was forwarded before its end, so that a truncated response
-// never looks complete.
+// handleResponse handles a complete response. Nothing of it was forwarded before its end, so that a truncated one never
+// looks complete.
 func (a *attempt) handleResponse(response *bufferedResponse) attemptResult {
 	f := a.race.flow
 	a.verdict = VerdictSuccess
@@ -523,7 +514,7 @@
 	f.freeAllResults()
 }
 
-// handleStreamEnd handles the end of a stream. The stream is complete if the target ended it after a complete event.
+// handleStreamEnd handles the end of a stream, which is complete if the target ended it after a complete event.
 func (a *attempt) handleStreamEnd(update *attemptUpdate) attemptResult {
 	f := a.race.flow
 	if errors.Is(update.err, io.EOF) && !update.truncated {
--- a/relay/batch.go
+++ b/relay/batch.go
@@ -9,47 +9,44 @@
 // Limits and weights of batching.
 const (
 	// maxFailedCalls is the number of failed calls after which the pieces of a stage are given up: three targets that
-	// fail one after the other have a common cause, and by then the deadline of the request has passed.
+	// fail one after the other have a common cause, and the request's deadline has passed by then.
 	maxFailedCalls = 3
-	// separateAfterFailures is the number of failed calls after which the pieces of a job get a call of their own. A
-	// piece that crashes its target then affects no other job, and the jobs that shared the failed calls succeed on
-	// their third one. After the first failure the pieces are still batched with others: most targets fail for reasons
-	// of their own, and calls with few pieces take as long as full ones.
+	// separateAfterFailures is the number of failed calls after which a job's pieces get a call of their own. A piece
+	// that crashes its target then fails alone, and the jobs that shared its calls succeed on their third one. After
+	// the first failure pieces are still batched with others: most targets fail for reasons of their own, and calls
+	// with few pieces take as long as full ones.
 	separateAfterFailures = maxFailedCalls - 1
-	// zoneWaitCalls is how long a job waits for a target in the zone of its inputs, as a multiple of the time of a full
-	// call: one of these targets becomes idle within one call, and traffic between zones costs money.
+	// zoneWaitCalls is for how many full calls a job waits for a target in the zone of its inputs: one becomes idle
+	// within one call, and traffic between zones costs money.
 	zoneWaitCalls = 1.2
-	// minSpareCalls is how much time a less urgent job must have left to leave the last idle target to others, as a
-	// multiple of its call time.
+	// minSpareCalls is how many call times a less urgent job must have left to leave the last idle target to others.
 	minSpareCalls = 2
-	// minBulkInputBytes is the number of bytes from which the zone of the inputs affects placement.
+	// minBulkInputBytes is the size of inputs from which their zone affects placement.
 	minBulkInputBytes = 50_000
-	// maxWholeJobShare is the fraction of the result storage of a target up to which a job starts only if there is room
-	// for all of its pieces. Larger jobs would wait too long for that.
+	// maxWholeJobShare is the fraction of a target's result storage up to which a job starts only with room for all of
+	// its pieces. Larger jobs would wait too long.
 	maxWholeJobShare = 0.5
-	// rankDelayShare is the fraction of its latency goal by which a job is moved back in the queue for each step of
-	// rank. With a much larger one the least urgent jobs would wait until their deadlines during a burst.
+	// rankDelayShare is the fraction of its latency goal by which a job is moved back in the queue per step of rank.
+	// With much more the least urgent would wait until their deadlines in a burst.
 	rankDelayShare = 0.4
-	// startedLeadCalls is how far a job of a request that already did work is moved ahead in the queue, as a multiple
-	// of the time of an empty call. The resources that the request holds, above all result storage, are then released
-	// sooner.
+	// startedLeadCalls is by how many empty calls a job is moved ahead in the queue if work was already done for its
+	// request. What the request holds, above all result storage, is then released sooner.
 	startedLeadCalls = 1.5
-	// overdueFactor is how many times its expected time a call may take before its pieces are queued again: beyond a
-	// factor of two, a second call finishes before the first one more often than not.
+	// overdueFactor is how many times its expected time a call may take before its pieces are queued again: beyond
+	// twice, a second call finishes first more often than not.
 	overdueFactor = 2.2
-	// unknownExpiryShare is the fraction of the lifetime of results after which results unknown to this daemon no
-	// longer count. Most results are freed long before they expire.
+	// unknownExpiryShare is the fraction of the lifetime of results after which unknown ones no longer count: most are
+	// freed long before they expire.
 	unknownExpiryShare = 0.5
-	// initialHoldCalls is the initial estimate of how long a result occupies storage, in full calls: that of the call
-	// that makes it, and that of the next stage. holdWeight is the weight of one observation.
+	// initialHoldCalls is the initial estimate, in full calls, of how long a result occupies storage: its own call and
+	// that of the next stage. holdWeight is the weight of one observation.
 	initialHoldCalls = 2
 	holdWeight       = 0.05
-	// rankReserveShare is the fraction of its time that a job must have to spare for each step of rank to be admitted.
+	// rankReserveShare is the fraction of its time that a job must have to spare per step of rank to be admitted.
 	rankReserveShare = 0.1
-	// lateWorkFactor and lateTimeShare decide whether a job that will be late is accepted: with lateWorkFactor times
-	// the work ahead of it, since more urgent work keeps arriving, it must be done within lateTimeShare of the time
-	// until its deadline. If it were refused, its caller would have to wait for at least as long, and half of the
-	// callers that retry late fail.
+	// lateWorkFactor and lateTimeShare decide whether a late job is accepted: with lateWorkFactor times the work ahead
+	// of it, since more urgent work keeps arriving, it must be done within lateTimeShare of the time until its
+	// deadline. A refused caller would have to wait for at least as long, and half of those that retry late fail.
 	lateWorkFactor = 2
 	lateTimeShare  = 0.5
 	// refuseLateInterval is how often the queue is searched for jobs that cannot meet their deadlines, which takes time
@@ -61,8 +58,7 @@
 	minRetryWait = 300 * time.Millisecond
 	// noRoomBackoff is how long a target without room for results is skipped: results are freed every 20 ms.
 	noRoomBackoff = 100 * time.Millisecond
-	// minCallBackoff and maxCallBackoff are the shortest and the longest time for which a target is skipped after a
-	// failed call.
+	// minCallBackoff and maxCallBackoff limit how long a target is skipped after a failed call.
 	minCallBackoff = 250 * time.Millisecond
 	maxCallBackoff = 3 * time.Second
 )
@@ -75,13 +71,12 @@
 	skippedUntil        time.Time
 	// backoffUntil is the end of the backoff that the target asked for.
 	backoffUntil time.Time
-	// limit is the number of requests per second that the target accepts, if it named a limit, and bucket counts the
-	// requests against it.
+	// limit is the number of requests per second that the target accepts, if limited, and bucket counts them.
 	limit    float64
 	hasLimit bool
 	bucket   tokenBucket
-	// usedBytes is the number of bytes of results that are kept or being made. unknownBytes is the number of bytes of
-	// further results that were found at unknownSince.
+	// usedBytes are the bytes of results that are kept or being made, and unknownBytes those of other results found at
+	// unknownSince.
 	usedBytes    int64
 	unknownBytes int64
 	unknownSince time.Time
@@ -92,7 +87,7 @@
 	handle    string
 	bytes     int64
 	expiresAt time.Time
-	// startedAt is the time when the call that made the result started.
+	// startedAt is when the call that made the result started.
 	startedAt time.Time
 }
 
@@ -104,14 +99,13 @@
 	jobs          []*Job
 	model         *callModel
 	resultTargets map[string]*batchTarget
-	// lastRefuseLate is when the queue was last searched for jobs that cannot meet their deadlines. needsSort is set
-	// when the order of the jobs may have changed.
+	// lastRefuseLate is when the queue was last searched for jobs that cannot meet their deadlines. needsSort is set if
+	// the order of the jobs may have changed.
 	lastRefuseLate time.Time
 	needsSort      bool
 	// startedAt is when the first job was added.
 	startedAt time.Time
-	// meanHoldTime is the average time for which a result occupies storage, from the start of its call until it is
-	// freed.
+	// meanHoldTime is the mean time from the start of a result's call until the result is freed.
 	meanHoldTime float64
 	// isBlocked reports whether a request must not be worked on.
 	isBlocked func(proto.RequestDigest) bool
@@ -138,7 +132,7 @@
 	return b
 }
 
-// fullCall returns the time of a call that is full of pieces with results of the given size.
+// fullCall returns the time of a call full of pieces with results of the given size.
 func (b *Batcher) fullCall(bytes int) float64 {
 	return b.model.callCost() + float64(b.spec.MaxPieces)*b.model.pieceCost(bytes)
 }
@@ -149,8 +143,8 @@
 	b.model.updateSpec(spec)
 }
 
-// SetTargets replaces the targets that may get new calls. Calls in progress at other targets continue, except those at
-// a target that has restarted. It returns the jobs that end because of the change.
+// SetTargets replaces the targets that may get new calls. Calls at other targets continue, except those at a target
+// that has restarted. It returns the jobs that end as a result.
 func (b *Batcher) SetTargets(specs []proto.RelayTarget) []FinishedJob {
 	var finished []FinishedJob
 	listed := map[string]bool{}
--- a/relay/batchfill.go
+++ b/relay/batchfill.go
@@ -39,8 +39,8 @@
 	return idle, inService
 }
 
-// reservesLastTarget reports whether only one target is idle and the queue does not fill a call. A call with few pieces
-// takes nearly as long as a full one, and urgent work that arrives meanwhile would have to wait for it.
+// reservesLastTarget reports whether only one target is idle and the queue does not fill a call: a call with few pieces
+// takes nearly as long as a full one, and urgent work would have to wait for it.
 func (b *Batcher) reservesLastTarget(idle, inService int) bool {
 	if inService < 2 || idle != 1 {
 		return false
@@ -54,8 +54,8 @@
 	return j.Params.Rank > 0 && j.Due.Sub(now) >= time.Duration(minSpareCalls*j.callTime)
 }
 
-// chooseTarget returns an idle target for a job: one in the zone of its inputs, or any target once the job has waited
-// long enough.
+// chooseTarget returns an idle target for a job: one in the zone of its inputs, or any once the job has waited long
+// enough.
 func (b *Batcher) chooseTarget(now time.Time, j *Job) *batchTarget {
 	var best *batchTarget
 	lowestCost := math.Inf(1)
@@ -80,9 +80,9 @@
 	return best
 }
 
-// requiredPieces returns the number of pieces of a job for which a target must have room before the job starts: the
-// results of some pieces would only occupy storage until the others are made. Jobs that need a large part of the
-// storage may start with any number, or they would wait too long.
+// requiredPieces returns for how many pieces of a job a target must have room before the job starts: the results of
+// some would only occupy storage until the others are made. Jobs that need a large part of the storage may start with
+// any number, or they would wait too long.
 func (b *Batcher) requiredPieces(j *Job) int {
 	n := min(j.pendingCount(), b.spec.MaxPieces)
 	if float64(n*j.Params.ResultBytes) > maxWholeJobShare*float64(b.spec.MaxResultBytes) {
@@ -114,7 +114,7 @@
 		c.Expected = b.expectedTime(c, t)
 		return c
 	}
-	// Jobs with inputs in the zone of the target come before those whose inputs would cross zones.
+	// Jobs with inputs in the target's zone come before those whose inputs would cross zones.
 	for _, sameZone := range []bool{true, false} {
 		for _, j := range b.jobs {
 			if len(c.Items) >= b.spec.MaxPieces {
@@ -134,8 +134,8 @@
 	return time.Duration(b.model.times.sum(callComponents(c, nil)) * t.slowdown)
 }
 
-// mayAdd reports whether the pieces of a job may be added to a call. Pieces of a job that fit into one call are not
-// split, since their results are needed together.
+// mayAdd reports whether pieces of a job may be added to a call. Pieces that fit into one call are not split, since
+// their results are needed together.
 func (b *Batcher) mayAdd(now time.Time, c *Call, t *batchTarget, j *Job, sameZone bool) bool {
 	if j.separate || !j.Params.AllowedRegions.Allows(t.spec.Region) || !sameZone && now.Before(j.queuedAt.Add(b.zoneWait(now, j))) {
 		return false
--- a/relay/batchinputs.go
+++ b/relay/batchinputs.go
@@ -7,8 +7,8 @@
 )
 
 // releaseInputs returns the inputs of a call in progress that nothing else will read, by the shard that made them. The
-// target has fetched them by now, and the previous pool needs the storage that they occupy. Inputs are kept if the
-// target may have no room for some results, as these are then made again.
+// target has fetched them by now, and the previous pool needs their storage. Inputs are kept if the target may have no
+// room for some results, which are then made again.
 func (b *Batcher) releaseInputs(now time.Time, c *Call) map[shard][]string {
 	t := b.targets[c.Target.ID]
 	if t == nil || t.call != c || b.mayHoldUnknownResults(now, t) {
@@ -26,8 +26,8 @@
 }
 
 // mayHoldUnknownResults reports whether a target may hold results unknown to this daemon: it was found to recently, or
-// the results were made for a daemon that batched for the pool before this one. If all daemons crash together, nine in
-// ten of the inputs that would be released too early would be released in the seconds after that.
+// may have them from a daemon that batched for the pool before. If all daemons crash together, nine in ten of the
+// inputs that are released too early would be released in the seconds after that.
 func (b *Batcher) mayHoldUnknownResults(now time.Time, t *batchTarget) bool {
 	return b.spec.MaxResultBytes > 0 && (now.Sub(t.unknownSince) < b.spec.ResultLifetime || now.Sub(b.startedAt) < b.spec.ResultLifetime)
 }
--- a/relay/batchlimits.go
+++ b/relay/batchlimits.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// setTargetLimits sets the rate limits and backoffs that targets asked for, and the fraction of the limits that this
-// batcher may use.
+// setTargetLimits sets the rate limits and backoffs that targets asked for, and the fraction of the limits for this
+// batcher.
 func (b *Batcher) setTargetLimits(limits []targetLimits, liveShare float64) {
 	b.liveShare = liveShare
 	for _, t := range b.targets {
--- a/relay/batchoverdue.go
+++ b/relay/batchoverdue.go
@@ -13,13 +13,13 @@
 	overdueWait overdueAction = iota
 	// overdueRepeat is for a call with pieces that no other target can make now.
 	overdueRepeat
-	// overdueAbandon is for a call whose pieces were all made elsewhere, are not needed any more, or will be requested
+	// overdueAbandon is for a call whose pieces were all made elsewhere, are no longer needed, or will be requested
 	// again.
 	overdueAbandon
 )
 
-// checkOverdue decides what to do with an overdue call. A call is not abandoned before other calls have made its
-// pieces: the work that its target has done by then would be lost, and its pieces would have to wait again.
+// checkOverdue decides what to do with an overdue call. It is not abandoned before other calls have made its pieces:
+// the work done by its target would be lost, and the pieces would have to wait again.
 func (b *Batcher) checkOverdue(now time.Time, c *Call) overdueAction {
 	if c.stale {
 		return overdueAbandon
@@ -31,7 +31,7 @@
 			continue
 		}
 		if j.inputsFreed {
-			// The requester has the inputs made again and then requests the piece again.
+			// The requester has the inputs made again, then requests the piece again.
 			continue
 		}
 		needed = true
@@ -46,8 +46,7 @@
 	return overdueAbandon
 }
 
-// hasAlternative reports whether another target can make the pieces of a job. One with an overdue call of its own
-// cannot.
+// hasAlternative reports whether another target can make the pieces of a job, which one with an overdue call cannot.
 func (b *Batcher) hasAlternative(now time.Time, c *Call, j *Job) bool {
 	for id, t := range b.targets {
 		hangs := t.call != nil && t.call.overdue
--- a/relay/batchqueue.go
+++ b/relay/batchqueue.go
@@ -9,7 +9,7 @@
 )
 
 // effectivePieceCost returns the target time that a piece costs in a full call, or the share of the result storage that
-// its result occupies if that is more.
+// its result occupies, in time, if that is more.
 func (b *Batcher) effectivePieceCost(bytes int) float64 {
 	work := b.model.callCost()/float64(max(1, b.spec.MaxPieces)) + b.model.pieceCost(bytes)
 	if b.spec.MaxResultBytes == 0 {
@@ -18,9 +18,9 @@
 	return max(work, b.meanHoldTime*float64(bytes)/float64(b.spec.MaxResultBytes))
 }
 
-// EstimateWait estimates the time until a job at the given position in the queue would start, from the work ahead of it
-// and the targets in service. A target in backoff counts from the end of that: a pool whose targets each refused one
-// call is not out of service.
+// EstimateWait estimates the time until a job at a position in the queue would start, from the work ahead of it and the
+// targets in service. Targets in backoff count from its end: a pool whose targets each refused one call is not out of
+// service.
 func (b *Batcher) EstimateWait(now, position time.Time) time.Duration {
 	free := b.availability(now)
 	if len(free) == 0 {
@@ -35,10 +35,10 @@
 	return free.timeFor(work)
 }
 
-// targetAvailability holds when a target can start a call, in nanoseconds from now, and how slow the target is.
+// targetAvailability is when a target can start a call, in nanoseconds from now, and its slowdown.
 type targetAvailability struct{ delay, slowdown float64 }
 
-// availability holds when the targets in service can start a call, earliest first.
+// availability lists the targets in service, those that can start a call first at the front.
 type availability []targetAvailability
 
 func (b *Batcher) availability(now time.Time) availability {
@@ -86,15 +86,14 @@
 	return (own + b.fullCall(j.Params.ResultBytes)) / 2
 }
 
-// mayBeLate reports whether a job that will miss its due time is still made well before its deadline, even if as much
-// work as is ahead of it now is added.
+// mayBeLate reports whether a job that will miss its due time is made well before its deadline even if as much work is
+// added as is ahead of it now.
 func (b *Batcher) mayBeLate(now time.Time, j *Job) bool {
 	ahead := b.EstimateWait(now, now.Add(queueEnd))
 	return time.Duration(lateWorkFactor*float64(ahead)+j.callTime) < time.Duration(lateTimeShare*float64(j.Deadline.Sub(now)))
 }
 
-// sortJobs orders the jobs by urgency. Those that can no longer be in time come last, so that they do not make others
-// late as well.
+// sortJobs orders the jobs by urgency. Those that can no longer be in time come last, so as not to make others late.
 func (b *Batcher) sortJobs(now time.Time) {
 	for _, j := range b.jobs {
 		late := !j.Params.AnswerStarted && now.Add(time.Duration(j.callTime)).After(j.Due)
@@ -117,7 +116,7 @@
 }
 
 // refuseLateJobs refuses the late jobs that cannot be made before their deadlines, so that their callers learn of it
-// now. It relies on the jobs being sorted, with the late ones last.
+// now. The jobs must be sorted, with the late ones last.
 func (b *Batcher) refuseLateJobs(now time.Time) []FinishedJob {
 	if now.Sub(b.lastRefuseLate) < refuseLateInterval {
 		return nil
--- a/relay/batchresult.go
+++ b/relay/batchresult.go
@@ -82,8 +82,8 @@
 	return t
 }
 
-// CallFailed records a call that returned no results. busy is set if the target refused it because it has no free slot.
-// The pieces are queued again unless too many calls failed.
+// CallFailed records a call without results. busy is set if the target refused it for want of a free slot. The pieces
+// are queued again unless too many calls failed.
 func (b *Batcher) CallFailed(now time.Time, c *Call, busy bool) []FinishedJob {
 	if c.stale {
 		return nil
--- a/relay/batchroom.go
+++ b/relay/batchroom.go
@@ -6,7 +6,7 @@
 )
 
 // recordNoRoom records that a target had less room than expected: it holds results unknown to this daemon, such as
-// those made for an earlier owner of the pool. They are freed by that owner or expire.
+// those made for an earlier owner of the pool, until they are freed or expire.
 func (b *Batcher) recordNoRoom(now time.Time, t *batchTarget) {
 	if t == nil {
 		return
--- a/relay/race.go
+++ b/relay/race.go
@@ -9,21 +9,21 @@
 )
 
 // race runs the attempts of one request: usually one, and a hedging attempt if the first takes longer than usual. The
-// first attempt is not canceled before the second one answers: the pool may have no other target, and otherwise it is
-// unknown which of the two answers first. Once one has started to answer, the others continue for a moment before they
-// are canceled, because what they have sent may already be on its way and replaces an answer that breaks off at once.
+// first is not canceled before the second answers: the pool may have no other target, and otherwise it is unknown which
+// answers first. Once one starts to answer, the others continue for a moment: what they have sent is on its way, and
+// replaces an answer that breaks off at once.
 //
 // Everything except the reading of responses is done by the goroutine of the request.
 type race struct {
 	flow *flow
-	// ctx is the context of all attempts. It ends when the caller leaves, when the time for the request is over, and
-	// with the race.
+	// ctx is the context of all attempts. It ends when the caller leaves, at the deadline of the request, and with the
+	// race.
 	ctx           context.Context
 	cancel        context.CancelCauseFunc
 	deadlineTimer clockwork.Timer
-	// stopCloseWatch stops watching for the exit of the daemon.
+	// stopCloseWatch stops the watch for the daemon's exit.
 	stopCloseWatch func() bool
-	// updates carries the updates from attempts. done is closed when nobody receives them any more.
+	// updates carries the updates of attempts. done is closed when nobody receives them any more.
 	updates chan *attemptUpdate
 	done    chan struct{}
 	// onResponse is called when an attempt has a response while the race waits for something else.
@@ -33,11 +33,11 @@
 	// started counts the attempts.
 	started int
 	// leader is the attempt that delivered the last forwarded events; nil before the first. overlapTimer fires when the
-	// other attempts are canceled in favor of it.
+	// others are canceled in favor of it.
 	leader       *attempt
 	overlapTimer clockwork.Timer
-	// hedgeTimer fires at hedgeAt, when the running attempt has taken longer than delay. hedgeAt is zero if the race is
-	// not waiting for that.
+	// hedgeTimer fires at hedgeAt, when the running attempt has taken longer than delay. hedgeAt is zero if no hedging
+	// attempt is scheduled.
 	hedgeTimer clockwork.Timer
 	hedgeAt    time.Time
 	delay      hedgeDelay
@@ -46,12 +46,11 @@
 	lastResult    attemptResult
 }
 
-// overlap is how long other attempts continue once one has started to answer. It is longer than a response that has
-// arrived waits to be read on a busy machine.
+// overlap is how long other attempts continue once one has started to answer: longer than a received response waits to
+// be read on a busy machine.
 const overlap = minStartTimeout
 
-// updateBuffer is the number of updates that are buffered, so that an attempt can keep reading while an update is
-// handled.
+// updateBuffer lets an attempt keep reading while one of its updates is handled.
 const updateBuffer = 1
 
 func newRace(parent context.Context, f *flow) *race {
@@ -81,7 +80,7 @@
 }
 
 // run makes an attempt, and hedging attempts if it takes longer than usual, until one has answered or all have failed.
-// It returns the result of the last attempt.
+// It returns the last result.
 func (r *race) run() attemptResult {
 	first := r.nextAttempt()
 	if first == nil {
@@ -96,7 +95,7 @@
 			}
 		case <-r.hedgeTimer.Chan():
 			if len(r.updates) > 0 {
-				// A response has just arrived. Many arrive together after this process was delayed.
+				// A response has just arrived, as many do together after this process was delayed.
 				r.setHedgeTimer(r.delay)
 				continue
 			}
@@ -191,8 +190,8 @@
 	return a.handleResponse(&bufferedResponse{status: update.response.Status, header: update.response.Header, body: update.body})
 }
 
-// handleEvents forwards the events of a stream, unless the caller has them from another target. The attempt that
-// delivers new events becomes the leader.
+// handleEvents forwards the events of a stream unless the caller has them from another target. An attempt with new
+// events becomes the leader.
 func (r *race) handleEvents(a *attempt, update *attemptUpdate) (done bool) {
 	f := r.flow
 	a.load = update.info.Load
@@ -218,7 +217,7 @@
 	return false
 }
 
-// supersede cancels all attempts but one. Their targets have not failed, so the request may return to them.
+// supersede cancels all attempts but one. Their targets have not failed: the request may return to them.
 func (r *race) supersede(winner *attempt) {
 	for _, a := range slices.Clone(r.running) {
 		if a != winner {
@@ -228,8 +227,7 @@
 	}
 }
 
-// finishAttempt records the result of an attempt and removes it. If it delivered the complete response, the other
-// attempts are canceled.
+// finishAttempt records the result of an attempt and removes it. The complete response cancels the other attempts.
 func (r *race) finishAttempt(a *attempt, result attemptResult) {
 	if result.done {
 		r.flow.target = a.placement.Spec.ID
@@ -248,7 +246,7 @@
 	}
 }
 
-// cancelAttempt cancels a running attempt. winner is the target in favor of which it is canceled, if any.
+// cancelAttempt cancels a running attempt, in favor of winner if that is set.
 func (r *race) cancelAttempt(a *attempt, winner, reason string) {
 	f := r.flow
 	a.markRun()
@@ -347,7 +345,7 @@
 	reasonAnswerStarted = "the answer has begun meanwhile"
 )
 
-// hedgeBlocked returns why no hedging attempt is allowed, as far as this is known without choosing a target.
+// hedgeBlocked returns why no hedging attempt is allowed, as far as is known without choosing a target.
 func (r *race) hedgeBlocked() string {
 	f := r.flow
 	s := f.server
@@ -371,8 +369,8 @@
 	return ""
 }
 
-// rebuildInputs runs the stages again for another target while the current attempts continue. It returns why this was
-// not done.
+// rebuildInputs runs the stages again for another target while the current attempts continue, or returns why it does
+// not.
 func (r *race) rebuildInputs() (blocked string) {
 	f := r.flow
 	if !f.mayRebuild() {
--- a/relay/server.go
+++ b/relay/server.go
@@ -17,33 +17,31 @@
 )
 
 const (
-	// responseMargin is how long before a request's deadline the final response is sent, so that it still arrives in
-	// time.
+	// responseMargin is how long before a request's deadline the final response is sent, so that it arrives in time.
 	responseMargin = 15 * time.Millisecond
-	// bodyReadTimeout limits the time to read a body. Callers within the limits send their bodies immediately.
+	// bodyReadTimeout limits the reading of a body; callers within the limits send theirs immediately.
 	bodyReadTimeout = 5 * time.Second
 	// unknownPoolRetryAfter is the Retry-After for a pool that the current configuration does not contain yet.
 	unknownPoolRetryAfter = 400 * time.Millisecond
-	// startupWait is how long a request waits for a daemon that is starting up. It is a fraction of the shortest
-	// latency goals.
+	// startupWait is how long a request waits for a daemon that is starting up: a fraction of the shortest latency
+	// goals.
 	startupWait = 100 * time.Millisecond
 	// fullRetryAfter is the Retry-After of a daemon that has reached its limit of open requests.
 	fullRetryAfter = time.Second
-	// streamAcceptTime is how long streams are still accepted after the daemon was told to stop. The load balancer
-	// checks every second and stops sending new callers after two failed checks; callers with open connections find
-	// another daemon as soon as they are refused.
+	// streamAcceptTime is how long streams are accepted after the daemon was told to stop. The load balancer checks
+	// every second and sends no new callers after two failed checks; those with open connections find another daemon as
+	// soon as they are refused.
 	streamAcceptTime = 2500 * time.Millisecond
-	// minStreamTime and minRequestTime are the minimum durations assumed for streams and for other requests when the
-	// daemon decides whether they can finish before it stops, even if those of the route have been shorter so far. A
-	// request that is cut off costs its caller the whole response, one that is refused only the trip to another daemon.
+	// minStreamTime and minRequestTime are the durations that streams and other requests are given at least before a
+	// stopping daemon exits, even if those of the route have been shorter: one that is cut off costs its caller the
+	// whole response, one that is refused only the trip to another daemon.
 	minStreamTime  = 4500 * time.Millisecond
 	minRequestTime = 1500 * time.Millisecond
-	// stopMargin is how long before a stopping daemon exits the requests with unfinished stages are refused. A refusal
-	// at this point still reaches the caller, who goes to another daemon; later the request would end without a
-	// response.
+	// stopMargin is how long before a stopping daemon exits it refuses requests with unfinished stages. The refusal
+	// still reaches the caller, who goes to another daemon; later the request would end without a response.
 	stopMargin = 300 * time.Millisecond
-	// stoppingRetryAfter is the Retry-After of a stopping daemon. It is short because the other daemons of the
-	// deployment can take the request at once.
+	// stoppingRetryAfter is the Retry-After of a stopping daemon: the other daemons of the deployment can take the
+	// request at once.
 	stoppingRetryAfter = 50 * time.Millisecond
 	// defaultTimeout applies to requests without a timeout.
 	defaultTimeout = time.Minute
@@ -74,8 +72,8 @@
 	crashDetector *CrashDetector
 
 	// firstEventTimes are the times to the first event of streams, by route and without the stages. responseTimes are
-	// the times to complete responses of targets, by pool. callTimes are the durations of calls for pieces, by pool,
-	// and requestTimes those of whole requests, by route.
+	// the times to complete responses, by pool, callTimes those of calls for pieces, by pool, and requestTimes those of
+	// whole requests, by route.
 	firstEventTimes, responseTimes, callTimes, requestTimes durationEstimates[string]
 	fetchTimes                                              fetchTimes
 
@@ -86,8 +84,8 @@
 	started  <-chan struct{}
 	open     atomic.Int64
 	stopping atomic.Pointer[stopPlan]
-	// stagesCtx is canceled, by cancelStages, when the stopping daemon refuses requests whose stages are not done.
-	// closeCtx is canceled, by close, when it answers the requests that targets are still running.
+	// stagesCtx is canceled, by cancelStages, when the stopping daemon refuses requests whose stages are not done, and
+	// closeCtx, by close, when it answers those that targets still run.
 	stagesCtx, closeCtx context.Context
 	cancelStages, close context.CancelFunc
 }
@@ -95,8 +93,8 @@
 // stopPlan says when a daemon began to stop and when it exits.
 type stopPlan struct{ startedAt, lastMoment time.Time }
 
-// acceptUntil returns when the daemon stops accepting requests of a kind because they might be cut off when it exits.
-// duration is the upper estimate of the duration of the route's requests, 0 if unknown.
+// acceptUntil returns when the daemon stops accepting requests of a kind because its exit might cut them off. duration
+// is the upper bound of the duration of the route's requests, 0 if unknown.
 func (p *stopPlan) acceptUntil(kind proto.RouteKind, duration time.Duration) time.Time {
 	if kind != proto.RouteStream {
 		return p.lastMoment.Add(-max(minRequestTime, duration))
@@ -125,8 +123,7 @@
 	// CrashTracker blocks requests that crash targets, and Ends is told about failed attempts. Both may be nil.
 	CrashTracker  *CrashTracker
 	CrashDetector *CrashDetector
-	// Started is closed once the daemon has the data that it needs to serve requests; nil if it has it from the
-	// beginning.
+	// Started is closed once the daemon has the data that it needs to serve requests; nil if it has it already.
 	Started <-chan struct{}
 }
 
@@ -147,9 +144,9 @@
 func (s *Server) OpenRequests() int64 { return s.open.Load() }
 
 // Stop makes every response from now on close its connection, so that callers move to other daemons. Callers that keep
-// a connection may send requests for a while. A request that might not finish before the last moment is refused as not
-// run: immediately, or shortly before that moment if its stages take longer than expected. A request that a target is
-// still running at the last moment is answered as possibly run.
+// a connection may send requests for a while. Those that might not finish before the last moment are refused as not
+// run: immediately, or shortly before that moment if their stages take longer than expected. Those that a target still
+// runs at that moment are answered as possibly run.
 func (s *Server) Stop(startedAt, lastMoment time.Time) {
 	s.stopping.Store(&stopPlan{startedAt: startedAt, lastMoment: lastMoment})
 	s.clock.AfterFunc(lastMoment.Sub(startedAt)-stopMargin, s.cancelStages)
@@ -182,27 +179,25 @@
 	workspaceSpec *proto.RelayWorkspace
 	// digest identifies the request across retries by the caller, which may use different ids.
 	digest proto.RequestDigest
-	// allowedRegions are the regions that may process the request and its pieces. The body is not sent to other
-	// daemons.
+	// allowedRegions are the regions that may process the request and its pieces. The body is sent to no other daemon.
 	allowedRegions proto.AllowedRegions
 	// rank is the priority of the request among those for its pool; 0 is the highest.
 	rank           int
 	routingVersion uint64
 	startedAt      time.Time
-	// deadline is when the final response must be sent. due is when the response should have arrived to meet the
-	// latency goal.
+	// deadline is when the final response must be sent. due is when it should have arrived to meet the latency goal.
 	deadline, due time.Time
 
 	stageResults []stageResult
 	// freeMu guards the flags of freed results, because a timer frees results too.
 	freeMu sync.Mutex
 	// inputHandles are the results that the request itself needs, in order. inputsMissing is set while they are being
-	// made, and if they could not be made.
+	// made, and if that failed.
 	inputHandles  []string
 	inputsMissing bool
 	// rebuilds counts how often the stages were run again.
 	rebuilds int
-	// inputZone is the zone that holds the largest part of the inputs, and inputBytes is the size of that part.
+	// inputZone is the zone with the largest part of the inputs, and inputBytes the size of that part.
 	inputZone  string
 	inputBytes int
 
@@ -233,7 +228,7 @@
 	reason     string
 }
 
-// ServeHTTP forwards one request. It returns when the response is complete or has failed.
+// ServeHTTP forwards one request, and returns when the response is complete or has failed.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	startedAt := s.clock.Now()
 	if s.stopping.Load() != nil {
@@ -261,8 +256,8 @@
 	f.finish(ctx, f.run(ctx))
 }
 
-// waitForStartup delays a request that arrives while the daemon is starting up. The daemon has all its data within
-// about ten milliseconds, whereas a caller that is refused only comes back after hundreds.
+// waitForStartup delays a request that arrives during startup: the daemon has all its data within about ten
+// milliseconds, whereas a refused caller comes back after hundreds.
 func (s *Server) waitForStartup(ctx context.Context) {
 	if s.started == nil {
 		return
@@ -321,7 +316,7 @@
 	return f.rebuilds < maxRebuilds && f.timeLeft() >= f.timeToFirstEvent()
 }
 
-// rebuild runs the stages again, because results that the request needs are no longer available.
+// rebuild runs the stages again, since results that the request needs are no longer available.
 func (f *flow) rebuild(ctx context.Context) (fail *failure, lost bool) {
 	f.rebuilds++
 	f.logInfo("inputs are made anew", "rebuilt", f.rebuilds, "left", formatDuration(f.timeLeft()))
--- a/relay/stages.go
+++ b/relay/stages.go
@@ -15,15 +15,13 @@
 	// initialFirstEventTime is the upper bound of the time to an engine's first event, including waiting, before any
 	// was observed for the route.
 	initialFirstEventTime = 300 * time.Millisecond
-	// retryAfterCalls is the minimum Retry-After as a multiple of the call time: a queue that is too long takes a few
-	// calls to drain. retrySpreadCalls is the number of call times over which callers that were refused together are
-	// spread.
+	// retryAfterCalls is the minimum Retry-After in call times: a queue that is too long takes a few calls to drain.
+	// retrySpreadCalls is over how many call times callers that were refused together are spread.
 	retryAfterCalls  = 4
 	retrySpreadCalls = 3
-	// retryAfterDivisor determines the fraction, one in so many, of their remaining time for which callers wait at
-	// most.
+	// retryAfterDivisor divides the remaining time of callers: they wait for that fraction at most.
 	retryAfterDivisor = 3
-	// expectedFill is the fill level of calls that is assumed for the expected call time of a stage.
+	// expectedFill is the fill level of a call that is assumed for a stage's expected call time.
 	expectedFill = 0.7
 )
 
@@ -43,7 +41,7 @@
 	took   time.Duration
 }
 
-// stageLogEntry describes in the log where the time of a stage was spent.
+// stageLogEntry describes in the log where a stage's time was spent.
 type stageLogEntry struct {
 	Stage   int    `json:"stage"`
 	Pool    string `json:"pool"`
@@ -62,8 +60,8 @@
 	return f.req.Pieces[stage]
 }
 
-// runStages runs all stages that the request does not skip, each as soon as the stages before it are done. lost is set
-// if a result was lost, so that the stages may be run again.
+// runStages runs all stages that the request does not skip, each as soon as its dependencies are done. lost is set if a
+// result was lost, so that the stages may be run again.
 func (f *flow) runStages(ctx context.Context) (fail *failure, lost bool) {
 	f.inputHandles, f.inputZone, f.inputBytes, f.inputsMissing = nil, "", 0, true
 	homeZone := f.server.fleet.PreferredZone(f.server.clock.Now(), f.pool, f.criteria())
@@ -95,7 +93,7 @@
 	return nil, false
 }
 
-// collectRest collects the results of the remaining stages, so that they are freed with the others.
+// collectRest collects the results of the remaining stages, so that they are freed too.
 func (f *flow) collectRest(outcomes chan stageOutcome, pending int) {
 	for ; pending > 0; pending-- {
 		e := <-outcomes
@@ -117,9 +115,8 @@
 	return f.notRunFailure(f.queueRetryAfter(f.stageCallTime(e.stage), e.answer.RetryAfter), "stage "+pool+": "+e.answer.Detail)
 }
 
-// queueRetryAfter returns when a caller that was refused because of a queue should come back: once the queue has
-// drained, spread so that not all come back at the same moment. callTime is that of the pool. Callers wait for a
-// third of their time at most.
+// queueRetryAfter returns when a caller refused for a queue should come back: once the queue has drained, spread so
+// that not all come back together. Callers wait for a third of their time at most. callTime is that of the pool.
 func (f *flow) queueRetryAfter(callTime, queueDelay time.Duration) time.Duration {
 	spread := time.Duration(0)
 	if callTime > 0 {
@@ -144,7 +141,7 @@
 		remaining := f.remainingTimeAfter(i)
 		due, deadline := f.due.Add(-remaining), f.deadline.Add(-f.timeToFirstEvent()/2)
 		if noWorkDone {
-			// A request without enough time for the later stages should be refused before anything has run.
+			// A request without time for the later stages should be refused before anything has run.
 			deadline = f.deadline.Add(-remaining)
 		}
 		go func() { outcomes <- f.runStage(ctx, ask, due, deadline) }()
@@ -167,7 +164,7 @@
 }
 
 // canDefer reports whether a stage with large results should run later: only the request itself needs them, and until
-// it runs they occupy space that other requests need.
+// it runs they occupy space that others need.
 func (f *flow) canDefer(stage int) bool {
 	if !f.isFinalStage(stage) || f.route.Stages[stage].ResultBytes*f.pieceCount(stage) < minBulkInputBytes {
 		return false
@@ -238,8 +235,8 @@
 	return true
 }
 
-// remainingTimeAfter returns the expected time from the end of a stage to the first event, including the queues of the
-// later stages. A request that would get stuck in one of them should be refused before anything has run.
+// remainingTimeAfter returns the expected time from the end of a stage to the first event, with the queues of the later
+// stages. A request that would get stuck there should be refused before anything has run.
 func (f *flow) remainingTimeAfter(stage int) time.Duration {
 	longest := time.Duration(0)
 	for i := range f.route.Stages {
@@ -255,8 +252,8 @@
 	return longest
 }
 
-// stageCallTime returns the upper bound of the duration of a stage's calls. Until calls are observed it is computed
-// from the configuration for a nearly full call.
+// stageCallTime returns the upper bound of the duration of a stage's calls: by the configuration, for a nearly full
+// call, until calls are observed.
 func (f *flow) stageCallTime(stage int) time.Duration {
 	pool := f.route.Stages[stage].Pool
 	spec := f.server.tables.Current().Routing().Pools[pool]
@@ -267,9 +264,8 @@
 	return f.server.callTimes.upperBound(pool, configured)
 }
 
-// timeToFirstEvent returns the upper bound of the time to the first event once the stages are done: the time that
-// requests of the route take besides reading the private parts of their prompts, plus the time to read the private part
-// of this one.
+// timeToFirstEvent returns the upper bound of the time to the first event once the stages are done: that of the route
+// without the reading of the private parts of prompts, plus the time to read this one's.
 func (f *flow) timeToFirstEvent() time.Duration {
 	return f.server.firstEventTimes.upperBound(f.route.Name, initialFirstEventTime) + f.ownPromptTime()
 }
@@ -279,8 +275,8 @@
 	f.server.firstEventTimes.observe(f.route.Name, initialFirstEventTime, max(0, took-f.ownPromptTime()))
 }
 
-// ownPromptTime returns how long an engine of the pool takes to read the private part of the prompt. Prompts of one
-// route differ in length by a factor of ten, and the longest leave the least time for their stages.
+// ownPromptTime returns how long an engine of the pool reads the private part of the prompt. Prompts of one route
+// differ in length by a factor of ten, and the longest leave the least time for their stages.
 func (f *flow) ownPromptTime() time.Duration {
 	if f.poolSpec.Engine == nil {
 		return 0
@@ -307,7 +303,7 @@
 	return true
 }
 
-// collectInputs collects the results that the request itself needs, and finds the zone that holds most of their bytes.
+// collectInputs collects the results that the request itself needs, and the zone with most of their bytes.
 func (f *flow) collectInputs() {
 	largest := 0
 	for i := range f.stageResults {
@@ -321,7 +317,7 @@
 	}
 }
 
-// freeConsumed frees the results of stages all of whose readers are done.
+// freeConsumed frees the results of stages whose readers are all done.
 func (f *flow) freeConsumed() {
 	for i := range f.stageResults {
 		if !f.stageResults[i].done || f.stageResults[i].freed || f.isFinalStage(i) {
@@ -353,10 +349,10 @@
 	f.server.pieces.Free(f.route.Stages[stage].Pool, results[stage].shard, results[stage].handles)
 }
 
-// freeAllResults frees all remaining results, once the request's inputs have been read or the request has ended.
+// freeAllResults frees all remaining results, once the inputs were read or the request has ended.
 func (f *flow) freeAllResults() { f.freeResults(f.stageResults) }
 
-// freeResults frees the given results, which may belong to stages that were run again since.
+// freeResults frees results, which may belong to stages that were run again since.
 func (f *flow) freeResults(results []stageResult) {
 	f.freeMu.Lock()
 	defer f.freeMu.Unlock()
@@ -365,7 +361,7 @@
 	}
 }
 
-// recordFreed records that the daemon that batches for a stage has freed the inputs of the stage.
+// recordFreed records that the daemon that batches for a stage has freed its inputs.
 func (f *flow) recordFreed(e stageOutcome) {
 	if !e.answer.InputsFreed {
 		return
@@ -377,7 +373,7 @@
 	}
 }
 
-// inputsFreed reports whether inputs of the request itself were freed, so that no other target can fetch them.
+// inputsFreed reports whether inputs of the request itself were freed, so that no further target can fetch them.
 func (f *flow) inputsFreed() bool {
 	if f.inputsMissing {
 		return true
