--- a/relay/additivemodel_test.go
+++ b/relay/additivemodel_test.go
@@ -95,10 +95,10 @@
 	for range 50 {
 		m.times.observe(map[int]float64{fixedCallCost: 1, 1: 4}, float64(time.Second))
 	}
-	learnt := m.callCost()
+	learned := m.callCost()
 	spec.MaxPieces = 12
 	m.updateSpec(spec)
-	if m.callCost() != learnt {
+	if m.callCost() != learned {
 		t.Error("estimates were reset although only the maximum call size changed")
 	}
 	spec.CallCost = 400 * time.Millisecond
@@ -181,9 +181,9 @@
 		owner.FinishAttempt(start.Add(time.Second), target, w, true, VerdictSuccess, Load{})
 	}
 	other.SetEngineTimes("p", owner.EngineTimes("p"))
-	learnt, adopted := owner.EngineTimes("p"), other.EngineTimes("p")
-	if learnt != adopted || learnt.PerPromptToken <= priorPerToken {
-		t.Errorf("learnt %+v, adopted %+v", learnt, adopted)
+	learned, adopted := owner.EngineTimes("p"), other.EngineTimes("p")
+	if learned != adopted || learned.PerPromptToken <= priorPerToken {
+		t.Errorf("learned %+v, adopted %+v", learned, adopted)
 	}
 	other.SetEngineTimes("p", proto.EngineTimes{})
 	if other.EngineTimes("p") != adopted {
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -241,15 +241,15 @@
 }
 
 func (f *flow) criteria() TargetCriteria {
-	w := TargetCriteria{Zone: f.server.zone, Tried: f.triedTargets, Engine: f.poolSpec.Engine != nil, OwnTokens: f.req.PromptTokens, Route: f.route.Name, MaxPause: f.route.MaxPause, Rank: f.rank, AllowedRegions: f.allowedRegions}
+	criteria := TargetCriteria{Zone: f.server.zone, Tried: f.triedTargets, Engine: f.poolSpec.Engine != nil, OwnTokens: f.req.PromptTokens, Route: f.route.Name, MaxPause: f.route.MaxPause, Rank: f.rank, AllowedRegions: f.allowedRegions}
 	if f.inputZone != "" {
-		w.Zone, w.InputBytes = f.inputZone, f.inputBytes
+		criteria.Zone, criteria.InputBytes = f.inputZone, f.inputBytes
 	}
 	if n := len(f.req.PromptParts); n > 1 {
-		w.SharedParts = f.req.PromptParts[:n-1]
-		w.OwnTokens = f.req.PromptParts[n-1].Tokens
+		criteria.SharedParts = f.req.PromptParts[:n-1]
+		criteria.OwnTokens = f.req.PromptParts[n-1].Tokens
 	}
-	return w
+	return criteria
 }
 
 // attempt is one request to one target. Its own goroutine sends the request and reads the response; all else is done by
@@ -314,24 +314,24 @@
 
 // hedgeDelayFor returns a multiple of the typical upper bound, but at least minStartTimeout.
 func hedgeDelayFor(typical time.Duration, factor int) hedgeDelay {
-	w := hedgeDelay{delay: time.Duration(factor) * typical, typical: typical, basis: basisTypical}
-	return w.atLeast(minStartTimeout, basisMinimum)
+	d := hedgeDelay{delay: time.Duration(factor) * typical, typical: typical, basis: basisTypical}
+	return d.atLeast(minStartTimeout, basisMinimum)
 }
 
 // atLeast returns the delay, or a longer one with another basis.
-func (w hedgeDelay) atLeast(delay time.Duration, basis string) hedgeDelay {
-	if delay > w.delay {
-		w.delay, w.basis = delay, basis
+func (d hedgeDelay) atLeast(delay time.Duration, basis string) hedgeDelay {
+	if delay > d.delay {
+		d.delay, d.basis = delay, basis
 	}
-	return w
+	return d
 }
 
 // atMost returns the delay, or a shorter one if less time is left.
-func (w hedgeDelay) atMost(limit time.Duration) hedgeDelay {
-	if limit < w.delay {
-		w.delay, w.basis = limit, basisTimeLeft
+func (d hedgeDelay) atMost(limit time.Duration) hedgeDelay {
+	if limit < d.delay {
+		d.delay, d.basis = limit, basisTimeLeft
 	}
-	return w
+	return d
 }
 
 // nextAttempt chooses a target: a new one while the route allows one, otherwise one whose attempt was canceled in favor
--- a/relay/batchcrash_test.go
+++ b/relay/batchcrash_test.go
@@ -73,8 +73,8 @@
 		if r == crashing {
 			want = proto.PiecesFailed
 		}
-		if got, over := fates[fmt.Sprint(r)]; !over || got != want {
-			t.Errorf("request %d: over %v, %s", r, over, got)
+		if got, finished := fates[fmt.Sprint(r)]; !finished || got != want {
+			t.Errorf("request %d: finished %v, outcome %s", r, finished, got)
 		}
 	}
 }
--- a/relay/batchoverdue.go
+++ b/relay/batchoverdue.go
@@ -49,8 +49,8 @@
 // hasAlternative reports whether another target can make the pieces of a job, which one with an overdue call cannot.
 func (b *Batcher) hasAlternative(now time.Time, c *Call, j *Job) bool {
 	for id, t := range b.targets {
-		hangs := t.call != nil && t.call.overdue
-		if id != c.Target.ID && !hangs && !t.spec.Leaving && !b.isSkipped(now, t) && j.Params.AllowedRegions.Allows(t.spec.Region) {
+		overdue := t.call != nil && t.call.overdue
+		if id != c.Target.ID && !overdue && !t.spec.Leaving && !b.isSkipped(now, t) && j.Params.AllowedRegions.Allows(t.spec.Region) {
 			return true
 		}
 	}
--- a/relay/batchqueue.go
+++ b/relay/batchqueue.go
@@ -61,15 +61,15 @@
 }
 
 // timeFor returns the time after which the targets have done an amount of work, each starting when it is free.
-func (c availability) timeFor(work float64) time.Duration {
-	at, speed := c[0].delay, 0.0
-	for i, f := range c {
+func (a availability) timeFor(work float64) time.Duration {
+	at, speed := a[0].delay, 0.0
+	for i, f := range a {
 		speed += 1 / f.slowdown
-		if i+1 == len(c) || (c[i+1].delay-at)*speed >= work {
+		if i+1 == len(a) || (a[i+1].delay-at)*speed >= work {
 			break
 		}
-		work -= (c[i+1].delay - at) * speed
-		at = c[i+1].delay
+		work -= (a[i+1].delay - at) * speed
+		at = a[i+1].delay
 	}
 	return time.Duration(at + work/speed)
 }
--- a/relay/crashdetector.go
+++ b/relay/crashdetector.go
@@ -71,13 +71,13 @@
 
 // RecordFailure records that an attempt or call failed while a target may have been working on requests. broken is set
 // if the target closed the connection, so that it may have ended just now.
-func (w *CrashDetector) RecordFailure(target proto.RelayTarget, broken bool, requests ...proto.RequestDigest) {
-	if w == nil {
+func (d *CrashDetector) RecordFailure(target proto.RelayTarget, broken bool, requests ...proto.RequestDigest) {
+	if d == nil {
 		return
 	}
-	now := w.clock.Now()
-	w.mu.Lock()
-	run := w.run(target.RunName())
+	now := d.clock.Now()
+	d.mu.Lock()
+	run := d.run(target.RunName())
 	for _, request := range requests {
 		run.openAttempts = append(run.openAttempts, openAttempt{request, now})
 	}
@@ -87,53 +87,53 @@
 	}
 	probe := broken && !run.ended && !run.probing
 	run.probing = run.probing || probe
-	w.mu.Unlock()
-	w.crashes.RecordEnd(target.RunName(), now, suspects)
+	d.mu.Unlock()
+	d.crashes.RecordEnd(target.RunName(), now, suspects)
 	if probe {
-		go w.probe(target)
+		go d.probe(target)
 	}
 }
 
 // RecordEnd records that a run of a target ended without announcing that it would leave.
-func (w *CrashDetector) RecordEnd(target proto.RelayTarget, cause string) {
-	if w == nil {
+func (d *CrashDetector) RecordEnd(target proto.RelayTarget, cause string) {
+	if d == nil {
 		return
 	}
-	now := w.clock.Now()
-	w.mu.Lock()
-	run := w.run(target.RunName())
+	now := d.clock.Now()
+	d.mu.Lock()
+	run := d.run(target.RunName())
 	known := run.ended
 	run.ended, run.endedAt = true, now
 	suspects := run.takeOpenRequests(now)
-	w.mu.Unlock()
+	d.mu.Unlock()
 	if !known || len(suspects) > 0 {
-		w.log.Info("a target has ended", "run", target.RunName(), "pool", target.Pool, "address", target.Address, "cause", cause, "requests", len(suspects))
+		d.log.Info("a target has ended", "run", target.RunName(), "pool", target.Pool, "address", target.Address, "cause", cause, "requests", len(suspects))
 	}
-	w.crashes.RecordEnd(target.RunName(), now, suspects)
+	d.crashes.RecordEnd(target.RunName(), now, suspects)
 }
 
 // run returns the state of a run, and adds it if necessary. The caller holds the lock.
-func (w *CrashDetector) run(name proto.RunName) *watchedRun {
-	r := w.runs[name]
+func (d *CrashDetector) run(name proto.RunName) *watchedRun {
+	r := d.runs[name]
 	if r == nil {
 		r = &watchedRun{}
-		w.runs[name] = r
-		w.runCount.Add(1)
+		d.runs[name] = r
+		d.runCount.Add(1)
 	}
 	return r
 }
 
 // RecordAlive records that a run of a target answered. If it was recorded as ended, its address may have refused
 // connections before the process listened there.
-func (w *CrashDetector) RecordAlive(target proto.RelayTarget) {
-	if w == nil || w.runCount.Load() == 0 {
+func (d *CrashDetector) RecordAlive(target proto.RelayTarget) {
+	if d == nil || d.runCount.Load() == 0 {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if r := w.runs[target.RunName()]; r != nil && r.ended {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if r := d.runs[target.RunName()]; r != nil && r.ended {
 		r.ended = false
-		w.log.Info("target that was recorded as ended is alive", "run", target.RunName(), "pool", target.Pool, "address", target.Address)
+		d.log.Info("target that was recorded as ended is alive", "run", target.RunName(), "pool", target.Pool, "address", target.Address)
 	}
 }
 
@@ -151,40 +151,40 @@
 }
 
 // probe probes a target that closed the connection of an attempt.
-func (w *CrashDetector) probe(target proto.RelayTarget) {
+func (d *CrashDetector) probe(target proto.RelayTarget) {
 	for n := range maxProbes {
 		if n > 0 {
-			w.clock.Sleep(probePause)
+			d.clock.Sleep(probePause)
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
-		refuses := w.prober.Refuses(ctx, target.Address)
+		refuses := d.prober.Refuses(ctx, target.Address)
 		cancel()
 		if refuses {
-			w.RecordEnd(target, "its address refuses connections")
+			d.RecordEnd(target, "its address refuses connections")
 			break
 		}
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if r := w.runs[target.RunName()]; r != nil {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if r := d.runs[target.RunName()]; r != nil {
 		r.probing = false
 	}
 }
 
 // Sweep removes expired attempts and runs. It is called several times per second.
-func (w *CrashDetector) Sweep() {
-	if w == nil {
+func (d *CrashDetector) Sweep() {
+	if d == nil {
 		return
 	}
-	now := w.clock.Now()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for name, r := range w.runs {
+	now := d.clock.Now()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for name, r := range d.runs {
 		r.openAttempts = slices.DeleteFunc(r.openAttempts, func(a openAttempt) bool { return now.Sub(a.failedAt) > openAttemptTTL })
 		over := !r.ended || now.Sub(r.endedAt) > endedRunTTL
 		if over && len(r.openAttempts) == 0 && !r.probing {
-			delete(w.runs, name)
-			w.runCount.Add(-1)
+			delete(d.runs, name)
+			d.runCount.Add(-1)
 		}
 	}
 }
--- a/relay/crashdetector_test.go
+++ b/relay/crashdetector_test.go
@@ -87,10 +87,10 @@
 }
 
 // isProbing reports whether a run is being probed.
-func (w *CrashDetector) isProbing(name proto.RunName) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.runs[name] != nil && w.runs[name].probing
+func (d *CrashDetector) isProbing(name proto.RunName) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.runs[name] != nil && d.runs[name].probing
 }
 
 func waitUntil(t *testing.T, done func() bool) {
@@ -238,8 +238,8 @@
 }
 
 // hasEnded reports whether a run is known to have ended.
-func (w *CrashDetector) hasEnded(name proto.RunName) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.runs[name] != nil && w.runs[name].ended
+func (d *CrashDetector) hasEnded(name proto.RunName) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.runs[name] != nil && d.runs[name].ended
 }
--- a/relay/stages.go
+++ b/relay/stages.go
@@ -72,19 +72,19 @@
 	outcomes := make(chan stageOutcome, len(stages))
 	pending := f.startStages(ctx, outcomes, homeZone)
 	for pending > 0 {
-		e := <-outcomes
+		outcome := <-outcomes
 		pending--
-		f.recordStage(e)
-		f.recordFreed(e)
-		if e.answer.Outcome != proto.PiecesDone {
+		f.recordStage(outcome)
+		f.recordFreed(outcome)
+		if outcome.answer.Outcome != proto.PiecesDone {
 			cancel()
 			f.collectRest(outcomes, pending)
-			return f.stageFailure(e), e.answer.Outcome == proto.PiecesLost
+			return f.stageFailure(outcome), outcome.answer.Outcome == proto.PiecesLost
 		}
-		f.server.callTimes.observe(stages[e.stage].Pool, f.stageCallTime(e.stage), e.answer.CallTime)
-		r := &f.stageResults[e.stage]
-		r.done, r.handles, r.zone, r.shard = true, e.answer.Handles, e.answer.Zone, e.answer.Shard
-		r.bytes = stages[e.stage].ResultBytes * len(r.handles)
+		f.server.callTimes.observe(stages[outcome.stage].Pool, f.stageCallTime(outcome.stage), outcome.answer.CallTime)
+		r := &f.stageResults[outcome.stage]
+		r.done, r.handles, r.zone, r.shard = true, outcome.answer.Handles, outcome.answer.Zone, outcome.answer.Shard
+		r.bytes = stages[outcome.stage].ResultBytes * len(r.handles)
 		f.freeConsumed()
 		pending += f.startStages(ctx, outcomes, homeZone)
 	}
@@ -96,23 +96,23 @@
 // collectRest collects the results of the remaining stages, so that they are freed too.
 func (f *flow) collectRest(outcomes chan stageOutcome, pending int) {
 	for ; pending > 0; pending-- {
-		e := <-outcomes
-		f.recordStage(e)
-		f.recordFreed(e)
-		if e.answer.Outcome == proto.PiecesDone {
-			r := &f.stageResults[e.stage]
-			r.done, r.handles, r.shard = true, e.answer.Handles, e.answer.Shard
+		outcome := <-outcomes
+		f.recordStage(outcome)
+		f.recordFreed(outcome)
+		if outcome.answer.Outcome == proto.PiecesDone {
+			r := &f.stageResults[outcome.stage]
+			r.done, r.handles, r.shard = true, outcome.answer.Handles, outcome.answer.Shard
 		}
 	}
 }
 
-func (f *flow) stageFailure(e stageOutcome) *failure {
-	pool := f.route.Stages[e.stage].Pool
+func (f *flow) stageFailure(outcome stageOutcome) *failure {
+	pool := f.route.Stages[outcome.stage].Pool
 	if fail := f.refuseCrashing(); fail != nil {
 		return fail
 	}
-	f.logInfo("a stage failed", "stage", e.stage, "pool", pool, "fate", e.answer.Outcome.String(), "wait", formatDuration(e.answer.RetryAfter), "detail", e.answer.Detail)
-	return f.notRunFailure(f.queueRetryAfter(f.stageCallTime(e.stage), e.answer.RetryAfter), "stage "+pool+": "+e.answer.Detail)
+	f.logInfo("a stage failed", "stage", outcome.stage, "pool", pool, "fate", outcome.answer.Outcome.String(), "wait", formatDuration(outcome.answer.RetryAfter), "detail", outcome.answer.Detail)
+	return f.notRunFailure(f.queueRetryAfter(f.stageCallTime(outcome.stage), outcome.answer.RetryAfter), "stage "+pool+": "+outcome.answer.Detail)
 }
 
 // queueRetryAfter returns when a caller refused for a queue should come back: once the queue has drained, spread so
@@ -156,10 +156,10 @@
 	return stageOutcome{stage: ask.Stage, answer: answer, took: clock.Now().Sub(startedAt)}
 }
 
-func (f *flow) recordStage(e stageOutcome) {
+func (f *flow) recordStage(outcome stageOutcome) {
 	f.stageLog = append(f.stageLog, stageLogEntry{
-		Stage: e.stage, Pool: f.route.Stages[e.stage].Pool, Outcome: e.answer.Outcome.String(),
-		QueuedFor: formatDuration(e.answer.QueuedFor), CallTime: formatDuration(e.answer.CallTime), Took: formatDuration(e.took),
+		Stage: outcome.stage, Pool: f.route.Stages[outcome.stage].Pool, Outcome: outcome.answer.Outcome.String(),
+		QueuedFor: formatDuration(outcome.answer.QueuedFor), CallTime: formatDuration(outcome.answer.CallTime), Took: formatDuration(outcome.took),
 	})
 }
 
@@ -362,13 +362,13 @@
 }
 
 // recordFreed records that the daemon that batches for a stage has freed its inputs.
-func (f *flow) recordFreed(e stageOutcome) {
-	if !e.answer.InputsFreed {
+func (f *flow) recordFreed(outcome stageOutcome) {
+	if !outcome.answer.InputsFreed {
 		return
 	}
 	f.freeMu.Lock()
 	defer f.freeMu.Unlock()
-	for _, dependency := range f.route.Stages[e.stage].DependsOn {
+	for _, dependency := range f.route.Stages[outcome.stage].DependsOn {
 		f.stageResults[dependency].freed = true
 	}
 }
