--- a/relay/batch_test.go
+++ b/relay/batch_test.go
@@ -192,7 +192,7 @@
 		finished := b.CallFailed(now, calls[0], false)
 		if try == maxFailedCalls {
 			if len(finished) != 1 || finished[0].Answer.Outcome != proto.PiecesFailed {
-				t.Fatalf("ends %v", finished)
+				t.Fatalf("finished jobs %v", finished)
 			}
 			return
 		}
@@ -230,7 +230,7 @@
 	}
 	finished, unused := b.CallDone(now, calls[0], results(calls[0]))
 	if len(finished) != 1 || len(unused) != 0 {
-		t.Fatalf("ends %v, unused %v", finished, unused)
+		t.Fatalf("finished jobs %v, unused %v", finished, unused)
 	}
 	finished, unused = b.CallDone(now, slow, results(slow))
 	if len(finished) != 0 || len(unused) != 4 {
@@ -272,7 +272,7 @@
 	b.Withdraw("b", 0)
 	finished, unused := b.CallDone(start, c, results(c))
 	if len(finished) != 0 || len(unused) != 2 {
-		t.Errorf("ends %v, unused %v", finished, unused)
+		t.Errorf("finished jobs %v, unused %v", finished, unused)
 	}
 	if calls := next(b, start); len(calls) != 0 {
 		t.Errorf("a withdrawn job was started: %q", pieces(calls[0]))
--- a/relay/batchinputs_test.go
+++ b/relay/batchinputs_test.go
@@ -29,7 +29,7 @@
 	}
 	finished, _ := b.CallDone(start, first, results(first))
 	if len(finished) == 0 || !finished[0].Answer.InputsFreed {
-		t.Errorf("ends %+v do not report that the inputs were freed", finished)
+		t.Errorf("the finished jobs %+v do not report that the inputs were freed", finished)
 	}
 	if late := b.releaseInputs(start, first); len(late) != 0 {
 		t.Errorf("released after the call: %v", late)
@@ -85,7 +85,7 @@
 		t.Errorf("released: %v", released)
 	}
 	if finished := b.CallFailed(late, first, false); len(finished) != 0 {
-		t.Errorf("ends %+v although the second call is in progress", finished)
+		t.Errorf("finished jobs %+v although the second call is in progress", finished)
 	}
 }
 
@@ -113,7 +113,7 @@
 			}
 			finished := s.end(b, c)
 			if len(finished) != 1 || finished[0].Answer.Outcome != proto.PiecesLost || !finished[0].Answer.InputsFreed {
-				t.Errorf("ends %+v, want the job lost with its inputs freed, so that the stages of the request are repeated", finished)
+				t.Errorf("finished jobs %+v, want the job lost with its inputs freed, so that the stages of the request are repeated", finished)
 			}
 		})
 	}
--- a/relay/fleet_test.go
+++ b/relay/fleet_test.go
@@ -161,7 +161,7 @@
 		t.Fatalf("lapsed %v after version %s", ids, before)
 	}
 	if events := f.MarkSuspected("a"); len(events) != 1 || usableIDs(f, "p") != "b " {
-		t.Errorf("usable %q, notes %v", usableIDs(f, "p"), events)
+		t.Errorf("usable %q, events %v", usableIDs(f, "p"), events)
 	}
 	if events := f.MarkSuspected("a"); len(events) != 0 {
 		t.Errorf("suspected twice: %v", events)
@@ -201,7 +201,7 @@
 	f.MarkStoreDown(start)
 	events := f.ApplyChanges(start, []FleetChange{removeChange(2, "a")})
 	if len(events) != 1 || events[0].Outcome != outcomeRemoved {
-		t.Errorf("notes %v", events)
+		t.Errorf("events %v", events)
 	}
 }
 
--- a/relay/restart_test.go
+++ b/relay/restart_test.go
@@ -54,7 +54,7 @@
 		t.Error("the new run is assumed to have cached prompts")
 	}
 	if next.active != 0 || next.unreadTokens != 0 || next.pauseWeight != 0 || next.otherLoad != 0 || next.slowdown != 1 {
-		t.Errorf("the new run has a load: %d attempts, %d tokens, strain %g, others %g, pace %g", next.active, next.unreadTokens, next.pauseWeight, next.otherLoad, next.slowdown)
+		t.Errorf("the new run has a load: %d attempts, %d tokens, pause weight %g, other load %g, slowdown %g", next.active, next.unreadTokens, next.pauseWeight, next.otherLoad, next.slowdown)
 	}
 	if next.health.ejected(start) {
 		t.Error("the new run is ejected for failures of the ended one")
@@ -215,7 +215,7 @@
 	}
 	finished, _ := b.CallDone(start, again[0], results(again[0]))
 	if len(finished) != 1 || finished[0].Answer.Outcome != proto.PiecesDone {
-		t.Errorf("ends %+v", finished)
+		t.Errorf("finished jobs %+v", finished)
 	}
 }
 
@@ -227,7 +227,7 @@
 	b.SetTargets(nil)
 	finished, _ := b.CallDone(start.Add(time.Second), call, results(call))
 	if len(finished) != 1 || finished[0].Answer.Outcome != proto.PiecesDone {
-		t.Errorf("ends %+v", finished)
+		t.Errorf("finished jobs %+v", finished)
 	}
 }
 
