--- a/relay/admit.go
+++ b/relay/admit.go
@@ -10,42 +10,40 @@
 
 // Parameters of the admission of requests to pools of engines.
 const (
-	// defaultMaxPause is the shortest allowed pause between stream events that is assumed for a pool none of whose
-	// routes sets one.
+	// defaultMaxPause is the shortest allowed pause between stream events for a pool none of whose routes sets one.
 	defaultMaxPause = 500 * time.Millisecond
 	// queueFraction is the fraction of that pause for which prompts should wait at the engines of a busy pool. With
-	// less, engines run out of prompts at times; with the whole pause their streams are late, because engines read
-	// prompts between the tokens of streams.
+	// less, engines run out of prompts at times; with all of it streams are late, because engines read prompts between
+	// their tokens.
 	queueFraction = 0.7
 	// maxQueueFactor is the multiple of the intended wait above which every request is refused.
 	maxQueueFactor = 3
-	// rateStep is the fraction by which more requests are admitted than engines read if nothing waits, and less if the
-	// wait is twice as long as intended. With stages that take a second, a larger step makes the load oscillate.
+	// rateStep is the fraction by which more requests are admitted than engines read if nothing waits, and fewer if the
+	// wait is twice as long as intended. With stages that take a second, a larger one makes the load oscillate.
 	rateStep = 0.15
 	// minRateFactor limits how far the admitted rate may drop below the rate at which engines read.
 	minRateFactor = 0.7
-	// Engines count as idle if prompts wait for less than idleFraction of the intended wait. Idle engines are given at
-	// least idleStep times the rate at which they currently read, and at least idleRate of the rate at which they could
-	// read without streams.
+	// Engines count as idle if prompts wait for less than idleFraction of the intended wait. They are given at least
+	// idleStep times the rate at which they read now, and at least idleRate of the rate at which they could read
+	// without streams.
 	idleFraction, idleStep, idleRate = 0.25, 1.4, 0.5
-	// floorFraction is the fraction of the admitted rate that is reserved for all ranks, regardless of the demand of
-	// higher ranks. Urgent requests go first, but the least urgent ones are not refused for as long as more urgent ones
-	// arrive.
+	// floorFraction is the fraction of the admitted rate that is reserved for all ranks, whatever the demand of higher
+	// ones: urgent requests go first, but the least urgent are not refused for as long as more urgent ones arrive.
 	floorFraction = 0.5
-	// floorStep is the floor of a rank relative to that of the next higher rank. If all floors were equal, chance would
-	// decide which of two ranks at their floors is served more, since these have few requests.
+	// floorStep is the floor of a rank relative to that of the next higher one. With equal floors chance would decide
+	// which of two ranks at their floors is served more, since these have few requests.
 	floorStep = 0.8
 	// Admission control starts when prompts wait for busyFraction of the intended wait, and lasts for busyDuration
-	// after each such observation. While the load is lower, no daemon is asked and nothing is counted.
+	// after each such observation. At a lower load no daemon is asked and nothing is counted.
 	busyFraction, busyDuration = 0.6, 2 * time.Second
-	// lostFraction is the fraction of the recently usable engines below which a pool counts as having lost many of
-	// them. Admission control then starts at once, before the prompts already on their way delay the remaining engines,
-	// and lasts for lostDuration.
+	// lostFraction is the fraction of the recently usable engines below which a pool counts as having lost many.
+	// Admission control then starts at once, before prompts on their way delay the remaining engines, and lasts for
+	// lostDuration.
 	lostFraction, lostDuration = 0.75, 5 * time.Second
 	// usualHalfLife is the half-life with which the usual number of engines follows a decrease.
 	usualHalfLife = 5 * time.Second
-	// rateHalfLife is the half-life of the sums of requested and of read tokens, and perHalfLife converts such a sum to
-	// a rate per second.
+	// rateHalfLife is the half-life of the sums of requested and of read tokens, and perHalfLife converts them to rates
+	// per second.
 	rateHalfLife = time.Second
 	perHalfLife  = math.Ln2
 	// refusalTTL is how long a refused request is remembered. Callers come back within a third of their time.
@@ -56,13 +54,12 @@
 	retryFraction = 0.7
 )
 
-// engineLoad is the load of a pool of engines, as far as the daemon that places its requests knows it.
+// engineLoad is the load of a pool of engines, as known to the daemon that places its requests.
 type engineLoad struct {
 	// usable is the number of engines that accept requests.
 	usable int
 	// waitingTokens is the number of prompt tokens that wait while the engines read other prompts. maxRate is the
-	// number of tokens that all engines can read in a second without streams, and readRate is the number that they have
-	// recently read in a second.
+	// number that all engines can read in a second without streams, and readRate the number read recently in a second.
 	waitingTokens, maxRate, readRate float64
 	// maxPause is the shortest pause between events that the streams of the pool allow.
 	maxPause time.Duration
@@ -113,8 +110,7 @@
 	return t.unreadTokens - t.unreadPrompts[0].tokens
 }
 
-// shortestPause returns the shortest pause between events that is allowed by the routes that have sent prompts
-// recently.
+// shortestPause returns the shortest pause between events allowed by the routes that recently sent prompts.
 func (p *targetPool) shortestPause(now time.Time) time.Duration {
 	shortest := time.Duration(0)
 	for _, r := range p.prompts {
@@ -128,8 +124,7 @@
 	return shortest
 }
 
-// missingTokens returns the average number of tokens of shared parts that engines have to read for a request of a
-// route.
+// missingTokens returns the mean number of tokens of shared parts that engines have to read for a request of a route.
 func (f *Fleet) missingTokens(now time.Time, pool, route string) float64 {
 	p := f.pool(pool)
 	if p == nil {
@@ -148,16 +143,15 @@
 	return r.missing.Value(now, promptHalfLife) / n
 }
 
-// admissionController decides which requests for a pool of engines are admitted while the engines are busy. It admits
-// about as many tokens per second as the engines read, adjusted by the length of their queues, and urgent ranks first.
-// Its user must hold a lock.
+// admissionController decides which requests for a pool of engines are admitted while the engines are busy: about as
+// many tokens per second as the engines read, adjusted by the length of their queues, and urgent ranks first. Its user
+// must hold a lock.
 type admissionController struct {
 	// demand is the number of requested tokens by rank.
 	demand []state.DecayingSum
 	// refused holds the time of the first refusal of each refused request.
 	refused map[proto.RequestDigest]time.Time
-	// usualEngines is the recent number of usable engines, as of usualAt. A loss of many engines counts until
-	// lostUntil.
+	// usualEngines is the recent number of usable engines, as of usualAt. A loss of many counts until lostUntil.
 	usualEngines float64
 	usualAt      time.Time
 	lostUntil    time.Time
@@ -195,8 +189,8 @@
 	return load.readRate * max(minRateFactor, 1-rateStep*excess)
 }
 
-// share returns the fraction of a rank's requests that is admitted. Each rank gets its floor, and the rest of the rate
-// goes to the most urgent ranks first.
+// share returns the fraction of a rank's requests that is admitted. Each rank gets its floor; the most urgent ranks get
+// the rest first.
 func (a *admissionController) share(now time.Time, rate float64, rank int) float64 {
 	demand, total := a.currentDemand(now)
 	if total <= rate || demand[rank] == 0 {
@@ -223,8 +217,8 @@
 	return demand, total
 }
 
-// rankFloors distributes the reserved part of the rate: it returns the fraction of each rank's requests that is
-// admitted at least, which is smaller for each rank than for the one before.
+// rankFloors returns the least admitted fraction of each rank's requests, from the reserved part of the rate. It
+// decreases from rank to rank.
 func rankFloors(demand []float64, rate float64) []float64 {
 	floors, step, sum := make([]float64, len(demand)), 1.0, 0.0
 	for r := range demand {
@@ -246,7 +240,7 @@
 	a.demand[ask.Rank].Add(now, rateHalfLife, tokens)
 	slack := ask.Slack
 	if first, known := a.refused[ask.Digest]; known {
-		// A refusal is credited to one retry only, because other callers may send the same request.
+		// A refusal is credited to one retry only, since other callers may send the same request.
 		slack -= now.Sub(first)
 		delete(a.refused, ask.Digest)
 	}
@@ -263,8 +257,8 @@
 // unitInterval maps a hash to a number from 0 to 1.
 func unitInterval(hash uint64) float64 { return float64(hash%10_000) / 10_000 }
 
-// retryAfter returns when the caller of a refused request should come back. Callers that are refused together are
-// spread over the time in which they can still meet their goals.
+// retryAfter returns when the caller of a refused request should come back. Callers refused together are spread over
+// the time in which they can still meet their goals.
 func retryAfter(seed uint64, slack time.Duration) time.Duration {
 	spread := max(0, time.Duration(retryFraction*float64(slack))-minRetryWait)
 	return minRetryWait + time.Duration(unitInterval(state.Mix(seed))*float64(spread))
--- a/relay/choice.go
+++ b/relay/choice.go
@@ -10,16 +10,16 @@
 
 // Costs used to pick a target, in nanoseconds of expected delay.
 const (
-	// fullTargetCost is the cost of a full target for plain requests, relative to the cost of another zone: a target
-	// that is a quarter full costs as much as a round trip of some milliseconds.
+	// fullTargetCost is the cost of a full target for plain requests, relative to that of another zone: a target that
+	// is a quarter full costs as much as a round trip of some milliseconds.
 	fullTargetCost = float64(20 * time.Millisecond)
 	// otherLoadLifetime is how long a reported load counts; most attempts are over after that.
 	otherLoadLifetime = 2 * time.Second
-	// duplicateReadFactor is the weight of reading a shared part that another engine has cached already. It takes
-	// engine time from all waiting requests, and memory from parts that others will ask for.
+	// duplicateReadFactor is the weight of reading a shared part that another engine has cached: it takes engine time
+	// from all waiting requests, and memory from parts that others will ask for.
 	duplicateReadFactor = 2.0
-	// preferredDiscount is the fraction of the time to read a shared prompt that is deducted for its preferred target,
-	// so that daemons that choose alone, or have just become the owner, make the same choice.
+	// preferredDiscount is the fraction of a shared prompt's reading time that its preferred target is credited, so
+	// that daemons that choose alone, or have just become the owner, make the same choice.
 	preferredDiscount = 0.6
 	// stallWeight is the weight of the pauses in concurrent streams relative to the delay of the prompt itself.
 	stallWeight = 0.15
@@ -27,31 +27,30 @@
 	wrongGroupCost = float64(250 * time.Millisecond)
 	// minLongShare and maxLongShare bound the fraction of engines that serve the routes with long prompts.
 	minLongShare, maxLongShare = 0.4, 0.75
-	// longPromptRatio is the ratio of a route's mean prompt length to the pool's from which on its prompts count as
-	// long.
+	// longPromptRatio is the ratio of a route's mean prompt length to the pool's from which its prompts count as long.
 	longPromptRatio = 0.6
 	// promptHalfLife is the half-life of prompt averages; routes change within seconds in a burst.
 	promptHalfLife = 10 * time.Second
 )
 
 // ZoneCosts are the costs of another availability zone in the choice of a target, as a delay. The operator sets them:
-// higher values suit a platform where traffic between zones is expensive, at the cost of latency.
+// higher where traffic between zones is expensive, at the expense of latency.
 type ZoneCosts struct {
-	// PerRequest is the cost of any request to another zone, including the round trip.
+	// PerRequest is the cost of any request to another zone, with the round trip.
 	PerRequest time.Duration
 	// PerMegabyte is the cost of a megabyte of inputs from another zone.
 	PerMegabyte time.Duration
 }
 
 // DefaultZoneCosts returns costs for zones a millisecond or two apart. A megabyte costs as much as reading about 300
-// prompt tokens, so inputs cross zones if the engine there has cached a shared part longer than that.
+// prompt tokens, so inputs cross zones if the engine there has cached a longer shared part.
 func DefaultZoneCosts() ZoneCosts {
 	return ZoneCosts{PerRequest: 3 * time.Millisecond, PerMegabyte: 9 * time.Millisecond}
 }
 
 // TargetCriteria describes the request that a target is picked for.
 type TargetCriteria struct {
-	// SharedParts are the parts of the prompt that other requests may share, and OwnTokens is the size of the rest.
+	// SharedParts are the parts of the prompt that others may share, and OwnTokens is the size of the rest.
 	SharedParts []proto.PromptPart
 	OwnTokens   int
 	// Zone is the daemon's own zone, or that of large inputs.
@@ -70,16 +69,15 @@
 	Rank int
 	// AllowedRegions are the regions that the target must be in.
 	AllowedRegions proto.AllowedRegions
-	// ForPeer is set if another daemon sends the request. Backoffs that targets asked of this daemon do not apply then;
-	// the targets that the peer must not use are in Tried.
+	// ForPeer is set if another daemon sends the request. Backoffs asked of this daemon then do not apply; targets that
+	// the peer must not use are in Tried.
 	ForPeer bool
-	// AllowedCold holds the cold targets that may be picked, and AllowedLimited the targets with a limit that may be
-	// picked.
+	// AllowedCold holds the cold targets and AllowedLimited the targets with a limit that may be picked.
 	AllowedCold, AllowedLimited map[string]bool
 }
 
-// Pick returns the target with the least expected delay and starts an attempt on it. It returns nil if there is none,
-// or if every healthy target is at capacity.
+// Pick returns the target with the least expected delay and starts an attempt on it, or returns nil if there is none or
+// every healthy one is at capacity.
 func (f *Fleet) Pick(now time.Time, pool string, w TargetCriteria) *Target {
 	p := f.pool(pool)
 	if p == nil {
@@ -124,7 +122,7 @@
 	t.health.recordFailure(now)
 }
 
-// PickByID starts an attempt on a target that another daemon picked; it returns nil if the target must not get work.
+// PickByID starts an attempt on a target that another daemon picked, or returns nil if it must not get work.
 func (f *Fleet) PickByID(now time.Time, pool, id string, w TargetCriteria) *Target {
 	p := f.pool(pool)
 	if p == nil {
@@ -154,8 +152,7 @@
 	t.cache.record(now, w.SharedParts, maxCacheTokens)
 }
 
-// pauseWeight is the cost of a pause of one millisecond for a stream; it is higher for routes that allow shorter
-// pauses.
+// pauseWeight is the cost of a pause of one millisecond for a stream, higher for routes that allow shorter pauses.
 func (w *TargetCriteria) pauseWeight() float64 {
 	if w.MaxPause <= 0 {
 		return 0
@@ -163,7 +160,7 @@
 	return float64(time.Millisecond) / float64(w.MaxPause)
 }
 
-// maxCacheTokens is the number of prompt tokens that an engine of the pool is assumed to cache.
+// maxCacheTokens is the assumed number of prompt tokens that an engine of the pool caches.
 func (p *targetPool) maxCacheTokens() int {
 	if p.cacheTokens == 0 {
 		return cacheShare * defaultCacheTokens
@@ -171,8 +168,8 @@
 	return int(cacheShare * float64(p.cacheTokens))
 }
 
-// best returns the cheapest target, and whether a target was skipped because it is at capacity. If failing is set,
-// unhealthy and full targets are considered too, since any target is better than none.
+// best returns the cheapest target, and whether one was skipped because it is at capacity. failing includes unhealthy
+// and full targets, since any is better than none.
 func (p *targetPool) best(now time.Time, w TargetCriteria, failing bool) (best *Target, atCapacity bool) {
 	preferred := p.preferredTarget(now, w)
 	longPrompts := p.hasLongPrompts(now, w.Route)
@@ -292,7 +289,7 @@
 	tokenCost, streamCost := t.pool.tokenCost, t.pool.streamCost
 	queued := float64(t.unreadTokens) * tokenCost * t.slowdown
 	read := (float64(w.OwnTokens) + missingTokens) * tokenCost * t.slowdown
-	// Concurrent streams stall while a prompt is read. What is queued already would stall them anyway.
+	// Concurrent streams stall while a prompt is read, and would anyway for what is queued already.
 	stall := stallWeight * t.pauseWeight * ((queued+read)*(queued+read) - queued*queued)
 	duplicate := duplicateReadFactor * missingTokens * tokenCost
 	running := (float64(t.active) + others) * streamCost * t.slowdown
@@ -378,8 +375,7 @@
 	return !t.unlisted && !t.leaves()
 }
 
-// InService reports whether the run of a target that spec describes is still listed and has not announced that it
-// leaves.
+// InService reports whether the run that spec describes is still listed and has not announced that it leaves.
 func (f *Fleet) InService(spec proto.RelayTarget) bool {
 	f.mu.RLock()
 	t := f.byID[spec.ID]
--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -18,36 +18,35 @@
 
 const (
 	// crashLimit is the number of targets that may end while they run a request, without an answer in between, before
-	// the request is refused. The end of a target counts against every request that it ran, although at most one of
-	// them caused it. With a lower limit many innocent requests are refused when targets end in waves for other
-	// reasons.
+	// it is refused. An end counts against every request that the target ran, although at most one caused it. With a
+	// lower limit many innocent requests are refused when targets end in waves for other reasons.
 	crashLimit = 3
 	// answerValidity is how long an answer from any target counts in favor of a request, and popularCrashLimit is the
-	// number of targets that may end after that answer before the request is refused nevertheless. A request that
-	// callers send all the time, such as a page that everyone reads, is running at most targets at any moment, and so
-	// at all targets that end together; but it is also answered all the time, whereas a request that crashes its
-	// targets is never answered. Without this rule, requests that all callers send alike were refused for an hour when
-	// all three targets of a pool ended within a second.
+	// number of targets that may end after it before the request is refused nevertheless. A request that callers send
+	// all the time, such as a page that everyone reads, runs at most targets at any moment, and so at all that end
+	// together; but it is also answered all the time, while one that crashes its targets never is. Without this rule,
+	// requests that all callers send alike were refused for an hour when all three targets of a pool ended within a
+	// second.
 	answerValidity    = time.Minute
 	popularCrashLimit = 4 * crashLimit
-	// maxAnswers limits the number of answered requests that are remembered, at about 50 bytes each. It covers the last
-	// seconds of a busy daemon, and requests that recur.
+	// maxAnswers limits the number of remembered answered requests, at about 50 bytes each: those of the last seconds
+	// of a busy daemon, and requests that recur.
 	maxAnswers = 8192
-	// crashTTL is how long the end of a target counts. Per period, a request that keeps crashing targets ends three of
-	// them, and those that are running it when it is blocked. By the next period the targets may run other software.
+	// crashTTL is how long the end of a target counts. Per period, a request that keeps crashing targets ends three,
+	// and those that run it when it is blocked. By the next one the targets may run other software.
 	crashTTL = time.Hour
-	// maxCrashes limits the number of remembered pairs of request and ended target, at about 200 bytes each. It covers
-	// the ends of a few hundred targets with everything that they ran.
+	// maxCrashes limits the number of remembered pairs of request and ended target, at about 200 bytes each: the ends
+	// of a few hundred targets with everything that they ran.
 	maxCrashes = 8192
-	// crashDropDivisor determines the fraction, one in so many, of pairs that is dropped to make room.
+	// crashDropDivisor sets the fraction, one in so many, of pairs that is dropped to make room.
 	crashDropDivisor = 4
 )
 
-// CrashTracker remembers which requests were running at targets when these ended, as observed by any daemon. A nil
+// CrashTracker remembers which requests were running at targets when these ended, as seen by any daemon. A nil
 // *CrashTracker remembers nothing.
 //
-// A pair of request and ended target is only ever added, or marked as answered. Daemons with different data therefore
-// converge by exchanging it, in any order and any number of times.
+// A pair of request and ended target is only ever added, or marked as answered. Daemons thus converge by exchanging
+// their data, in any order and any number of times.
 type CrashTracker struct {
 	self     proto.VM
 	clock    clockwork.Clock
@@ -61,13 +60,13 @@
 	requests map[proto.RequestDigest]crashRecord
 	size     int
 	digest   uint64
-	// blocked is the number of blocked requests, and suspected that of requests with ends that count against them. They
-	// save lookups under the lock while there is nothing to find.
+	// blocked is the number of blocked requests, and suspected that of requests with ends that count. They save lookups
+	// under the lock while there is nothing to find.
 	blocked, suspected atomic.Int64
 }
 
-// EndListener is called, without a lock held, with the ends that a daemon has newly learned and with the daemon that
-// sent them, or this daemon itself if it observed them.
+// EndListener is called, without a lock held, with newly learned ends and the daemon that sent them: this one if it
+// observed them.
 type EndListener func(m proto.TargetEnds, from proto.VM)
 
 // crashRecord holds the ends of targets that were running one request.
@@ -96,8 +95,7 @@
 	return n
 }
 
-// Blocks reports whether a request is no longer run because too many targets ended while they ran it, and the evidence
-// for that.
+// Blocks reports whether a request is not run because too many targets ended while they ran it, with the evidence.
 func (c *CrashTracker) Blocks(request proto.RequestDigest) (Evidence, bool) {
 	if c == nil || c.blocked.Load() == 0 {
 		return Evidence{}, false
@@ -130,8 +128,8 @@
 	c.Merge(proto.TargetEnds{Ends: []proto.TargetEnd{end}}, c.self)
 }
 
-// RecordAnswer records that a target completely answered a request. So the request does not crash every target that runs
-// it, and the known ends had other causes.
+// RecordAnswer records that a target completely answered a request: it does not crash every target that runs it, so the
+// known ends had other causes.
 func (c *CrashTracker) RecordAnswer(request proto.RequestDigest) {
 	if c == nil {
 		return
@@ -186,8 +184,8 @@
 	c.clearRecentlyAnswered(now, blocked)
 }
 
-// clearRecentlyAnswered clears requests that are about to be refused but were answered here a short time before, unless
-// too many targets have ended since.
+// clearRecentlyAnswered clears requests that would be refused but were answered here shortly before, unless too many
+// targets have ended since.
 func (c *CrashTracker) clearRecentlyAnswered(now time.Time, requests []proto.RequestDigest) {
 	for _, request := range requests {
 		answered, known := c.answers.last(request)
@@ -198,7 +196,7 @@
 	}
 }
 
-// endsSince returns how many targets that were running a request ended after a moment, including those that no longer
+// endsSince returns how many targets ended while running a request after a moment, including those that no longer
 // count.
 func (c *CrashTracker) endsSince(request proto.RequestDigest, at time.Time) int {
 	c.mu.Lock()
@@ -212,7 +210,7 @@
 	return n
 }
 
-// mergeEnd adds an end. It returns the requests for which it is new and those that are refused from now on. The lock
+// mergeEnd adds an end. It returns the requests for which it is new, and those that are refused from now on. The lock
 // must be held.
 func (c *CrashTracker) mergeEnd(now time.Time, end proto.TargetEnd) (added, blocked []proto.RequestDigest) {
 	if end.Age > crashTTL {
--- a/relay/fleet.go
+++ b/relay/fleet.go
@@ -28,7 +28,7 @@
 	cache         promptCache
 	// pauseWeight is the cost of a pause of one millisecond, summed over all streams in progress.
 	pauseWeight float64
-	// otherLoad is the number of attempts by other daemons according to the latest response.
+	// otherLoad is the number of attempts by other daemons as of the latest response.
 	otherLoad   float64
 	otherLoadAt time.Time
 	// slowdown is the ratio of the time attempts take to the expected time.
@@ -36,8 +36,8 @@
 	// lapsedAt is when the entry disappeared while the store was down; zero if the target is listed.
 	lapsedAt      time.Time
 	lapseFromPeer bool
-	// suspected is set if another daemon, which could reach the store throughout, saw the entry of a lapsed target
-	// disappear. Such a target has more likely left than lapsed, so it only gets work if its pool has no other target.
+	// suspected is set if another daemon, which reached the store throughout, saw the entry of a lapsed target
+	// disappear: it has more likely left than lapsed, and only gets work if its pool has no other target.
 	suspected bool
 	// version is the store revision of the entry's latest change.
 	version  proto.Revision
@@ -71,7 +71,7 @@
 	list    []*Target
 	// listStale is set if list no longer matches targets.
 	listStale bool
-	// listVersion counts the rebuilds of list, and sortedVersion is the listVersion for which sortedByHash was built.
+	// listVersion counts the rebuilds of list, and sortedVersion is that of sortedByHash.
 	listVersion, sortedVersion uint64
 	sortedByHash               []*Target
 	prompts                    map[string]*promptStats
@@ -94,11 +94,11 @@
 	coldLimit int
 	// mayHaveLimits is set if a target may have reported a limit.
 	mayHaveLimits bool
-	// lastColdUntil is when the last target that is known to be cold becomes warm.
+	// lastColdUntil is when the last known cold target becomes warm.
 	lastColdUntil time.Time
 }
 
-// lock locks the pool and rebuilds its list if it is stale, so that many changes cost one rebuild.
+// lock locks the pool and rebuilds its list if stale, so that many changes cost one rebuild.
 func (p *targetPool) lock() {
 	p.mu.Lock()
 	if p.listStale {
@@ -123,13 +123,12 @@
 	byID  map[string]*Target
 	// storeDownAt is when the store was last found unavailable, and storeUpAt when it first answered after that.
 	storeDownAt, storeUpAt time.Time
-	// version is the revision of the newest change of any entry; daemons with the same knowledge have the same version.
+	// version is the revision of the newest change of any entry, equal at daemons with the same knowledge.
 	version proto.Revision
 	changed func(pool string)
 	zones   ZoneCosts
-	// invalid holds the revisions of entries that name no usable target although they parse as if they did. revalidated
-	// holds the revisions that reappeared with a restored copy of the store and count again, because their entries
-	// stayed.
+	// invalid holds the revisions of entries that name no usable target although they parse as if they did, and
+	// revalidated those that reappeared with a restored copy of the store and count again, since their entries stayed.
 	invalid     map[string]invalidEntry
 	revalidated map[string]proto.Revision
 	// departed holds the targets that left recently, and restoredAsOf is the revision of the first list read in the
@@ -140,8 +139,8 @@
 	// change.
 	evacuations        map[string]proto.Evacuation
 	evacuationsVersion proto.Revision
-	// evacuationRowVersions holds the versions of the rows that last evacuated zones, and heldSince the time since when
-	// evacuations that a restored store lacks have been kept in force.
+	// evacuationRowVersions holds the versions of the rows that last evacuated zones, and heldSince is since when
+	// evacuations that a restored store lacks have been kept.
 	evacuationRowVersions map[string]uint64
 	heldSince             map[string]time.Time
 	coldConfig            ColdConfig
@@ -156,14 +155,12 @@
 // WithZoneCosts sets the costs of crossing zones instead of DefaultZoneCosts.
 func WithZoneCosts(costs ZoneCosts) FleetOption { return func(f *Fleet) { f.zones = costs } }
 
-// WithNoticeHandler sets a function that passes the notices of targets on to other daemons as soon as this daemon
-// learns them.
+// WithNoticeHandler sets a function that passes the notices of targets on to other daemons once they are known here.
 func WithNoticeHandler(onNotices func([]proto.TargetNotice)) FleetOption {
 	return func(f *Fleet) { f.onNotices = onNotices }
 }
 
-// NewFleet returns an empty fleet. It calls changed, without holding a lock, for each pool whose list of targets
-// changes.
+// NewFleet returns an empty fleet. It calls changed, without holding a lock, for each pool whose targets change.
 func NewFleet(changed func(pool string), options ...FleetOption) *Fleet {
 	f := &Fleet{
 		pools: map[string]*targetPool{}, byID: map[string]*Target{}, invalid: map[string]invalidEntry{}, revalidated: map[string]proto.Revision{},
@@ -190,18 +187,16 @@
 	Version proto.Revision
 	Removed bool
 	// FromPeer is set if the change comes from another daemon, which knows the state of the store. Lapsed is set if
-	// that daemon saw the entry disappear while the store was down, so that it may come back.
+	// that one saw the entry disappear while the store was down, so that it may come back.
 	FromPeer, Lapsed bool
-	// LostInRestore is set if the entry is missing in the copy that the store was restored from, so that it may come
-	// back.
+	// LostInRestore is set if the copy that the store was restored from lacks the entry, which may come back.
 	LostInRestore bool
 	// Unusable is set if the entry names no target: another writer overwrote it, or it cannot be parsed.
 	Unusable bool
 	Target   proto.RelayTarget
 }
 
-// ApplyChanges applies changes and returns what was done with each. Changes that are older than the known state are
-// ignored.
+// ApplyChanges applies changes and returns what was done with each. Changes older than the known state are ignored.
 func (f *Fleet) ApplyChanges(now time.Time, changes []FleetChange) []FleetEvent {
 	f.mu.Lock()
 	var events []FleetEvent
@@ -214,8 +209,8 @@
 	return events
 }
 
-// Replace applies the whole list as of a version and removes the entries that it lacks. It refuses a list that is older
-// than the known state. A list is complete if it comes from another daemon that has all changes up to that version.
+// Replace applies the whole list as of a version, and removes the entries that it lacks. A list older than the known
+// state is refused. One from another daemon that has all changes up to that version is complete.
 func (f *Fleet) Replace(now time.Time, asOf proto.Revision, entries []FleetChange, complete bool) ([]FleetEvent, bool) {
 	f.mu.Lock()
 	if f.version.After(asOf) {
@@ -256,7 +251,7 @@
 type FleetEvent struct {
 	Target  proto.RelayTarget
 	Outcome string
-	// Version is the store revision of the change; zero if the event was not caused by a change in the store.
+	// Version is the store revision of the change; zero if no change of the store caused the event.
 	Version proto.Revision
 }
 
@@ -281,7 +276,7 @@
 	OutcomeEnded = "ended its run"
 	// outcomeStale means that the entry was written by an earlier run and is ignored.
 	outcomeStale = "told of an earlier run"
-	// outcomeDeparted means that the entry reappeared with a restored copy of the store after its target had left.
+	// outcomeDeparted means that the entry reappeared with a restored copy of the store after its target left.
 	outcomeDeparted = "left before the store was restored"
 	// outcomeUnusable means that the entry no longer names a target.
 	outcomeUnusable = "has an entry that cannot be used"
@@ -326,7 +321,7 @@
 	old := t.Spec
 	switch {
 	case c.Target.StartedAt.IsZero() && !old.StartedAt.IsZero():
-		// A target that reports the start of its run always does. Daemons that did not know this run have to be told.
+		// A target that reports the start of its run always does. Daemons that did not know this run must be told.
 		f.invalid[c.ID] = invalidEntry{version: c.Version}
 		return f.dropAsUnusable(t, c)
 	case c.Target.StartedAt.Before(old.StartedAt):
@@ -335,7 +330,7 @@
 	case c.Target.StartedAt.After(old.StartedAt) || c.Target.Pool != old.Pool:
 		return f.restart(now, t, c)
 	case old.Leaving && !c.Target.Leaving && c.Version.Era > t.version.Era:
-		// The store was restored from a copy taken before the target announced that it leaves.
+		// The store was restored from a copy from before the target announced that it leaves.
 		t.version = c.Version
 		f.quarantineRestored(now, c)
 		return []FleetEvent{{Target: old, Outcome: outcomeDeparted, Version: c.Version}}
@@ -375,9 +370,9 @@
 	return FleetEvent{Target: c.Target, Outcome: outcomeAdded}
 }
 
-// restart replaces a target by its next run, or by its entry in another pool, keeping only the fact that the previous
-// run ended. The pool of the previous run is locked. All state about a target is held in its Target, so it is dropped
-// here at once, and work in progress ends.
+// restart replaces a target by its next run, or by its entry in another pool, keeping only that the previous run ended.
+// The pool of the previous run is locked. All state about a target is in its Target, so it is dropped here at once, and
+// work in progress ends.
 func (f *Fleet) restart(now time.Time, t *Target, c FleetChange) []FleetEvent {
 	ended := f.unlist(t)
 	ended.Outcome, ended.Version = OutcomeEnded, c.Version
@@ -457,8 +452,8 @@
 	return len(p.targets)
 }
 
-// Usable returns the targets of a pool that may get new work at a time. Cold targets are left out if the pool limits
-// them. Suspected targets are returned only if there are no others.
+// Usable returns the targets of a pool that may get new work at a time, without cold ones if the pool limits them.
+// Suspected targets are returned only if there are no others.
 func (f *Fleet) Usable(now time.Time, pool string) []proto.RelayTarget {
 	p := f.pool(pool)
 	if p == nil {
--- a/relay/fleetinvalid.go
+++ b/relay/fleetinvalid.go
@@ -11,17 +11,16 @@
 	// departedRetention is how long targets that have left are remembered: a restored copy of the store that is some
 	// seconds old lists them again.
 	departedRetention = time.Minute
-	// restoredQuarantine is how long an entry that reappeared with a restored copy of the store, after its target had
-	// left, is not used. Targets rewrite what the store lost, and the entry of a dead target disappears after three
-	// missed heartbeats, which is 4 s with heartbeats every 1.2 s. A target that is still listed after this time is
-	// alive.
+	// restoredQuarantine is how long an entry that reappeared with a restored copy of the store, after its target left,
+	// is not used. Targets rewrite what the store lost, and the entry of a dead one disappears after three missed
+	// heartbeats, which is 4 s with heartbeats every 1.2 s. A target still listed after this time is alive.
 	restoredQuarantine = 15 * time.Second
 )
 
 // invalidEntry is a revision of an entry that names no usable target although it parses as if it did.
 type invalidEntry struct {
 	version proto.Revision
-	// until is when an entry that reappeared with a restored copy of the store is evaluated again; zero if it never is.
+	// until is when an entry that reappeared with a restored copy of the store is evaluated again; zero for never.
 	until time.Time
 }
 
@@ -47,9 +46,8 @@
 	}
 }
 
-// restoredAfterDeparture reports whether an entry of an unknown target describes a run that has left, because the store
-// was restored from an older copy. An entry that was written since the restoration is valid, unless the run had
-// announced that it leaves.
+// restoredAfterDeparture reports whether an entry of an unknown target describes a run that has left, since the store
+// was restored from an older copy. An entry written since then is valid, unless the run had announced that it leaves.
 func (f *Fleet) restoredAfterDeparture(now time.Time, c FleetChange) bool {
 	departure, known := f.departed[c.ID]
 	switch {
@@ -93,7 +91,7 @@
 }
 
 // ExpireInvalid returns the targets whose entries reappeared with a restored copy of the store so long ago that they
-// have to be evaluated again.
+// must be evaluated again.
 func (f *Fleet) ExpireInvalid(now time.Time) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -121,8 +119,7 @@
 	return list
 }
 
-// InvalidDigest returns a digest of the invalid entries, which is equal at daemons that know the same entries; 0 if
-// there are none.
+// InvalidDigest returns a digest of the invalid entries, equal at daemons that know the same ones; 0 if there are none.
 func (f *Fleet) InvalidDigest() uint64 {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -133,8 +130,8 @@
 	return digest
 }
 
-// MergeInvalid merges the invalid entries that another daemon knows. Targets that use such an entry are dropped, and
-// the entry is ignored if it is read later.
+// MergeInvalid merges the invalid entries that another daemon knows. Targets that use one are dropped, and the entry is
+// ignored if it is read later.
 func (f *Fleet) MergeInvalid(now time.Time, list []proto.InvalidEntry) []FleetEvent {
 	f.mu.Lock()
 	var events []FleetEvent
--- a/relay/ports.go
+++ b/relay/ports.go
@@ -14,7 +14,7 @@
 	ID     string
 	Method string
 	Host   string
-	// Path is the path without the query; URI includes it. Both are as received.
+	// Path is the path without the query, and URI includes it. Both are as received.
 	Path, URI string
 	// Header holds the headers that are forwarded unchanged.
 	Header http.Header
@@ -28,8 +28,8 @@
 	PromptTokens, MaxTokens int
 	// After is the id of the last stream event that the caller has received; 0 for a new stream.
 	After int
-	// PieceKey identifies the input of the stages. Pieces is the number of pieces for each stage of the route; a stage
-	// with 0 is skipped.
+	// PieceKey identifies the input of the stages. Pieces is the number of pieces of each stage of the route, 0 to skip
+	// it.
 	PieceKey string
 	Pieces   []int
 }
@@ -62,18 +62,17 @@
 	Load           Load
 }
 
-// Notice is what a target reports about itself in the headers of a response.
+// Notice is what a target reports about itself in response headers.
 type Notice struct {
 	// Leaving is set if the target is about to stop.
 	Leaving bool
 	// Limit is the rate, in requests per second, that the target accepts from all daemons together; Limited is set if
-	// the target states one.
+	// it states one.
 	Limit    float64
 	HasLimit bool
-	// Backoff is how long a target that rejected a request wants no requests from this daemon; 0 if unstated.
+	// Backoff is how long a target that rejected a request wants none from this daemon; 0 if unstated.
 	Backoff time.Duration
-	// Unreadable holds the headers that could not be parsed, with their names. They are ignored, and so are missing
-	// headers.
+	// Unreadable holds the headers that could not be parsed, with their names. They are ignored, like missing ones.
 	Unreadable []string
 }
 
@@ -85,7 +84,7 @@
 	Header(r *Request, f *ForwardInfo) http.Header
 	// ParseResponse parses the headers of a target's response.
 	ParseResponse(status int, h http.Header) ResponseInfo
-	// ParseNotice parses what a target reports about itself in the headers of any response.
+	// ParseNotice parses what a target reports about itself in any response.
 	ParseNotice(status int, h http.Header) Notice
 	// SetRetryAfter sets the headers that tell the caller when to retry.
 	SetRetryAfter(h http.Header, wait time.Duration)
@@ -106,7 +105,7 @@
 	Method, URI, Host string
 	Header            http.Header
 	Body              []byte
-	// NonIdempotent marks a request that must run at most once. It is only sent on a connection that is certain to be
+	// NonIdempotent marks a request that must run at most once. It is only sent on a connection that is certainly
 	// usable.
 	NonIdempotent bool
 	// Matches reports whether the headers of a response belong to this request.
@@ -122,9 +121,9 @@
 
 // Body is the body of a response.
 type Body interface {
-	// Read returns io.EOF only at the end of a complete response, and another error if the response is truncated.
+	// Read returns io.EOF only at the end of a complete response, and another error if it is truncated.
 	Read(p []byte) (int, error)
-	// Close returns the connection to the pool if the body was read to its end, and closes the connection otherwise.
+	// Close returns the connection to the pool if the body was read to its end, and otherwise closes it.
 	Close() error
 }
 
@@ -154,10 +153,9 @@
 
 // Share is this daemon's share of a quota that all daemons have in common.
 type Share struct {
-	// Fraction is between 0 and 1. The fractions of all daemons add up to at most 1 at any time.
+	// Fraction is from 0 to 1. Those of all daemons add up to at most 1 at any time.
 	Fraction float64 `json:"part"`
-	// Counted is the number of daemons that share the quota, and Live the number of daemons that are heard from; both
-	// include this daemon.
+	// Counted is the number of daemons that share the quota, and Live the number heard from, both with this one.
 	VMCount int `json:"counted"`
 	Live    int `json:"live"`
 	// Reason is why the fraction is 0, if it is.
@@ -166,16 +164,14 @@
 
 // Peers communicates with the other daemons.
 type Peers interface {
-	// Owner returns the daemon that is responsible for a task, ignoring the daemons in skip, which did not respond.
+	// Owner returns the daemon responsible for a task, ignoring those in skip, which did not respond.
 	Owner(task string, skip map[proto.VM]bool) proto.VM
-	// Silent reports whether nothing has been received from a daemon for longer than the longest silence of a live
-	// daemon.
+	// Silent reports whether a daemon has been silent for longer than a live daemon ever is.
 	Silent(vm proto.VM) bool
 	// Share returns this daemon's share of a quota that all daemons have in common.
 	Share() Share
-	// IsSoleOwner reports whether this daemon may now perform a task that only one daemon may perform at a time, even
-	// if the daemons cannot reach each other. After another daemon has performed it, at least the settling time passes
-	// first.
+	// IsSoleOwner reports whether this daemon may now perform a task that only one may perform at a time, even if the
+	// daemons cannot reach each other. After another daemon performed it, at least the settling time passes first.
 	OwnsExclusively(task string, settle time.Duration) bool
 	Send(to proto.VM, m proto.Message)
 	Call(ctx context.Context, to proto.VM, m proto.Message) (proto.Message, error)
