--- a/relay/budget.go
+++ b/relay/budget.go
@@ -6,18 +6,17 @@
 )
 
 const (
-	// budgetSteps is the number of steps that the window of a budget is divided into. A step that is partly in the
-	// window counts against the budget: with 40 steps, one attempt in 40 stays unused.
+	// budgetSteps is the number of steps of a budget's window. One that is partly in the window counts against the
+	// budget: with 40 steps, one attempt in 40 stays unused.
 	budgetSteps = 40
-	// budgetArrivalSpread is by how much the delay between the decision to retry and the arrival at the target may
-	// vary: attempts decided this much more than a window apart may arrive within one window. They arrive within
-	// milliseconds over an open connection, and within a fraction of a second over a new one to a busy target.
+	// budgetArrivalSpread is by how much the delay from the decision to retry to the arrival at the target may vary:
+	// attempts decided this much more than a window apart may arrive within one window. They arrive within milliseconds
+	// over an open connection, and within a fraction of a second over a new one to a busy target.
 	budgetArrivalSpread = 500 * time.Millisecond
 	// budgetLeadSteps is by how many steps requests may precede the attempts that they earn: an attempt follows its
-	// request, and a daemon without a share of the slack could not make any otherwise.
+	// request, and without a share of the slack a daemon could not make any otherwise.
 	budgetLeadSteps = budgetSteps / 20
-	// budgetHistorySteps is the number of steps that are kept: a window, its lead, and the steps in which attempts may
-	// still arrive.
+	// budgetHistorySteps is the number of kept steps: a window, its lead, and those in which attempts may still arrive.
 	budgetHistorySteps = 2 * budgetSteps
 )
 
@@ -30,7 +29,7 @@
 }
 
 // RetryBudget limits how often requests to one pool go to a further target. Each daemon earns the part from the ratio
-// by its own requests, so that daemons need not know of each other; the slack is divided between them.
+// by its own requests, without knowing of the others; the slack is divided between them.
 type RetryBudget struct {
 	mu     sync.Mutex
 	config RetryBudgetConfig
@@ -56,15 +55,14 @@
 	b.received.add(b.step(now))
 }
 
-// RetryBudgetState is the state of a budget when a further attempt was requested, in the window that leaves the fewest
-// attempts.
+// RetryBudgetState is the state of a budget when an attempt was requested, in the window that leaves the fewest.
 type RetryBudgetState struct {
 	Allowed float64
 	Spent   int
 }
 
-// Spend takes one further attempt from the budget, or returns false if none is left. share is this daemon's part of the
-// slack, from 0 to 1.
+// Spend takes one further attempt, or returns false if none is left. share is this daemon's part of the slack, from 0
+// to 1.
 func (b *RetryBudget) Spend(now time.Time, share float64) (RetryBudgetState, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -93,8 +91,7 @@
 
 // tightest checks all windows that an attempt in the latest step may fall into, and returns the one that leaves the
 // fewest attempts. Only requests within the window count: earlier ones may have gone to another daemon that spent what
-// they earned before it died. The allowances of all daemons thus add up to the budget, whichever daemon gets the
-// requests.
+// they earned before it died. All daemons' allowances thus add up to the budget, whichever daemon gets the requests.
 func (b *RetryBudget) tightest(latest int64, share float64) RetryBudgetState {
 	spread := int64((budgetArrivalSpread + b.stepLength() - 1) / b.stepLength())
 	var tightest RetryBudgetState
--- a/relay/counts.go
+++ b/relay/counts.go
@@ -40,9 +40,9 @@
 	StreamsBroken  int64 `json:"streamsBroken"`
 	StreamsResumed int64 `json:"streamsResumed"`
 	Retried        int64 `json:"retried"`
-	// Crashing counts requests that were not run because targets that ran them had ended.
+	// Crashing counts requests not run because targets that ran them had ended.
 	Crashing int64 `json:"crashing"`
-	// NotAdmitted counts requests that were refused before they started because the engines were overloaded.
+	// NotAdmitted counts requests refused before they started because the engines were overloaded.
 	NotAdmitted int64 `json:"notAdmitted"`
 	// LatencyMillis holds quantiles of the time to the complete answer.
 	LatencyMillis map[string]float64 `json:"latencyMillis"`
--- a/relay/crashdetector.go
+++ b/relay/crashdetector.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// openAttemptTTL is how long a failed attempt is remembered in case its target turns out to have ended: the entry
-	// of a target that falls silent is removed after about four seconds, and that is known here a second or two later.
+	// openAttemptTTL is how long a failed attempt is remembered in case its target has ended: the entry of one that
+	// falls silent is removed after about four seconds, and that is known here a second or two later.
 	openAttemptTTL = 6 * time.Second
 	// endedRunTTL is how long the end of a run is remembered. Its last attempts fail within the scheduling delay of a
 	// busy daemon.
 	endedRunTTL = 30 * time.Second
-	// maxProbes is how often a target that closed the connection of an attempt is probed, with a pause of probePause
-	// between: a process that ends may close its connections somewhat before its listener.
+	// maxProbes is how often a target that closed an attempt's connection is probed, at intervals of probePause: a
+	// process that ends may close its connections somewhat before its listener.
 	maxProbes  = 2
 	probePause = 100 * time.Millisecond
 	// probeTimeout is the timeout of one probe. A running target accepts connections within milliseconds.
@@ -36,8 +36,8 @@
 }
 
 // CrashDetector finds out which requests a target was working on when it ended. An attempt may fail for many reasons,
-// so it counts against its request only once the address of the target refuses connections or its entry is removed. A
-// nil *CrashDetector does nothing.
+// so it counts against its request only once the target's address refuses connections or its entry is removed. A nil
+// *CrashDetector does nothing.
 type CrashDetector struct {
 	clock   clockwork.Clock
 	log     hclog.Logger
@@ -46,7 +46,7 @@
 
 	mu   sync.Mutex
 	runs map[proto.RunName]*watchedRun
-	// runCount is the number of runs. It saves successful attempts from taking the lock while there is none.
+	// runCount is the number of runs. While there is none it saves successful attempts from taking the lock.
 	runCount atomic.Int64
 }
 
@@ -70,7 +70,7 @@
 }
 
 // RecordFailure records that an attempt or call failed while a target may have been working on requests. broken is set
-// if the target closed the connection, so that it may have ended just now.
+// if the target closed the connection, and so may have ended just now.
 func (d *CrashDetector) RecordFailure(target proto.RelayTarget, broken bool, requests ...proto.RequestDigest) {
 	if d == nil {
 		return
@@ -123,8 +123,8 @@
 	return r
 }
 
-// RecordAlive records that a run of a target answered. If it was recorded as ended, its address may have refused
-// connections before the process listened there.
+// RecordAlive records that a run answered. If it was recorded as ended, its address may have refused connections before
+// the process listened there.
 func (d *CrashDetector) RecordAlive(target proto.RelayTarget) {
 	if d == nil || d.runCount.Load() == 0 {
 		return
--- a/relay/enginemodel.go
+++ b/relay/enginemodel.go
@@ -9,17 +9,17 @@
 
 // Parameters of the model of engines.
 const (
-	// engineLearningRate is the fraction of a prediction error that the estimates adopt at once. The time to the first
-	// event of a request varies by half with the other load, so about forty requests are averaged, which a pool of a
-	// dozen engines gets within two seconds.
+	// engineLearningRate is the fraction of a prediction error that the estimates adopt at once. The time to a first
+	// event varies by half with the other load, so about forty requests are averaged, which a pool of a dozen engines
+	// gets within two seconds.
 	engineLearningRate = 0.05
 	// engineOutlierFactor is the factor from which an observation is an outlier, such as an engine that stalled.
 	engineOutlierFactor = 3
 	// maxEngineDeviation is the factor by which an estimate may differ from its prior, either way: engines of one
-	// generation differ by a factor of about three.
+	// generation differ by about three.
 	maxEngineDeviation = 10
-	// slowdownWeight is the weight of one request in the slowdown of an engine relative to its pool. Requests are
-	// noisy, so an engine that is three times as slow as the others shows as twice as slow after about ten requests.
+	// slowdownWeight is the weight of one request in an engine's slowdown relative to its pool. Requests are noisy, so
+	// one that is three times as slow as the others shows as twice as slow after about ten requests.
 	slowdownWeight = 0.08
 	// minSlowdown and maxSlowdown bound the slowdown of an engine, so that a few outliers do not exclude it.
 	minSlowdown, maxSlowdown = 0.7, 6.0
@@ -36,8 +36,8 @@
 type engineWork uint8
 
 const (
-	// workPerRequest is the fixed time of a request: the transfer to the engine, fetching its inputs, and the first
-	// steps.
+	// workPerRequest is the fixed time of a request: the transfer to the engine, the fetching of its inputs, and the
+	// first steps.
 	workPerRequest engineWork = iota
 	// workPerToken is a prompt token to process, including those of prompts ahead of it.
 	workPerToken
@@ -55,16 +55,16 @@
 	return float64(priorPerRequest)
 }
 
-// engineModel estimates the speed of the engines of one pool from the times to the first events of requests, in
-// nanoseconds. The daemon that places requests for all others observes every request; the others adopt its estimates.
+// engineModel estimates the speed of a pool's engines from the times to the first events of requests, in nanoseconds.
+// The daemon that places all requests observes each; the others adopt its estimates.
 type engineModel struct{ times additiveModel[engineWork] }
 
 func newEngineModel() engineModel {
 	return engineModel{additiveModel[engineWork]{prior: priorOf, learningRate: engineLearningRate, outlierFactor: engineOutlierFactor, maxDeviation: maxEngineDeviation}}
 }
 
-// rates returns the time that each prompt token and each concurrent stream adds to the first event at the typical speed
-// of the pool, in milliseconds.
+// rates returns the milliseconds that each prompt token and each concurrent stream adds to the first event at the
+// typical speed of the pool.
 func (m *engineModel) rates() (token, stream float64) {
 	const millisecond = float64(time.Millisecond)
 	return m.times.estimate(workPerToken) / millisecond, m.times.estimate(workPerStream) / millisecond
@@ -90,7 +90,7 @@
 type unreadPrompt struct {
 	ownTokens, tokens int
 	startedAt         time.Time
-	// cold is set if the engine was cold, so that the time does not predict its later speed.
+	// cold is set if the engine was cold: the time does not predict its later speed.
 	cold bool
 	// work is the work ahead of the first event.
 	work map[engineWork]float64
@@ -108,7 +108,7 @@
 	t.unreadPrompts = append(t.unreadPrompts, unreadPrompt{ownTokens: w.OwnTokens, tokens: read, startedAt: now, cold: now.Before(t.coldUntil), work: work})
 }
 
-// finishPrompt removes the oldest unprocessed prompt of the same size, and learns from its time if it succeeded.
+// finishPrompt removes the oldest unprocessed prompt of a size, and learns from its time if it succeeded.
 func (t *Target) finishPrompt(now time.Time, w TargetCriteria, learn bool) {
 	i := slices.IndexFunc(t.unreadPrompts, func(r unreadPrompt) bool { return r.ownTokens == w.OwnTokens })
 	if i < 0 {
--- a/relay/fleetlapse.go
+++ b/relay/fleetlapse.go
@@ -6,12 +6,12 @@
 	"emberlead/proto"
 )
 
-// lapseDetectWindow is how soon after the store is up again an entry must be found missing to count as lapsed. Entries
-// that disappeared during the outage are missing in the first answer; one that disappears later has left.
+// lapseDetectWindow is how soon after the store is up again an entry must be missing to count as lapsed. Those that
+// disappeared during the outage are missing in the first answer; one that disappears later has left.
 const lapseDetectWindow = 300 * time.Millisecond
 
-// lapseGracePeriod is how long after the store is up again an entry that disappeared during the outage may come back.
-// The platform states about two seconds; some time is added for the propagation to this daemon.
+// lapseGracePeriod is how long after the store is up again an entry that disappeared during the outage may come back:
+// about two seconds according to the platform, and the propagation to this daemon.
 const lapseGracePeriod = 2300 * time.Millisecond
 
 // MarkStoreDown records that the store did not answer.
@@ -38,8 +38,8 @@
 	return f.storeUpAt.Before(f.storeDownAt) || now.Before(f.storeUpAt.Add(lapseDetectWindow))
 }
 
-// LapsedTargets returns the IDs of targets that are considered lapsed, and the version before the first of them
-// disappeared. A lapse reported by another daemon may come from one whose requests the store rejected.
+// LapsedTargets returns the IDs of targets that count as lapsed, and the version before the first of them disappeared.
+// A lapse reported by another daemon may come from one whose requests the store rejected.
 func (f *Fleet) LapsedTargets(events []FleetEvent) (ids []string, before proto.Revision) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -75,7 +75,7 @@
 	return events
 }
 
-// Sweep removes lapsed entries that did not come back and detects which targets have become warm; it is called several
+// Sweep removes lapsed entries that did not come back, and detects targets that have become warm; it is called several
 // times a second.
 func (f *Fleet) Sweep(now time.Time) []FleetEvent {
 	f.mu.Lock()
--- a/relay/fleetzones.go
+++ b/relay/fleetzones.go
@@ -9,8 +9,7 @@
 )
 
 // evacuationRewriteWait is how long an evacuation that a restored store lacks stays in force. The operator rewrites
-// what the store lost, including evacuations. If the evacuation was revoked in the meantime, the zone is out of service
-// for this long.
+// what the store lost, evacuations too. If this one was revoked meanwhile, the zone is out of service that long.
 const evacuationRewriteWait = 10 * time.Second
 
 // isEvacuated reports whether a zone must not get new work; the fleet is locked.
@@ -62,7 +61,7 @@
 	f.evacuations[e.Zone] = e
 }
 
-// markZoneTargets opens or closes the targets of a zone and adds their pools to pools. Reopened targets count as cold:
+// markZoneTargets opens or closes the targets of a zone and adds their pools to pools. Reopened ones count as cold:
 // they may have lost their caches, and would attract all work at once since they have no load.
 func (f *Fleet) markZoneTargets(now time.Time, e proto.Evacuation, pools map[string]bool) {
 	for _, t := range f.byID {
@@ -80,8 +79,8 @@
 
 // EvacuationsFromList derives the state of each zone from a whole list of evacuations as of a store revision: listed
 // zones are evacuated, others are not. A store that was restored from a copy lacks the operator's later changes. An
-// evacuation that it lacks stays in force until the operator has had the time to request it again, and one that had
-// ended stays ended if the restored row is the old one.
+// evacuation that it lacks stays in force until the operator has had time to request it again; one that had ended stays
+// ended if the restored row is the old one.
 func (f *Fleet) EvacuationsFromList(asOf proto.Revision, list []proto.Evacuation) []proto.Evacuation {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
--- a/relay/job.go
+++ b/relay/job.go
@@ -10,7 +10,7 @@
 // Job holds the pieces of one stage of a request.
 type Job struct {
 	Params proto.PiecesAsk
-	// Due is when the stage should end for the answer to be in time, and Deadline is when its result becomes useless.
+	// Due is when the stage should end for the answer to be in time, and Deadline when its result becomes useless.
 	Due, Deadline time.Time
 
 	queuedAt time.Time
@@ -29,7 +29,7 @@
 	inputsFreed bool
 	// late is set if the results can no longer be in time.
 	late bool
-	// separate is set if so many calls with its pieces failed that the next one holds no other job.
+	// separate is set if so many calls with its pieces failed that the next holds no other job.
 	separate bool
 }
 
@@ -72,7 +72,7 @@
 	// BaseTime is the configured time of an empty call.
 	BaseTime time.Duration
 
-	// overdue is set once the pieces were queued again because the call takes much longer than expected.
+	// overdue is set once the pieces were queued again since the call takes much longer than expected.
 	overdue bool
 	// stale is set if the target has restarted since the call started, so that its results are lost.
 	stale bool
--- a/relay/limits.go
+++ b/relay/limits.go
@@ -15,17 +15,17 @@
 const (
 	// noLimit is the limit of a target that does not report one.
 	noLimit = -1.0
-	// minLimitRate is the lowest rate, in requests per second, at which requests go to a target with a limit. Only a
-	// response can tell that the limit has been lifted.
+	// minLimitRate is the lowest rate, in requests per second, to a target with a limit: only a response can tell that
+	// the limit was lifted.
 	minLimitRate = 0.2
-	// limitBurst is for how long unused requests accumulate; at least one always does.
+	// limitBurst is for how long unused requests accumulate, of which at least one always does.
 	limitBurst = 250 * time.Millisecond
 	// liveShareFactor is how many times its proportional share of a limit a group of daemons may use that does not hear
-	// from the others. Missing daemons are most often dead; the groups of a partitioned fleet together use up to this
-	// factor of the limit.
+	// from the others. Missing daemons are most often dead; the groups of a partitioned fleet use up to this factor of
+	// the limit together.
 	liveShareFactor = 1.25
-	// permitRetryDelay is when to ask again if the daemon that grants permits did not answer: another one may have
-	// taken over by then.
+	// permitRetryDelay is when to ask again if the daemon that grants permits did not answer: another may have taken
+	// over by then.
 	permitRetryDelay = 100 * time.Millisecond
 	// maxLimitPicks is how often a target is picked again if other requests used up its limit.
 	maxLimitPicks = 3
@@ -68,7 +68,7 @@
 }
 
 // permits limit the requests to targets that report a limit. For each pool one daemon, which also places its requests,
-// grants them; the others ask it.
+// grants them to the others.
 type permits struct {
 	mu              sync.Mutex
 	runs            map[proto.RunName]*permitState
@@ -123,8 +123,8 @@
 	return owner, owner == "" || owner == p.self
 }
 
-// usableLimited returns the targets of a pool that report a limit, with whether the limit may have room left, as far as
-// this daemon knows.
+// usableLimited returns the targets of a pool that report a limit, and whether that may have room left, as far as this
+// daemon knows.
 func (p *Placer) usableLimited(now time.Time, pool string) map[string]bool {
 	limited := p.fleet.limited(pool)
 	if len(limited) == 0 {
@@ -137,8 +137,8 @@
 	return usable
 }
 
-// permitWaits returns, for each of some targets of a pool, how long it takes until a permit may be available; 0 if one
-// may be available now.
+// permitWaits returns how long it takes until a permit may be available for each of some targets of a pool; 0 if one
+// may be now.
 func (p *Placer) permitWaits(now time.Time, pool string, targets []proto.TargetNotice) []time.Duration {
 	_, own := p.permitOwner(pool)
 	share := p.peers.Share()
@@ -179,7 +179,7 @@
 	return proto.PermitAnswer{Granted: true}
 }
 
-// HandlePermitAsk answers a daemon that asks for a permit, by the newer of the limits that the two daemons know.
+// HandlePermitAsk answers a daemon that asks for a permit, by the newer limit that either knows.
 func (p *Placer) HandlePermitAsk(from proto.VM, ask proto.PermitAsk) proto.PermitAnswer {
 	now := p.clock.Now()
 	if !ask.Notice.Valid() {
@@ -193,7 +193,7 @@
 	return p.grant(now, ask.Pool, &ask.Notice, from)
 }
 
-// permitted counts a request within the limit of its target, if there is one; false means that the limit is used up.
+// permitted counts a request within its target's limit, if there is one; false means that this is used up.
 func (p *Placer) permitted(ctx context.Context, placed *Placement) bool {
 	n, limited := p.fleet.limitOf(placed.Target)
 	if !limited || placed.permitted {
@@ -236,8 +236,8 @@
 	}
 }
 
-// limitWait returns how long it takes until a target of a pool that reports a limit may get a request, and false if
-// none reports one.
+// limitWait returns how long it takes until a target of a pool with a limit may get a request, and false if none has
+// one.
 func (p *Placer) limitWait(pool string) (wait time.Duration, limited bool) {
 	targets := p.fleet.limited(pool)
 	if len(targets) == 0 {
@@ -246,7 +246,7 @@
 	return slices.Min(p.permitWaits(p.clock.Now(), pool, targets)), true
 }
 
-// signalLogEntries returns the signals of the first targets of a pool, and when those with a limit may get a request.
+// signalLogEntries returns the signals of a pool's first targets, and when those with a limit may get a request.
 func (p *Placer) signalLogEntries(pool string) []signalLogEntry {
 	now := p.clock.Now()
 	lines := p.fleet.signalLogEntries(now, pool)
@@ -258,8 +258,8 @@
 	return lines
 }
 
-// signalWait returns how long the signals of the targets of a pool in the allowed regions prevent new requests, and
-// why; 0 if one may get a request now, as far as this daemon knows.
+// signalWait returns how long, as far as this daemon knows, the signals of a pool's targets in the allowed regions
+// prevent new requests, and why; 0 if one may get a request now.
 func (p *Placer) signalWait(pool string, regions proto.AllowedRegions) (in time.Duration, reason string) {
 	now := p.clock.Now()
 	for i, t := range p.fleet.allBlocked(now, pool, regions) {
--- a/relay/piecescheduler.go
+++ b/relay/piecescheduler.go
@@ -16,19 +16,17 @@
 )
 
 const (
-	// silenceCheckInterval is how often a daemon that waits for the answer of another one checks that the other is
-	// alive.
+	// silenceCheckInterval is how often a daemon that waits for another's answer checks that the other is alive.
 	silenceCheckInterval = 150 * time.Millisecond
-	// freeInterval is how long results to be freed are collected, since one call for each would cost more than the
-	// storage that it releases.
+	// freeInterval is how long results to free are collected: one call for each would cost more than the storage that
+	// it releases.
 	freeInterval = 20 * time.Millisecond
 	// limitedFreeInterval is the same for targets with a rate limit, which calls that free results must not use up.
 	limitedFreeInterval = time.Second
 	// expireInterval is how often a worker checks its jobs for expired ones.
 	expireInterval = 50 * time.Millisecond
-	// overdueCheckFactor is how long a call may take before it is checked whether its results are still needed, as a
-	// multiple of its expected time or of the configured time of an empty call, whichever is longer. Slow targets stay
-	// below it.
+	// overdueCheckFactor is after what time a call is checked for whether its results are still needed, as a multiple
+	// of its expected time or of the configured time of an empty call, if longer. Slow targets stay below it.
 	overdueCheckFactor = 6
 	// freeTimeout is the timeout of a call that frees results.
 	freeTimeout = time.Second
@@ -80,7 +78,7 @@
 	return p
 }
 
-// Run makes all pieces of a stage, on the daemon that batches for the pool or, if that one is silent, on another.
+// Run makes all pieces of a stage, on the daemon that batches for the pool or, if that is silent, on another.
 func (p *PieceScheduler) Run(ctx context.Context, ask proto.PiecesAsk, due, deadline time.Time) proto.PiecesAnswer {
 	ask.Shard = p.chooseShard(ask.Pool, ask.RequestID, ask.Rank)
 	answer := p.run(ctx, ask, due, deadline)
@@ -91,8 +89,8 @@
 	return answer
 }
 
-// QueueDelay returns the last known queueing time of a job of the given rank in a pool: that of its shortest
-// shard, since each job goes to the shorter of two shards.
+// QueueDelay returns the last known queueing time of a job of a rank in a pool: that of its shortest shard, since each
+// job goes to the shorter of two.
 func (p *PieceScheduler) QueueDelay(pool string, rank int) time.Duration {
 	now := p.clock.Now()
 	shortest := p.queueDelays.estimate(now, queueKey{shard{pool, 0}, rank})
@@ -188,8 +186,7 @@
 	return refused
 }
 
-// Free releases results of a shard of a pool. The daemon that batches for the shard is told, since it counts their
-// storage.
+// Free releases results of a shard of a pool. The daemon that batches for it is told, since it counts their storage.
 func (p *PieceScheduler) Free(pool string, index int, handles []string) {
 	if len(handles) == 0 {
 		return
--- a/relay/place.go
+++ b/relay/place.go
@@ -26,8 +26,8 @@
 	maxLeaseAge = 25 * time.Second
 )
 
-// Placer chooses the targets of a pool of engines. One daemon, the owner, places the requests of all daemons, so that
-// it knows the load of each engine. A daemon that cannot reach the owner chooses alone.
+// Placer chooses the targets of a pool of engines. One daemon, the owner, places the requests of all, so that it knows
+// the load of each engine. A daemon that cannot reach it chooses alone.
 type Placer struct {
 	self  proto.VM
 	clock clockwork.Clock
@@ -35,8 +35,8 @@
 	fleet *Fleet
 	peers Peers
 
-	// admissions holds the admission state of the pools that this daemon owns. busyUntil is the time until which
-	// requests for a pool have to be admitted by its owner.
+	// admissions holds the admission state of the pools that this daemon owns, and busyUntil until when requests for a
+	// pool have to be admitted by its owner.
 	admitMu    sync.Mutex
 	admissions map[string]*admissionController
 	busyUntil  map[string]time.Time
@@ -66,7 +66,7 @@
 // Placement is a target chosen for an attempt.
 type Placement struct {
 	Target *Target
-	// Spec is the target's entry at the time of the choice; the entry may change at any time.
+	// Spec is the target's entry as of the choice; the entry may change at any time.
 	Spec proto.RelayTarget
 
 	placer   *Placer
@@ -103,8 +103,8 @@
 	return placed
 }
 
-// ChooseByID returns a target that handled the request before, for another attempt, or nil if the target must not get
-// one now. The caller must call Finish on it.
+// ChooseByID returns a target that handled the request before, for another attempt, or nil if it must not get one now.
+// The caller must call Finish on it.
 func (p *Placer) ChooseByID(ctx context.Context, pool, id string, w TargetCriteria) *Placement {
 	now := p.clock.Now()
 	w.AllowedCold, w.AllowedLimited = p.sendableCold(now, pool, w.Rank), p.usableLimited(now, pool)
@@ -170,7 +170,7 @@
 // errLateAnswer means that the owner of a pool has not answered in time.
 var errLateAnswer = errors.New("owner did not answer in time")
 
-// ask asks the owner of the pool. A late answer is not used, and the owner is told so; otherwise it would count the
+// ask asks the owner of the pool. A late answer is not used, and the owner is told; otherwise it would count the
 // request at the target until the lease expires.
 func (p *Placer) ask(ctx context.Context, owner proto.VM, ask proto.PlaceAsk) (a proto.PlaceAnswer, ok bool, err error) {
 	type reply struct {
@@ -213,15 +213,14 @@
 	}
 }
 
-// HasAlternative reports whether a request could go to a target that it was not sent to yet, as far as this daemon
-// knows.
+// HasAlternative reports whether, as far as this daemon knows, a request could go to a target that did not get it yet.
 func (p *Placer) HasAlternative(pool string, w TargetCriteria) bool {
 	now := p.clock.Now()
 	w.AllowedCold, w.AllowedLimited = p.sendableCold(now, pool, w.Rank), p.usableLimited(now, pool)
 	return p.fleet.HasTarget(now, pool, w)
 }
 
-// ReportSlow records that the attempt takes longer than expected, so that other requests avoid the target meanwhile.
+// ReportSlow records that the attempt takes longer than expected, so that other requests avoid the target.
 func (p *Placement) ReportSlow() {
 	p.placer.fleet.ReportSlow(p.placer.clock.Now(), p.Target)
 	if p.owner != "" {
--- a/relay/server.go
+++ b/relay/server.go
@@ -21,27 +21,25 @@
 	responseMargin = 15 * time.Millisecond
 	// bodyReadTimeout limits the reading of a body; callers within the limits send theirs immediately.
 	bodyReadTimeout = 5 * time.Second
-	// unknownPoolRetryAfter is the Retry-After for a pool that the current configuration does not contain yet.
+	// unknownPoolRetryAfter is the Retry-After for a pool that the current configuration lacks.
 	unknownPoolRetryAfter = 400 * time.Millisecond
-	// startupWait is how long a request waits for a daemon that is starting up: a fraction of the shortest latency
-	// goals.
+	// startupWait is how long a request waits for a daemon that is starting: a fraction of the shortest latency goals.
 	startupWait = 100 * time.Millisecond
-	// fullRetryAfter is the Retry-After of a daemon that has reached its limit of open requests.
+	// fullRetryAfter is the Retry-After of a daemon at its limit of open requests.
 	fullRetryAfter = time.Second
 	// streamAcceptTime is how long streams are accepted after the daemon was told to stop. The load balancer checks
-	// every second and sends no new callers after two failed checks; those with open connections find another daemon as
-	// soon as they are refused.
+	// every second and sends no new callers after two failed checks; those with open connections find another daemon
+	// once they are refused.
 	streamAcceptTime = 2500 * time.Millisecond
 	// minStreamTime and minRequestTime are the durations that streams and other requests are given at least before a
 	// stopping daemon exits, even if those of the route have been shorter: one that is cut off costs its caller the
 	// whole response, one that is refused only the trip to another daemon.
 	minStreamTime  = 4500 * time.Millisecond
 	minRequestTime = 1500 * time.Millisecond
-	// stopMargin is how long before a stopping daemon exits it refuses requests with unfinished stages. The refusal
+	// stopMargin is how long before it exits a stopping daemon refuses requests with unfinished stages. The refusal
 	// still reaches the caller, who goes to another daemon; later the request would end without a response.
 	stopMargin = 300 * time.Millisecond
-	// stoppingRetryAfter is the Retry-After of a stopping daemon: the other daemons of the deployment can take the
-	// request at once.
+	// stoppingRetryAfter is the Retry-After of a stopping daemon: another one can take the request at once.
 	stoppingRetryAfter = 50 * time.Millisecond
 	// defaultTimeout applies to requests without a timeout.
 	defaultTimeout = time.Minute
@@ -72,8 +70,8 @@
 	crashDetector *CrashDetector
 
 	// firstEventTimes are the times to the first event of streams, by route and without the stages. responseTimes are
-	// the times to complete responses, by pool, callTimes those of calls for pieces, by pool, and requestTimes those of
-	// whole requests, by route.
+	// those to complete responses and callTimes those of calls for pieces, by pool. requestTimes are those of whole
+	// requests, by route.
 	firstEventTimes, responseTimes, callTimes, requestTimes durationEstimates[string]
 	fetchTimes                                              fetchTimes
 
@@ -84,7 +82,7 @@
 	started  <-chan struct{}
 	open     atomic.Int64
 	stopping atomic.Pointer[stopPlan]
-	// stagesCtx is canceled, by cancelStages, when the stopping daemon refuses requests whose stages are not done, and
+	// stagesCtx is canceled, by cancelStages, when the stopping daemon refuses requests with unfinished stages, and
 	// closeCtx, by close, when it answers those that targets still run.
 	stagesCtx, closeCtx context.Context
 	cancelStages, close context.CancelFunc
@@ -123,7 +121,7 @@
 	// CrashTracker blocks requests that crash targets, and Ends is told about failed attempts. Both may be nil.
 	CrashTracker  *CrashTracker
 	CrashDetector *CrashDetector
-	// Started is closed once the daemon has the data that it needs to serve requests; nil if it has it already.
+	// Started is closed once the daemon has the data to serve requests; nil if it has it already.
 	Started <-chan struct{}
 }
 
@@ -144,9 +142,9 @@
 func (s *Server) OpenRequests() int64 { return s.open.Load() }
 
 // Stop makes every response from now on close its connection, so that callers move to other daemons. Callers that keep
-// a connection may send requests for a while. Those that might not finish before the last moment are refused as not
-// run: immediately, or shortly before that moment if their stages take longer than expected. Those that a target still
-// runs at that moment are answered as possibly run.
+// one may send requests for a while. Those that might not finish before the last moment are refused as not run: at
+// once, or shortly before that moment if their stages take longer than expected. Those that a target still runs at that
+// moment are answered as possibly run.
 func (s *Server) Stop(startedAt, lastMoment time.Time) {
 	s.stopping.Store(&stopPlan{startedAt: startedAt, lastMoment: lastMoment})
 	s.clock.AfterFunc(lastMoment.Sub(startedAt)-stopMargin, s.cancelStages)
@@ -177,15 +175,15 @@
 	poolSpec      *proto.RelayPool
 	workspace     string
 	workspaceSpec *proto.RelayWorkspace
-	// digest identifies the request across retries by the caller, which may use different ids.
+	// digest identifies the request when its caller retries it, even under another id.
 	digest proto.RequestDigest
-	// allowedRegions are the regions that may process the request and its pieces. The body is sent to no other daemon.
+	// allowedRegions may process the request and its pieces. The body is sent to no other daemon.
 	allowedRegions proto.AllowedRegions
 	// rank is the priority of the request among those for its pool; 0 is the highest.
 	rank           int
 	routingVersion uint64
 	startedAt      time.Time
-	// deadline is when the final response must be sent. due is when it should have arrived to meet the latency goal.
+	// deadline is when the final response must be sent, due when it should arrive to meet the latency goal.
 	deadline, due time.Time
 
 	stageResults []stageResult
@@ -203,20 +201,20 @@
 
 	// sent counts the attempts that reached a target, and runs the targets that may have run the request.
 	sent, runs int
-	// target is the target that was tried last, or that delivered the response.
+	// target is the one that was tried last, or that delivered the response.
 	target       string
 	triedTargets map[string]bool
-	// superseded are the targets whose attempts were canceled because another target answered first.
+	// superseded are the targets whose attempts were canceled because another answered first.
 	superseded  []string
 	committed   bool
 	lastEventID int
-	// fallback is a target's failure response, which is forwarded if no better response arrives.
+	// fallback is a target's failure response, forwarded if no better one arrives.
 	fallback *bufferedResponse
 	// stageLog describes the stages that have ended, including repeated ones.
 	stageLog []stageLogEntry
 	// stagesDoneAt is when the stages were done, and firstEventAt when the first event was forwarded.
 	stagesDoneAt, firstEventAt time.Time
-	// lastEventAt is when the last event was forwarded, and longestPause the longest time between two events.
+	// lastEventAt is when the last event was forwarded, and longestPause the longest time between two.
 	lastEventAt  time.Time
 	longestPause time.Duration
 }
@@ -257,7 +255,7 @@
 }
 
 // waitForStartup delays a request that arrives during startup: the daemon has all its data within about ten
-// milliseconds, whereas a refused caller comes back after hundreds.
+// milliseconds, but a refused caller comes back after hundreds.
 func (s *Server) waitForStartup(ctx context.Context) {
 	if s.started == nil {
 		return
@@ -345,8 +343,8 @@
 	return ""
 }
 
-// notRunFailure returns the refusal of a request that no target has run or will run. If a target may have run it, the
-// status says so.
+// notRunFailure returns the refusal of a request that no target will run. If one may have run it already, the status
+// says so.
 func (f *flow) notRunFailure(wait time.Duration, reason string) *failure {
 	if f.runs > 0 {
 		return &failure{status: http.StatusBadGateway, reason: reason}
@@ -394,10 +392,10 @@
 	}
 }
 
-// formatDuration formats a duration for the log, rounded to microseconds and with its unit.
+// formatDuration formats a duration for the log, in whole microseconds with its unit.
 func formatDuration(d time.Duration) string { return d.Round(time.Microsecond).String() }
 
-// elapsed returns the time between two moments, or 0 if the second one has not come yet.
+// elapsed returns the time between two moments, or 0 if the second has not come.
 func elapsed(from, to time.Time) time.Duration {
 	if to.IsZero() {
 		return 0
--- a/relay/worker.go
+++ b/relay/worker.go
@@ -9,7 +9,7 @@
 	"emberlead/proto"
 )
 
-// worker drives the batcher of one shard of a pool. Each worker has a lock of its own, which guards its batcher.
+// worker drives the batcher of one shard of a pool. Its own lock guards the batcher.
 type worker struct {
 	shard
 	pieces *PieceScheduler
@@ -81,8 +81,8 @@
 	}
 }
 
-// nonOwnerShare is the fraction of the rate limits for a daemon that sends calls although another daemon owns the
-// shard: it took over from an owner that it considers silent, or still has jobs from when it was the owner.
+// nonOwnerShare is the fraction of the rate limits for a daemon that sends calls although another owns the shard: it
+// took over from an owner that it considers silent, or still has jobs from when it was the owner.
 const nonOwnerShare = 0.25
 
 // liveShare returns the fraction of the rate limits that this daemon may use.
