--- a/relay/budget.go
+++ b/relay/budget.go
@@ -122,31 +122,31 @@
 }
 
 // advance moves on to a step; an earlier step than the latest is treated as the latest.
-func (t *stepCounter) advance(step int64) {
-	total := t.cumulative[t.latest%budgetHistorySteps]
-	t.latest = max(t.latest, step-budgetHistorySteps)
-	for t.latest < step {
-		t.latest++
-		t.cumulative[t.latest%budgetHistorySteps] = total
+func (c *stepCounter) advance(step int64) {
+	total := c.cumulative[c.latest%budgetHistorySteps]
+	c.latest = max(c.latest, step-budgetHistorySteps)
+	for c.latest < step {
+		c.latest++
+		c.cumulative[c.latest%budgetHistorySteps] = total
 	}
 }
 
-func (t *stepCounter) add(step int64) {
-	t.advance(step)
-	t.cumulative[t.latest%budgetHistorySteps]++
+func (c *stepCounter) add(step int64) {
+	c.advance(step)
+	c.cumulative[c.latest%budgetHistorySteps]++
 }
 
 // between returns the number of events from the first step to the last, inclusive.
-func (t *stepCounter) between(first, last int64) int {
+func (c *stepCounter) between(first, last int64) int {
 	if last < first {
 		return 0
 	}
-	return t.countUpTo(last) - t.countUpTo(first-1)
+	return c.countUpTo(last) - c.countUpTo(first-1)
 }
 
-func (t *stepCounter) countUpTo(step int64) int {
+func (c *stepCounter) countUpTo(step int64) int {
 	if step < 0 {
 		return 0
 	}
-	return t.cumulative[min(step, t.latest)%budgetHistorySteps]
+	return c.cumulative[min(step, c.latest)%budgetHistorySteps]
 }
--- a/relay/choice.go
+++ b/relay/choice.go
@@ -153,11 +153,11 @@
 }
 
 // pauseWeight is the cost of a pause of one millisecond for a stream, higher for routes that allow shorter pauses.
-func (w *TargetCriteria) pauseWeight() float64 {
-	if w.MaxPause <= 0 {
+func (c *TargetCriteria) pauseWeight() float64 {
+	if c.MaxPause <= 0 {
 		return 0
 	}
-	return float64(time.Millisecond) / float64(w.MaxPause)
+	return float64(time.Millisecond) / float64(c.MaxPause)
 }
 
 // maxCacheTokens is the assumed number of prompt tokens that an engine of the pool caches.
--- a/relay/crashdetector.go
+++ b/relay/crashdetector.go
@@ -181,8 +181,8 @@
 	defer d.mu.Unlock()
 	for name, r := range d.runs {
 		r.openAttempts = slices.DeleteFunc(r.openAttempts, func(a openAttempt) bool { return now.Sub(a.failedAt) > openAttemptTTL })
-		over := !r.ended || now.Sub(r.endedAt) > endedRunTTL
-		if over && len(r.openAttempts) == 0 && !r.probing {
+		expired := !r.ended || now.Sub(r.endedAt) > endedRunTTL
+		if expired && len(r.openAttempts) == 0 && !r.probing {
 			delete(d.runs, name)
 			d.runCount.Add(-1)
 		}
--- a/relay/crashdetector_test.go
+++ b/relay/crashdetector_test.go
@@ -175,7 +175,7 @@
 // TestCrashSuspicionByAttemptOutcome ends an attempt in each way, and then removes the entry of its target.
 func TestCrashSuspicionByAttemptOutcome(t *testing.T) {
 	const request = proto.RequestDigest(7)
-	gone := []FleetChange{{ID: "t", Version: rev(2), Removed: true}}
+	removal := []FleetChange{{ID: "t", Version: rev(2), Removed: true}}
 	leaves := testTarget("t", "p", "z")
 	leaves.Leaving = true
 	refusedConn := &SendError{Err: syscall.ECONNREFUSED}
@@ -192,9 +192,9 @@
 	}{
 		{name: "connection breaks", end: attemptResult{sent: true}, suspect: true},
 		{name: "connection to leaving target breaks", before: []FleetChange{putChange(2, leaves)}, end: attemptResult{sent: true}},
-		{name: "connection breaks after entry was removed", before: gone, end: attemptResult{sent: true}},
+		{name: "connection breaks after entry was removed", before: removal, end: attemptResult{sent: true}},
 		{name: "silence", cause: errSuperseded, end: attemptResult{sent: true}, suspect: true},
-		{name: "silence noticed after entry was removed", before: gone, cause: errDeadlineReached, end: attemptResult{sent: true}, suspect: true},
+		{name: "silence noticed after entry was removed", before: removal, cause: errDeadlineReached, end: attemptResult{sent: true}, suspect: true},
 		{name: "silence of leaving target", before: []FleetChange{putChange(2, leaves)}, cause: errSuperseded, end: attemptResult{sent: true}},
 		{name: "target has restarted", cause: errTargetRestarted, end: attemptResult{sent: true}, suspect: true},
 		{name: "caller disconnected", cause: context.Canceled, end: attemptResult{sent: true}, suspect: true},
--- a/relay/durationestimate.go
+++ b/relay/durationestimate.go
@@ -19,16 +19,16 @@
 // durationEstimate learns the mean of a duration and its variation.
 type durationEstimate struct{ mean, deviation float64 }
 
-func (t *durationEstimate) observe(took time.Duration) {
-	value := min(float64(took), maxOutlierFactor*float64(t.upperBound()))
-	difference := value - t.mean
-	t.mean += estimateWeight * difference
-	t.deviation += estimateWeight * (max(difference, -difference) - t.deviation)
+func (e *durationEstimate) observe(took time.Duration) {
+	value := min(float64(took), maxOutlierFactor*float64(e.upperBound()))
+	difference := value - e.mean
+	e.mean += estimateWeight * difference
+	e.deviation += estimateWeight * (max(difference, -difference) - e.deviation)
 }
 
 // upperBound returns a duration that is nearly always sufficient.
-func (t *durationEstimate) upperBound() time.Duration {
-	return time.Duration(t.mean + estimateDeviations*t.deviation)
+func (e *durationEstimate) upperBound() time.Duration {
+	return time.Duration(e.mean + estimateDeviations*e.deviation)
 }
 
 // durationEstimates holds a durationEstimate for each key.
--- a/relay/eras_test.go
+++ b/relay/eras_test.go
@@ -195,94 +195,94 @@
 }
 
 // write puts the current entry of a target, or removes it.
-func (w *restoreSimulation) write(id string) {
-	w.version++
-	c := FleetChange{ID: id, Version: inEra(w.era, w.version)}
-	_, left := w.left[id]
+func (s *restoreSimulation) write(id string) {
+	s.version++
+	c := FleetChange{ID: id, Version: inEra(s.era, s.version)}
+	_, left := s.left[id]
 	switch {
-	case w.live[id] && left:
+	case s.live[id] && left:
 		c.Target = leavingTarget(id)
-	case w.live[id]:
+	case s.live[id]:
 		c.Target = testTarget(id, "p", "z")
 	default:
 		c.Removed = true
 	}
-	w.rows[id] = c
+	s.rows[id] = c
 }
 
-func (w *restoreSimulation) copyRows() {
-	c := storeCopy{version: w.version, rows: map[string]FleetChange{}}
-	for id, row := range w.rows {
+func (s *restoreSimulation) copyRows() {
+	c := storeCopy{version: s.version, rows: map[string]FleetChange{}}
+	for id, row := range s.rows {
 		c.rows[id] = row
 	}
-	if w.copies = append(w.copies, c); len(w.copies) > 5 {
-		w.copies = w.copies[1:]
+	if s.copies = append(s.copies, c); len(s.copies) > 5 {
+		s.copies = s.copies[1:]
 	}
 }
 
-func (w *restoreSimulation) restore() {
-	c := w.copies[w.random.IntN(len(w.copies))]
-	lost := w.rows
-	w.era++
-	w.version, w.rows, w.copies = c.version, map[string]FleetChange{}, nil
+func (s *restoreSimulation) restore() {
+	c := s.copies[s.random.IntN(len(s.copies))]
+	lost := s.rows
+	s.era++
+	s.version, s.rows, s.copies = c.version, map[string]FleetChange{}, nil
 	for id, row := range c.rows {
-		row.Version.Era = w.era
-		w.rows[id] = row
+		row.Version.Era = s.era
+		s.rows[id] = row
 	}
 	for id, row := range lost {
 		if c.rows[id].Version.Version != row.Version.Version {
-			w.due = append(w.due, pendingWrite{w.now.Add(time.Duration(w.random.Int64N(int64(2 * time.Second)))), id})
+			s.due = append(s.due, pendingWrite{s.now.Add(time.Duration(s.random.Int64N(int64(2 * time.Second)))), id})
 		}
 	}
 }
 
-func (w *restoreSimulation) step() {
-	w.now = w.now.Add(200 * time.Millisecond)
+func (s *restoreSimulation) step() {
+	s.now = s.now.Add(200 * time.Millisecond)
 	var rest []pendingWrite
-	for _, d := range w.due {
-		if w.now.Before(d.at) {
+	for _, d := range s.due {
+		if s.now.Before(d.at) {
 			rest = append(rest, d)
 			continue
 		}
-		w.write(d.id)
+		s.write(d.id)
 	}
-	w.due = rest
-	id := fmt.Sprintf("t%02d", w.random.IntN(max(1, w.next)))
-	switch w.random.IntN(12) {
+	s.due = rest
+	id := fmt.Sprintf("t%02d", s.random.IntN(max(1, s.next)))
+	switch s.random.IntN(12) {
 	case 0:
-		id = fmt.Sprintf("t%02d", w.next)
-		w.next++
-		w.live[id] = true
-		w.write(id)
+		id = fmt.Sprintf("t%02d", s.next)
+		s.next++
+		s.live[id] = true
+		s.write(id)
 	case 1:
-		if _, left := w.left[id]; w.live[id] && !left {
-			w.left[id] = w.now
-			w.write(id)
+		if _, left := s.left[id]; s.live[id] && !left {
+			s.left[id] = s.now
+			s.write(id)
 		}
 	case 2:
-		if _, left := w.left[id]; w.live[id] && left {
-			delete(w.live, id)
-			w.write(id)
+		if _, left := s.left[id]; s.live[id] && left {
+			delete(s.live, id)
+			s.write(id)
 		}
 	case 3:
-		w.copyRows()
+		s.copyRows()
 	case 4:
-		if len(w.copies) > 0 && w.random.IntN(3) == 0 {
-			w.restore()
+		if len(s.copies) > 0 && s.random.IntN(3) == 0 {
+			s.restore()
 		}
 	}
-	for i := range w.fleets {
-		w.follow(i)
+	for i := range s.fleets {
+		s.follow(i)
 	}
 }
 
 // follow lets one of the fleets catch up as its daemon does.
-func (w *restoreSimulation) follow(i int) {
-	f := w.fleets[i]
-	asOf := inEra(w.era, w.version)
+func (s *restoreSimulation) follow(i int) {
+	f := s.fleets[i]
+	asOf := inEra(s.era, s.version)
 	var changed, whole []FleetChange
-	for _, row := range w.rows {
-		if row.Version.After(w.seen[i]) {
+	for _, row := range s.rows {
+		if row.Version.After(s.seen[i]) {
 			changed = append(changed, row)
 		}
 		if !row.Removed {
@@ -290,21 +290,21 @@
 		}
 	}
 	switch {
-	case i == 2 && w.random.IntN(3) > 0:
+	case i == 2 && s.random.IntN(3) > 0:
 		return
 	case i == 2:
-		f.MergeInvalid(w.now, w.fleets[0].InvalidEntries())
-		f.Replace(w.now, asOf, whole, w.random.IntN(2) == 0)
-	case w.seen[i].Era != w.era || i == 1:
-		f.Replace(w.now, asOf, whole, false)
+		f.MergeInvalid(s.now, s.fleets[0].InvalidEntries())
+		f.Replace(s.now, asOf, whole, s.random.IntN(2) == 0)
+	case s.seen[i].Era != s.era || i == 1:
+		f.Replace(s.now, asOf, whole, false)
 	default:
-		f.ApplyChanges(w.now, changed)
+		f.ApplyChanges(s.now, changed)
 	}
-	w.seen[i] = asOf
-	f.Sweep(w.now)
-	for _, id := range f.ExpireInvalid(w.now) {
-		if row, listed := w.rows[id]; listed && !row.Removed {
-			f.ApplyChanges(w.now, []FleetChange{row})
+	s.seen[i] = asOf
+	f.Sweep(s.now)
+	for _, id := range f.ExpireInvalid(s.now) {
+		if row, listed := s.rows[id]; listed && !row.Removed {
+			f.ApplyChanges(s.now, []FleetChange{row})
 		}
 	}
 }
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -72,8 +72,8 @@
 }
 
 // isResponse reports whether the target has started to respond.
-func (n *attemptUpdate) isResponse() bool {
-	return len(n.events) > 0 || n.response != nil && (n.err == nil || errors.Is(n.err, io.EOF)) && !n.info.NotRun && !n.info.Misdirected
+func (u *attemptUpdate) isResponse() bool {
+	return len(u.events) > 0 || u.response != nil && (u.err == nil || errors.Is(u.err, io.EOF)) && !u.info.NotRun && !u.info.Misdirected
 }
 
 func (x *exchange) run(out *TargetRequest) {
--- a/relay/fleet.go
+++ b/relay/fleet.go
@@ -256,8 +256,8 @@
 }
 
 // Crashed reports whether a run ended without having announced that it leaves.
-func (n *FleetEvent) Crashed() bool {
-	return !n.Target.Leaving && (n.Outcome == outcomeRemoved || n.Outcome == OutcomeEnded)
+func (e *FleetEvent) Crashed() bool {
+	return !e.Target.Leaving && (e.Outcome == outcomeRemoved || e.Outcome == OutcomeEnded)
 }
 
 // Outcomes of changes to the fleet.
@@ -284,8 +284,8 @@
 
 func (f *Fleet) notifyChanged(events []FleetEvent) {
 	pools := map[string]bool{}
-	for _, n := range events {
-		pools[n.Target.Pool] = true
+	for _, event := range events {
+		pools[event.Target.Pool] = true
 	}
 	for pool := range pools {
 		f.changed(pool)
--- a/relay/fleetcold.go
+++ b/relay/fleetcold.go
@@ -24,11 +24,11 @@
 func WithColdConfig(config ColdConfig) FleetOption { return func(f *Fleet) { f.coldConfig = config } }
 
 // maxRequests returns how many requests a cold target of a pool may get within a second; 0 if there is no bound.
-func (t ColdConfig) maxRequests(spec proto.ColdSpec) int {
+func (c ColdConfig) maxRequests(spec proto.ColdSpec) int {
 	if spec.RequestsPerSecond <= 0 {
 		return 0
 	}
-	return max(1, int(math.Floor(t.Factor*spec.RequestsPerSecond+t.Slack)))
+	return max(1, int(math.Floor(c.Factor*spec.RequestsPerSecond+c.Slack)))
 }
 
 // SetColdSpec sets how the targets of a pool warm up.
--- a/relay/fleetlapse.go
+++ b/relay/fleetlapse.go
@@ -43,16 +43,16 @@
 func (f *Fleet) LapsedTargets(events []FleetEvent) (ids []string, before proto.Revision) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	for _, n := range events {
-		t := f.byID[n.Target.ID]
-		if n.Outcome != OutcomeLapsed || t == nil {
+	for _, event := range events {
+		t := f.byID[event.Target.ID]
+		if event.Outcome != OutcomeLapsed || t == nil {
 			continue
 		}
-		last := proto.Revision{Era: n.Version.Era, Version: n.Version.Version - 1}
+		last := proto.Revision{Era: event.Version.Era, Version: event.Version.Version - 1}
 		if len(ids) == 0 || before.After(last) {
 			before = last
 		}
-		ids = append(ids, n.Target.ID)
+		ids = append(ids, event.Target.ID)
 	}
 	return ids, before
 }
--- a/relay/fleetzones_test.go
+++ b/relay/fleetzones_test.go
@@ -12,8 +12,8 @@
 )
 
 // evacuation returns a start or an end of an evacuation of zone y at a revision.
-func evacuation(version uint64, over bool) []proto.Evacuation {
-	return []proto.Evacuation{{Zone: "y", Version: rev(version), Ended: over}}
+func evacuation(version uint64, ended bool) []proto.Evacuation {
+	return []proto.Evacuation{{Zone: "y", Version: rev(version), Ended: ended}}
 }
 
 // Picks a target in every way that requests and calls use, with all targets of the other zone failing, suspected or
@@ -62,11 +62,11 @@
 
 // Changes of an evacuation arrive in all orders, in whole and in part.
 func TestNewestEvacuationWins(t *testing.T) {
-	news := []proto.Evacuation{{Zone: "y", Version: rev(10)}, {Zone: "y", Version: rev(20), Ended: true}, {Zone: "y", Version: rev(30)}}
+	changes := []proto.Evacuation{{Zone: "y", Version: rev(10)}, {Zone: "y", Version: rev(20), Ended: true}, {Zone: "y", Version: rev(30)}}
 	for _, order := range [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}} {
 		f := fleetWith(putChange(1, testTarget("a", "p", "y")), putChange(2, testTarget("b", "p", "z")))
 		for _, i := range order {
-			f.ApplyEvacuations(start, news[i:i+1])
+			f.ApplyEvacuations(start, changes[i:i+1])
 		}
 		if got := usableIDs(f, "p"); got != "b " || f.EvacuationsVersion() != rev(30) {
 			t.Errorf("order %v: usable %q as of %s", order, got, f.EvacuationsVersion())
--- a/relay/limits.go
+++ b/relay/limits.go
@@ -118,7 +118,7 @@
 }
 
 // permitOwner returns the daemon that grants the permits for the targets of a pool, and whether it is this one.
-func (p *Placer) permitOwner(pool string) (owner proto.VM, own bool) {
+func (p *Placer) permitOwner(pool string) (owner proto.VM, isOwner bool) {
 	owner = p.peers.Owner(placementTaskPrefix+pool, nil)
 	return owner, owner == "" || owner == p.self
 }
--- a/relay/limits_bench_test.go
+++ b/relay/limits_bench_test.go
@@ -40,8 +40,8 @@
 }
 
 // isolateAll cuts all daemons off from each other.
-func (w *limitSimulation) isolateAll() {
-	for i, d := range w.daemons {
+func (s *limitSimulation) isolateAll() {
+	for i, d := range s.daemons {
 		d.group, d.assumedGroup = i, i
 	}
 }
--- a/relay/limits_test.go
+++ b/relay/limits_test.go
@@ -76,15 +76,15 @@
 	return w
 }
 
-func (w *limitSimulation) schedule(wait time.Duration, do func()) {
-	w.due = append(w.due, limitEvent{w.clock.Now().Add(wait), do})
+func (s *limitSimulation) schedule(wait time.Duration, do func()) {
+	s.due = append(s.due, limitEvent{s.clock.Now().Add(wait), do})
 }
 
 // sendNotices sends notices to the daemons of the group.
-func (d *limitDaemon) sendNotices(news []proto.TargetNotice) {
+func (d *limitDaemon) sendNotices(notices []proto.TargetNotice) {
 	for _, other := range d.sim.daemons {
 		if other != d && other.group == d.group {
-			d.sim.schedule(limitNoticeDelay, func() { other.fleet.MergeNotices(d.sim.clock.Now(), news, d.vm) })
+			d.sim.schedule(limitNoticeDelay, func() { other.fleet.MergeNotices(d.sim.clock.Now(), notices, d.vm) })
 		}
 	}
 }
@@ -134,8 +134,8 @@
 
 func (d *limitDaemon) reaches(vm proto.VM) bool { return d.sim.daemon(vm).group == d.group }
 
-func (w *limitSimulation) daemon(vm proto.VM) *limitDaemon {
-	for _, d := range w.daemons {
+func (s *limitSimulation) daemon(vm proto.VM) *limitDaemon {
+	for _, d := range s.daemons {
 		if d.vm == vm {
 			return d
 		}
@@ -144,36 +144,36 @@
 }
 
 // send lets a daemon send a request if it finds a target.
-func (w *limitSimulation) send(d *limitDaemon, engine bool) {
+func (s *limitSimulation) send(d *limitDaemon, engine bool) {
 	placed := d.placer.Choose(context.Background(), "p", TargetCriteria{Engine: engine, Route: "r", OwnTokens: 100})
 	if placed == nil {
 		return
 	}
-	sent := w.clock.Now()
-	w.arrivals = append(w.arrivals, sent)
-	notice := Notice{Limit: max(0, w.limit), HasLimit: w.limit >= 0}
-	w.schedule(limitAnswer, func() {
-		d.fleet.recordSignal(w.clock.Now(), &signal{Notice: notice, target: placed.Spec, sent: sent})
+	sent := s.clock.Now()
+	s.arrivals = append(s.arrivals, sent)
+	notice := Notice{Limit: max(0, s.limit), HasLimit: s.limit >= 0}
+	s.schedule(limitAnswer, func() {
+		d.fleet.recordSignal(s.clock.Now(), &signal{Notice: notice, target: placed.Spec, sent: sent})
 		placed.Finish(VerdictSuccess, Load{})
 	})
 }
 
 // run simulates a number of requests per second, spread over the first daemons.
-func (w *limitSimulation) run(length time.Duration, perSecond float64, spread int, engine bool) {
+func (s *limitSimulation) run(length time.Duration, perSecond float64, spread int, engine bool) {
 	credit := 0.0
-	for end := w.clock.Now().Add(length); w.clock.Now().Before(end); w.clock.Advance(limitTick) {
-		w.deliverDue()
+	for end := s.clock.Now().Add(length); s.clock.Now().Before(end); s.clock.Advance(limitTick) {
+		s.deliverDue()
 		for credit += perSecond * limitTick.Seconds(); credit >= 1; credit-- {
-			w.send(w.daemons[w.random.IntN(spread)], engine)
+			s.send(s.daemons[s.random.IntN(spread)], engine)
 		}
 	}
 }
 
-func (w *limitSimulation) deliverDue() {
-	now := w.clock.Now()
+func (s *limitSimulation) deliverDue() {
+	now := s.clock.Now()
 	var later []limitEvent
-	due := w.due
-	w.due = nil
+	due := s.due
+	s.due = nil
 	for _, e := range due {
 		if now.Before(e.at) {
 			later = append(later, e)
@@ -181,23 +181,23 @@
 		}
 		e.do()
 	}
-	w.due = append(later, w.due...)
+	s.due = append(later, s.due...)
 }
 
 // split puts each daemon into one of several groups, which cannot reach each other from now on and detect that later.
-func (w *limitSimulation) split(groups int) {
-	for _, d := range w.daemons {
-		d.group = w.random.IntN(groups)
+func (s *limitSimulation) split(groups int) {
+	for _, d := range s.daemons {
+		d.group = s.random.IntN(groups)
 		group := d.group
-		w.schedule(time.Duration(w.random.Int64N(int64(limitDetectionLag))), func() { d.assumedGroup = group })
+		s.schedule(time.Duration(s.random.Int64N(int64(limitDetectionLag))), func() { d.assumedGroup = group })
 	}
 }
 
 // maxArrivals returns the largest number of arrivals within a span, from a time on.
-func (w *limitSimulation) maxArrivals(from time.Time) int {
+func (s *limitSimulation) maxArrivals(from time.Time) int {
 	maxArrivals, first := 0, 0
-	for last, at := range w.arrivals {
-		for w.arrivals[first].Before(from) && first < last || at.Sub(w.arrivals[first]) > limitSpan {
+	for last, at := range s.arrivals {
+		for s.arrivals[first].Before(from) && first < last || at.Sub(s.arrivals[first]) > limitSpan {
 			first++
 		}
 		maxArrivals = max(maxArrivals, last-first+1)
--- a/relay/noticescope_test.go
+++ b/relay/noticescope_test.go
@@ -52,7 +52,7 @@
 	for _, limit := range []float64{-1, math.NaN(), math.Inf(1)} {
 		w := newLimitSimulation(1, 1, 1)
 		n := proto.TargetNotice{Target: "t", Run: "t", HasLimit: true, Limit: limit, LimitVersion: 9}
-		if news := w.daemons[0].fleet.MergeNotices(start, []proto.TargetNotice{n}, "other"); len(news) > 0 {
+		if merged := w.daemons[0].fleet.MergeNotices(start, []proto.TargetNotice{n}, "other"); len(merged) > 0 {
 			t.Errorf("a limit of %g was accepted", limit)
 		}
 		for range 2 {
--- a/relay/restart_test.go
+++ b/relay/restart_test.go
@@ -21,8 +21,8 @@
 
 func outcomes(events []FleetEvent) string {
 	all := ""
-	for _, n := range events {
-		all += n.Outcome + "; "
+	for _, event := range events {
+		all += event.Outcome + "; "
 	}
 	return all
 }
--- a/relay/stages_test.go
+++ b/relay/stages_test.go
@@ -151,7 +151,7 @@
 // TestLongPromptShortensStageDeadline uses engines that read a token in 50 microseconds, and a route whose requests
 // take 100 ms to their first event in addition to the reading of their prompts.
 func TestLongPromptShortensStageDeadline(t *testing.T) {
-	const token, beside = 50 * time.Microsecond, 100 * time.Millisecond
+	const token, otherTime = 50 * time.Microsecond, 100 * time.Millisecond
 	due := map[int]time.Duration{}
 	for _, tokens := range []int{1_000, 20_000} {
 		peers := &recordingPeers{scriptedPeers: scriptedPeers{silent: make(chan struct{})}}
@@ -160,9 +160,9 @@
 		f.server.fleet.SetCacheTokens("engines", 100_000)
 		f.server.fleet.SetEngineTimes("engines", proto.EngineTimes{PerRequest: time.Millisecond, PerPromptToken: token, PerConcurrentRequest: time.Microsecond})
 		for range 100 {
-			f.recordFirstEvent(beside + time.Duration(tokens)*token)
+			f.recordFirstEvent(otherTime + time.Duration(tokens)*token)
 		}
-		if got, want := f.timeToFirstEvent(), beside+time.Duration(tokens)*token; got < want || got > want+20*time.Millisecond {
+		if got, want := f.timeToFirstEvent(), otherTime+time.Duration(tokens)*token; got < want || got > want+20*time.Millisecond {
 			t.Errorf("%d tokens are expected to take %v, want about %v", tokens, got, want)
 		}
 		f.startedAt = f.server.clock.Now()
