--- a/relay/crashing.go
+++ b/relay/crashing.go
@@ -6,9 +6,8 @@
 	"syscall"
 )
 
-// refuseCrashing refuses a request that is blocked because too many targets ended while they ran it. The refusal states
-// when it may be retried. If the last of these targets ended because of this very request, it may have run under this
-// id already.
+// refuseCrashing refuses a request that is blocked because too many targets ended while they ran it, and states when it
+// may be retried. If the last of them ended because of this very request, it may have run under this id already.
 func (f *flow) refuseCrashing() *failure {
 	evidence, blocked := f.server.crashTracker.Blocks(f.digest)
 	if !blocked {
--- a/relay/fleetcold.go
+++ b/relay/fleetcold.go
@@ -11,8 +11,8 @@
 const (
 	// coldWindow is the sliding window in which the requests that arrive at a cold target are counted.
 	coldWindow = time.Second
-	// coldPenalty is added to the expected time of an attempt on a cold target. The target is slow now but warm some
-	// seconds later, so a queue shorter than this at a warm target is preferable.
+	// coldPenalty is added to the expected time of an attempt on a cold target: it is slow now but warm some seconds
+	// later, so a queue shorter than this at a warm target is preferable.
 	coldPenalty = float64(400 * time.Millisecond)
 )
 
--- a/relay/ports.go
+++ b/relay/ports.go
@@ -9,7 +9,7 @@
 	"emberlead/proto"
 )
 
-// Request is a caller's request, parsed from the platform's headers.
+// Request is a caller's request, parsed from its headers.
 type Request struct {
 	ID     string
 	Method string
@@ -22,7 +22,7 @@
 	// CallerTimeout is how long the caller waits for the response; 0 if unstated.
 	CallerTimeout time.Duration
 	APIKey        string
-	// PromptParts are the parts of the prompt in order. The last part is private to the request or its session.
+	// PromptParts are the parts of the prompt in order. The last is private to the request or its session.
 	PromptParts []proto.PromptPart
 	// PromptTokens is the size of the prompt, MaxTokens the maximum size of the response.
 	PromptTokens, MaxTokens int
@@ -34,7 +34,7 @@
 	Pieces   []int
 }
 
-// ForwardInfo is what a request to a target states in addition to the caller's request.
+// ForwardInfo is what a request to a target states beside the caller's request.
 type ForwardInfo struct {
 	Target    proto.RelayTarget
 	TimeLeft  time.Duration
@@ -45,7 +45,7 @@
 	Priority int
 }
 
-// ResponseInfo is what the status and headers of a target's response state.
+// ResponseInfo is what the status and headers of a response state.
 type ResponseInfo struct {
 	// RequestID is the id of the request that the response belongs to.
 	RequestID string
@@ -53,11 +53,11 @@
 	Stamped bool
 	// NotRun is set if the target did not run the request.
 	NotRun bool
-	// Misdirected is set if another target now has the address.
+	// Misdirected is set if another target has the address now.
 	Misdirected bool
 	// LostInput is set if an input of the request no longer exists.
 	LostInput bool
-	// ContentEncoded is set if the body is encoded, so that it is not the body that was requested.
+	// ContentEncoded is set if the body is encoded, so not the one that was requested.
 	ContentEncoded bool
 	Load           Load
 }
--- a/relay/racehelpers_test.go
+++ b/relay/racehelpers_test.go
@@ -177,8 +177,7 @@
 	return t
 }
 
-// newRaced returns a request with one target per racer. Past responses were quick, and the first target has the lowest
-// cost.
+// newRaced returns a request with one target per racer. Past responses were quick, and the first target costs least.
 func newRaced(kind proto.RouteKind, racers ...racer) *racedRequest {
 	clock := clockwork.NewRealClock()
 	sender := &raceSender{racers: map[netip.AddrPort]racer{}, asked: map[netip.AddrPort]int{}, canceled: map[netip.AddrPort]int{}}
--- a/relay/regions_test.go
+++ b/relay/regions_test.go
@@ -11,8 +11,7 @@
 	"emberlead/proto"
 )
 
-// newThreeRegionFleet returns a fleet with two engines in each of three regions. The other regions are as near as the
-// first one.
+// newThreeRegionFleet returns a fleet with two engines in each of three regions that are equally near.
 func newThreeRegionFleet() *Fleet {
 	f := NewFleet(func(string) {})
 	for i := range 6 {
@@ -23,8 +22,8 @@
 	return f
 }
 
-// TestOnlyTargetsInAllowedRegionsAreChosen requests a target in all ways that are in use, also when all targets in the
-// region fail or were tried before.
+// TestOnlyTargetsInAllowedRegionsAreChosen requests a target in all ways in use, also if all targets in the region fail
+// or were tried.
 func TestOnlyTargetsInAllowedRegionsAreChosen(t *testing.T) {
 	allowed := proto.AllowRegions([]string{"south"})
 	restricted := func(w TargetCriteria) TargetCriteria {
@@ -92,9 +91,8 @@
 	}
 }
 
-// TestPiecesStayInAllowedRegions puts jobs that are restricted to a region beside unrestricted ones, in a pool with a
-// target in each region. No call for the former may go elsewhere, and without a target in the region they are refused
-// at once.
+// TestPiecesStayInAllowedRegions puts jobs that are restricted to a region beside others, in a pool with a target in
+// each region. No call for the former may go elsewhere, and without a target in the region they are refused at once.
 func TestPiecesStayInAllowedRegions(t *testing.T) {
 	spec := proto.BatchSpec{Slots: 1, MaxPieces: 4, CallCost: 10 * time.Millisecond, PieceCost: time.Millisecond, ResultLifetime: time.Second}
 	targets := func(regions ...string) []proto.RelayTarget {
--- a/relay/shards.go
+++ b/relay/shards.go
@@ -7,10 +7,10 @@
 	"emberlead/state"
 )
 
-// shardTargets is the number of targets of a pool of stages that one daemon batches for. That daemon receives a message
-// for each stage of each request, some hundred messages per second, and a larger pool exceeds a fifth of a core when
-// all daemons come back at once. With fewer targets calls are filled less: six daemons that batch separately for five
-// targets earn half.
+// shardTargets is the number of targets of a pool of stages that one daemon batches for. It receives a message for each
+// stage of each request, some hundred per second, and with a larger pool exceeds a fifth of a core when all daemons
+// come back at once. With fewer targets calls are filled less: six daemons that batch separately for five targets earn
+// half.
 const shardTargets = 24
 
 // shard is a part of a pool's targets for which one daemon fills the calls.
--- a/relay/stages_test.go
+++ b/relay/stages_test.go
@@ -149,7 +149,7 @@
 }
 
 // TestLongPromptShortensStageDeadline uses engines that read a token in 50 microseconds, and a route whose requests
-// take 100 ms to their first event in addition to the reading of their prompts.
+// take 100 ms to their first event besides reading their prompts.
 func TestLongPromptShortensStageDeadline(t *testing.T) {
 	const token, otherTime = 50 * time.Microsecond, 100 * time.Millisecond
 	due := map[int]time.Duration{}
--- a/relay/targetlimits.go
+++ b/relay/targetlimits.go
@@ -38,7 +38,7 @@
 // backsOff reports whether the target accepts no requests from this daemon for now.
 func (t *Target) backsOff(now time.Time) bool { return now.Before(t.backoffUntil) }
 
-// backoffRemaining returns how long it takes until a backoff of a target of a pool ends, and false if no target is in
+// backoffRemaining returns how long it takes until a target of a pool in backoff may get work, and false if none is in
 // backoff.
 func (f *Fleet) backoffRemaining(now time.Time, pool string) (left time.Duration, backsOff bool) {
 	p := f.pool(pool)
@@ -58,15 +58,15 @@
 	return left, backsOff
 }
 
-// blockedTarget is a target that may get no request for a while: for left if it asked for backoff, and beyond that
-// within its limit.
+// blockedTarget is a target that may get no request for a while: for left if it asked for backoff, and within its
+// limit.
 type blockedTarget struct {
 	notice proto.TargetNotice
 	left   time.Duration
 }
 
-// allBlocked returns the targets of a pool in the allowed regions that may get work, if each of them is in backoff or
-// reports a limit; nil if one is neither.
+// allBlocked returns the targets of a pool in the allowed regions that may get work, if each is in backoff or reports a
+// limit; nil if one does neither.
 func (f *Fleet) allBlocked(now time.Time, pool string, regions proto.AllowedRegions) []blockedTarget {
 	p := f.pool(pool)
 	if p == nil {
@@ -120,14 +120,13 @@
 // maxSignalLogEntries bounds the number of targets in one log line.
 const maxSignalLogEntries = 8
 
-// signalLogEntry holds the signals of a target, for the log line of a request. Ages are relative to the time of the
-// request.
+// signalLogEntry holds a target's signals for the log line of a request. Ages are relative to the time of the request.
 type signalLogEntry struct {
 	Target  string  `json:"target"`
 	Leaving bool    `json:"leaving,omitempty"`
 	Limit   float64 `json:"perSecond,omitempty"`
-	// Age is how long this daemon has known the limit, From is the daemon that sent it (empty if a response did), and
-	// Next is how long it takes until a request within the limit may be sent.
+	// Age is how long this daemon has known the limit, From the daemon that sent it (empty if a response did), and Next
+	// how long it takes until a request within the limit may be sent.
 	Age  string   `json:"age,omitempty"`
 	From proto.VM `json:"from,omitempty"`
 	Next string   `json:"next,omitempty"`
