--- a/coord/apply.go
+++ b/coord/apply.go
@@ -231,8 +231,7 @@
 	return &Conflict{Name: change.Name, Base: *base, Current: current, By: by, Diff: diffLines(old.Body, change.Body)}
 }
 
-// PlanStop plans or cancels a stop. A stop that would leave a pool without a target is rejected with faults unless it
-// is forced.
+// PlanStop plans or cancels a stop. A stop that would leave a pool without a target is rejected with faults unless it is forced.
 func (s *ConfigStore) PlanStop(ctx context.Context, c *ConfigState, plan proto.StopPlan, by string) (ApplyResult, error) {
 	change := proto.Change{
 		Kind: proto.ChangeStop, Name: string(plan.VM), ApplyID: orDefault(plan.ID, uuid.NewString()),
--- a/coord/claim.go
+++ b/coord/claim.go
@@ -154,8 +154,7 @@
 		if !contended || round == claimRounds-1 {
 			return decision, answer
 		}
-		// Two simultaneous claims can split the group so that neither has a majority; a random pause keeps them from
-		// colliding again.
+		// Two simultaneous claims can split the group so that neither has a majority; a random pause keeps them from colliding again.
 		select {
 		case <-ctx.Done():
 			return DecisionUnreachable, nil
@@ -218,8 +217,7 @@
 	return decision, r.Answer()
 }
 
-// claimID returns the claim that the request already holds, or a new one, because a claim that was released is never
-// granted again.
+// claimID returns the claim that the request already holds, or a new one, because a claim that was released is never granted again.
 func (c *Claimer) claimID(request proto.RequestID) proto.ClaimID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -281,8 +279,7 @@
 	delete(c.failedAt, slot)
 }
 
-// Reachable reports whether a majority of the key's group appears to be alive and the group has not failed to answer
-// recently.
+// Reachable reports whether a majority of the key's group appears to be alive and the group has not failed to answer recently.
 func (c *Claimer) Reachable(key proto.Key) bool {
 	roster := c.roster()
 	if len(roster.Slots) == 0 {
--- a/coord/collect.go
+++ b/coord/collect.go
@@ -23,8 +23,7 @@
 	return vms
 }
 
-// LoadCollector returns the daemon that reads a target's load: one in its zone, otherwise one in its region, otherwise
-// any.
+// LoadCollector returns the daemon that reads a target's load: one in its zone, otherwise one in its region, otherwise any.
 func LoadCollector(target *proto.Target, live []proto.Alive) (proto.VM, bool) {
 	scopes := []func(proto.Alive) bool{
 		func(a proto.Alive) bool { return a.Zone == target.Zone },
--- a/coord/config.go
+++ b/coord/config.go
@@ -60,8 +60,7 @@
 	return c.synced
 }
 
-// MarkSynced records the accepted generation according to the store or a peer; the state is synced if it has reached
-// that generation.
+// MarkSynced records the accepted generation according to the store or a peer; the state is synced if it has reached that generation.
 func (c *ConfigState) MarkSynced(generation proto.Generation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -190,8 +189,7 @@
 	return true
 }
 
-// After answers a daemon at a lower generation with the changes that it lacks, or with the complete state if they are
-// no longer kept.
+// After answers a daemon at a lower generation with the changes that it lacks, or with the complete state if they are no longer kept.
 func (c *ConfigState) After(generation proto.Generation) proto.ChangesAnswer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/coord/lease.go
+++ b/coord/lease.go
@@ -65,8 +65,7 @@
 	return l.value.Holder == l.self && l.value.Incarnation == l.incarnation && !l.value.Released
 }
 
-// Step acquires, renews, releases or watches the lease. It fails with KindUnavailable; a held lease that is not renewed
-// then expires.
+// Step acquires, renews, releases or watches the lease. It fails with KindUnavailable; a held lease that is not renewed then expires.
 func (l *Lease) Step(ctx context.Context, clock func() time.Time, want bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/coord/members.go
+++ b/coord/members.go
@@ -192,8 +192,7 @@
 	return others
 }
 
-// Dead reports whether the view considers a run of a daemon dead. This may be wrong if the daemon is paused or
-// unreachable.
+// Dead reports whether the view considers a run of a daemon dead. This may be wrong if the daemon is paused or unreachable.
 func (m *Members) Dead(vm proto.VM, incarnation proto.Incarnation) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/coord/node.go
+++ b/coord/node.go
@@ -270,8 +270,7 @@
 
 func anyDaemon(proto.Alive) bool { return true }
 
-// HasTransferableClaims reports whether this run of the daemon keeps claims and enough other daemons are left to take
-// them over.
+// HasTransferableClaims reports whether this run of the daemon keeps claims and enough other daemons are left to take them over.
 func (n *Node) HasTransferableClaims() bool {
 	others := vmsOf(n.Members.Live(), func(a proto.Alive) bool { return a.VM != n.deps.Self.VM })
 	for _, slot := range n.Replica.Roster().Slots {
--- a/coord/owner.go
+++ b/coord/owner.go
@@ -22,8 +22,7 @@
 	candidates map[string][]proto.VM
 }
 
-// candidatesFor returns the live daemons that rank first for a task, in the given zone or, if it is empty, in all
-// zones.
+// candidatesFor returns the live daemons that rank first for a task, in the given zone or, if it is empty, in all zones.
 func (m *Members) candidatesFor(task string, zone proto.Zone) []proto.VM {
 	key := task + "@" + string(zone)
 	if m.orderCache.version != m.version || len(m.orderCache.candidates) >= maxCachedOrders {
--- a/coord/placement.go
+++ b/coord/placement.go
@@ -171,9 +171,8 @@
 	return current
 }
 
-// sendOrder checks the lease right before the order. A target that checks epochs rejects orders that a paused holder
-// sends late. For a target that does not, the order must end before the lease does, and it only states the desired
-// models.
+// sendOrder checks the lease right before the order. A target that checks epochs rejects orders that a paused holder sends late. For a
+// target that does not, the order must end before the lease does, and it only states the desired models.
 func (pc *PlacementController) sendOrder(ctx context.Context, lease *Lease, index int, target *proto.Target, models []string) {
 	epoch, held := lease.Held(pc.deps.Clock.Now, OrderTimeout)
 	if !held {
--- a/coord/pull.go
+++ b/coord/pull.go
@@ -51,8 +51,7 @@
 	}
 }
 
-// TransferClaims reads the claims of slots newly assigned to this daemon and reports the slots that it has read in
-// full.
+// TransferClaims reads the claims of slots newly assigned to this daemon and reports the slots that it has read in full.
 func (n *Node) TransferClaims(ctx context.Context) {
 	for _, pending := range n.Replica.Pending() {
 		for _, member := range pending.From {
--- a/coord/roster.go
+++ b/coord/roster.go
@@ -103,9 +103,8 @@
 	return slot.Previous
 }
 
-// isLost reports whether so many members of a group have certainly ended that a majority of it can never be read.
-// Members that only look dead may be paused and grant claims once they resume, so a group is never given up because of
-// them.
+// isLost reports whether so many members of a group have certainly ended that a majority of it can never be read. Members that only
+// look dead may be paused and grant claims once they resume, so a group is never given up because of them.
 func (p *planner) isLost(group []proto.RosterMember) bool {
 	ended := 0
 	for _, member := range group {
@@ -278,8 +277,7 @@
 	return row.Version, nil
 }
 
-// ReviseRoster writes the next roster if the last one has to change. Whatever the write returned, the roster is adopted
-// from a read.
+// ReviseRoster writes the next roster if the last one has to change. Whatever the write returned, the roster is adopted from a read.
 func (w *RosterWriter) ReviseRoster(ctx context.Context, now time.Time) error {
 	version, err := w.Read(ctx)
 	if err != nil {
--- a/coord/shares.go
+++ b/coord/shares.go
@@ -33,9 +33,8 @@
 	rowSent, readAsked time.Time
 	// lastListed is when this daemon's row was last known to announce this VM to the others.
 	lastListed time.Time
-	// establishedAt is since when all other daemons count this VM and this daemon counts all of them, as far as they
-	// use anything; zero while that is unknown. The daemon uses its share only a window later, because it does not know
-	// what its previous run used.
+	// establishedAt is since when all other daemons count this VM and this daemon counts all of them, as far as they use anything;
+	// zero while that is unknown. The daemon uses its share only a window later, because it does not know what its previous run used.
 	establishedAt time.Time
 	// era is the era of the platform's store; rows of an earlier era prove nothing.
 	era uint64
@@ -45,8 +44,7 @@
 
 // trackedVM is a VM known to the tracker.
 type trackedVM struct {
-	// version is the version of its row, zero before the first read, and since is when this daemon first saw that
-	// version.
+	// version is the version of its row, zero before the first read, and since is when this daemon first saw that version.
 	version proto.Revision
 	since   time.Time
 }
@@ -75,9 +73,8 @@
 	return s
 }
 
-// Start sets since when this run can have a share. A daemon that has just started does not know what its previous run
-// used, so it has no share until that is out of the window. On a VM that the others may not know, it also waits until
-// all of them have read its row.
+// Start sets since when this run can have a share. A daemon that has just started does not know what its previous run used, so it has
+// no share until that is out of the window. On a VM that the others may not know, it also waits until all of them have read its row.
 func (t *ShareTracker) Start(now time.Time, known bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -112,8 +109,7 @@
 	}
 }
 
-// RowWritten records that the platform acknowledged this daemon's row in an era of its store; sent is when the row was
-// sent.
+// RowWritten records that the platform acknowledged this daemon's row in an era of its store; sent is when the row was sent.
 func (t *ShareTracker) RowWritten(sent time.Time, era uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -180,8 +176,7 @@
 const (
 	// ShareUsable means that the share may be used.
 	ShareUsable ShareReason = ""
-	// ShareStarting means that usage of the VM's previous run may still count, or that other daemons may not know the
-	// VM.
+	// ShareStarting means that usage of the VM's previous run may still count, or that other daemons may not know the VM.
 	ShareStarting ShareReason = "the daemon has started too lately"
 	// ShareRowExpired means that this daemon's row could not be written for too long.
 	ShareRowExpired ShareReason = "the own row was not written for too long"
@@ -214,11 +209,10 @@
 // maxCachedTasks bounds the tasks whose ownership is cached; there is one task for each cold target.
 const maxCachedTasks = 20_000
 
-// OwnsExclusively reports whether this daemon may now do what only one daemon may do at a time, even while it cannot
-// reach the others: its VM ranks first for the task among all counted ones. Each daemon that may use anything is
-// counted by all others that may, so two daemons never own a task at the same time, and at least the settle time passes
-// between two owners. A VM that is gone for good keeps its tasks until its lease is over, and nobody does them until
-// then.
+// OwnsExclusively reports whether this daemon may now do what only one daemon may do at a time, even while it cannot reach the others:
+// its VM ranks first for the task among all counted ones. Each daemon that may use anything is counted by all others that may, so two
+// daemons never own a task at the same time, and at least the settle time passes between two owners. A VM that is gone for good keeps
+// its tasks until its lease is over, and nobody does them until then.
 func (t *ShareTracker) OwnsExclusively(now time.Time, task string, settle time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/backlog.go
+++ b/core/backlog.go
@@ -2,12 +2,11 @@
 
 import "time"
 
-// backlog tracks the work committed to a pool by the latest time at which it must start. Admission checks whether all
-// committed work could still start in time if tickets run in that order, so a burst that the deadlines can absorb is
-// admitted. The more of the pool a request needs, the smaller the fraction of the remaining time that requests of its
-// kind may fill. Under overload the pool therefore admits the requests that need least of it, which maximizes the
-// number delivered in time. Work counts from admission on, including during the stages before this pool, so that the
-// limit reacts without delay and does not oscillate.
+// backlog tracks the work committed to a pool by the latest time at which it must start. Admission checks whether all committed work
+// could still start in time if tickets run in that order, so a burst that the deadlines can absorb is admitted. The more of the pool a
+// request needs, the smaller the fraction of the remaining time that requests of its kind may fill. Under overload the pool therefore
+// admits the requests that need least of it, which maximizes the number delivered in time. Work counts from admission on, including
+// during the stages before this pool, so that the limit reacts without delay and does not oscillate.
 type backlog struct {
 	buckets     [bucketCount]float64 // seconds of slot time, by bucket of the latest start
 	firstBucket int64                // number of the bucket at index 0
--- a/core/events.go
+++ b/core/events.go
@@ -111,8 +111,7 @@
 	Spent     time.Duration
 }
 
-// StopCheck makes the engine check for VMs that are listed as leaving or have a planned stop. It is sent several times
-// per second.
+// StopCheck makes the engine check for VMs that are listed as leaving or have a planned stop. It is sent several times per second.
 type StopCheck struct {
 	// Lead is how long before its planned stop a VM gets no new work and its work is moved to other targets.
 	Lead time.Duration
--- a/core/flow.go
+++ b/core/flow.go
@@ -74,8 +74,7 @@
 	return false
 }
 
-// admit rejects requests that cannot finish in time as early as possible: that costs no target time, and the caller can
-// react at once.
+// admit rejects requests that cannot finish in time as early as possible: that costs no target time, and the caller can react at once.
 func (e *Engine) admit(res *eventResult, r *request, quorumLost bool) *proto.Failure {
 	if !res.now.Before(r.deadline) {
 		return &proto.Failure{
--- a/core/policy.go
+++ b/core/policy.go
@@ -136,8 +136,7 @@
 	HedgeRatio float64
 	// HedgeDeviations is the number of deviations above the mean after which an attempt is hedged.
 	HedgeDeviations float64
-	// PeerCorrelation is the weight of the assumption that, since a load report, the other daemons have dispatched like
-	// this one.
+	// PeerCorrelation is the weight of the assumption that, since a load report, the other daemons have dispatched like this one.
 	PeerCorrelation float64
 	// Overcommit is the factor on a target's slots up to which requests are sent to it.
 	Overcommit float64
--- a/core/pool.go
+++ b/core/pool.go
@@ -71,8 +71,7 @@
 	return retryBurst
 }
 
-// configure applies the targets of a new generation. Removed targets get no new work and are deleted once they are
-// idle.
+// configure applies the targets of a new generation. Removed targets get no new work and are deleted once they are idle.
 func (p *pool) configure(spec *proto.Pool, workspaces map[string]*proto.Workspace, leaving leavingFunc) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -176,8 +175,7 @@
 	return p.drainTime(now, p.queue.Ahead(workspace, latest))
 }
 
-// drainTime estimates how long the pool needs to start the given number of queued requests, from its recent completion
-// rate.
+// drainTime estimates how long the pool needs to start the given number of queued requests, from its recent completion rate.
 func (p *pool) drainTime(now time.Time, waiting int) time.Duration {
 	if waiting == 0 {
 		return 0
@@ -322,8 +320,7 @@
 	return p.retries.Take()
 }
 
-// takeHedge takes a hedge from the budget, but only if no ticket is queued, because a hedge must not delay a first
-// attempt.
+// takeHedge takes a hedge from the budget, but only if no ticket is queued, because a hedge must not delay a first attempt.
 func (p *pool) takeHedge() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/core/prefix.go
+++ b/core/prefix.go
@@ -44,8 +44,7 @@
 	preferred bitset
 }
 
-// prefixes is what a pool knows of the prefix caches of its targets. It is an estimate, because events arrive late and
-// may be missing.
+// prefixes is what a pool knows of the prefix caches of its targets. It is an estimate, because events arrive late and may be missing.
 type prefixes struct {
 	entries        map[string]*prefixEntry
 	insertionOrder []string
--- a/core/queue.go
+++ b/core/queue.go
@@ -39,14 +39,12 @@
 	Push(ticket *Ticket)
 	// Next returns the first ticket without removing it.
 	Next(now time.Time) *Ticket
-	// Alternative returns another ticket that may be served before the given one and for which match returns true, or
-	// nil.
+	// Alternative returns another ticket that may be served before the given one and for which match returns true, or nil.
 	Alternative(ticket *Ticket, match func(*Ticket) bool) *Ticket
 	// Remove removes a ticket that Next or Alternative returned.
 	Remove(ticket *Ticket)
 	Len() int
-	// Ahead returns how many tickets would be served before a new one of the workspace with the given latest start
-	// time.
+	// Ahead returns how many tickets would be served before a new one of the workspace with the given latest start time.
 	Ahead(workspace string, latest time.Time) int
 	// Expire removes and returns the tickets for which drop returns true.
 	Expire(drop func(*Ticket) bool) []*Ticket
@@ -107,8 +105,7 @@
 	return dropped
 }
 
-// fairQueue orders the workspaces within their fair share by deadline, and after them the others by how far they exceed
-// their share.
+// fairQueue orders the workspaces within their fair share by deadline, and after them the others by how far they exceed their share.
 type fairQueue struct {
 	usage *usage
 	slack float64
@@ -180,8 +177,7 @@
 	return spent / weights
 }
 
-// Alternative searches the lane of the same workspace first and then the lanes of workspaces that have used less, within
-// the slack.
+// Alternative searches the lane of the same workspace first and then the lanes of workspaces that have used less, within the slack.
 func (q *fairQueue) Alternative(t *Ticket, match func(*Ticket) bool) *Ticket {
 	if other := alternative(q.lanes[t.Workspace], match); other != nil {
 		return other
--- a/core/result.go
+++ b/core/result.go
@@ -6,8 +6,7 @@
 	"emberlead/proto"
 )
 
-// handleAttemptEnd matches an answer by request, stage and attempt number. Answers that match no attempt are dropped and
-// counted.
+// handleAttemptEnd matches an answer by request, stage and attempt number. Answers that match no attempt are dropped and counted.
 func (e *Engine) handleAttemptEnd(res *eventResult, r *request, ev *AttemptEnded) {
 	a := r.attempts[ev.Attempt.Number]
 	if a == nil || a.id != ev.Attempt {
--- a/core/stops.go
+++ b/core/stops.go
@@ -6,8 +6,7 @@
 	"emberlead/proto"
 )
 
-// checkStops takes the targets on leaving VMs out of service, and moves attempts that would not end before a planned
-// stop.
+// checkStops takes the targets on leaving VMs out of service, and moves attempts that would not end before a planned stop.
 func (e *Engine) checkStops(res *eventResult, lead time.Duration) {
 	leaving := e.leavingFunc(e.snapshot.Load(), res.now, lead)
 	planned := false
--- a/core/target.go
+++ b/core/target.go
@@ -164,8 +164,7 @@
 	t.record(now)
 }
 
-// attemptEnded records the end of an attempt. ratio is observed over expected service time, or 0 if there was no
-// answer.
+// attemptEnded records the end of an attempt. ratio is observed over expected service time, or 0 if there was no answer.
 func (t *target) attemptEnded(now time.Time, status AttemptStatus, ratio float64) {
 	t.inflight = max(0, t.inflight-1)
 	t.record(now)
--- a/demo/deployment.go
+++ b/demo/deployment.go
@@ -123,8 +123,7 @@
 	return nil
 }
 
-// waitReady applies the first configuration and waits until it is in force on every daemon and the replicas of all
-// claims are ready.
+// waitReady applies the first configuration and waits until it is in force on every daemon and the replicas of all claims are ready.
 func (d *deployment) waitReady(ctx context.Context) error {
 	body, err := d.targets.EncodeFile()
 	if err != nil {
--- a/demo/faults.go
+++ b/demo/faults.go
@@ -113,8 +113,7 @@
 	}
 }
 
-// pickEntry returns the last daemon without an injected fault, so that two faults hit two daemons; nil if there is
-// none.
+// pickEntry returns the last daemon without an injected fault, so that two faults hit two daemons; nil if there is none.
 func (r *runner) pickEntry() *entryDaemon {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -176,8 +175,7 @@
 	return unfaulted[i%len(unfaulted)]
 }
 
-// modifiedFile returns the configuration file with the deadline of its first service extended, a change that fails no
-// request.
+// modifiedFile returns the configuration file with the deadline of its first service extended, a change that fails no request.
 func (r *runner) modifiedFile(by time.Duration) []byte {
 	copied := *r.deployment.file
 	copied.Services = slices.Clone(copied.Services)
--- a/demo/loadgen.go
+++ b/demo/loadgen.go
@@ -67,8 +67,7 @@
 	}
 }
 
-// loadGenerator sends requests through the daemons that the load balancer considers ready, as the deployment's callers
-// would.
+// loadGenerator sends requests through the daemons that the load balancer considers ready, as the deployment's callers would.
 type loadGenerator struct {
 	file      *proto.File
 	balancer  *balancer
@@ -194,8 +193,7 @@
 	return outcomeUnknown
 }
 
-// readStream checks that the chunks follow one another without gaps or duplicates and that the final event holds the
-// complete text.
+// readStream checks that the chunks follow one another without gaps or duplicates and that the final event holds the complete text.
 func (k *call) readStream(body io.Reader) outcome {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(nil, 1<<20)
--- a/demo/report.go
+++ b/demo/report.go
@@ -38,8 +38,7 @@
 	Observed string `json:"seen"`
 }
 
-// GuaranteesHold reports whether no request was lost, run twice, misdelivered, or run although it was refused as not
-// run.
+// GuaranteesHold reports whether no request was lost, run twice, misdelivered, or run although it was refused as not run.
 func (r *Report) GuaranteesHold() bool {
 	return r.Lost == 0 && r.Doubled == 0 && r.Misdelivered == 0 && r.RanAfterRefusal == 0
 }
--- a/entry/linkkeys.go
+++ b/entry/linkkeys.go
@@ -18,8 +18,7 @@
 const (
 	authorityLifetime   = 5 * 365 * 24 * time.Hour
 	certificateLifetime = 90 * 24 * time.Hour
-	// revocationListLifetime is the validity period stated in lists of revoked certificates. Daemons use a list
-	// whatever its age.
+	// revocationListLifetime is the validity period stated in lists of revoked certificates. Daemons use a list whatever its age.
 	revocationListLifetime = 365 * 24 * time.Hour
 
 	fileAuthority    = "authority.pem"
@@ -131,8 +130,7 @@
 	return data, nil
 }
 
-// writeKeyPair writes the key before the certificate: a daemon that reads the files in between keeps the credentials it
-// has.
+// writeKeyPair writes the key before the certificate: a daemon that reads the files in between keeps the credentials it has.
 func writeKeyPair(c *cli.Command, folder, certificate, key string, pair wire.KeyPair) error {
 	if err := replaceFile(c, filepath.Join(folder, key), pair.Key, privateFileMode); err != nil {
 		return err
--- a/entry/losses.go
+++ b/entry/losses.go
@@ -56,8 +56,7 @@
 // worth is the value of an answer delivered in time, and that of a late one.
 type worth struct{ inTime, late float64 }
 
-// routeWorths maps the goals of routes to the worth of their requests. The key is the goal, since names of routes
-// change.
+// routeWorths maps the goals of routes to the worth of their requests. The key is the goal, since names of routes change.
 type routeWorths map[time.Duration]worth
 
 // forGoal returns the worth for a goal. For an unknown goal it is 1 for an answer in time and 0 for a late one.
--- a/entry/lossreason.go
+++ b/entry/lossreason.go
@@ -22,13 +22,11 @@
 	outcomeNotOwed
 )
 
-// requestResult is the outcome of one request according to the logs. The attempts of a caller that retries are one
-// request.
+// requestResult is the outcome of one request according to the logs. The attempts of a caller that retries are one request.
 type requestResult struct {
 	startedAt time.Time
 	goal      time.Duration
-	// size is the size of the request: the tokens of its prompt plus answerTokenWeight times its maximum answer
-	// tokens.
+	// size is the size of the request: the tokens of its prompt plus answerTokenWeight times its maximum answer tokens.
 	size    float64
 	outcome requestOutcome
 	reason  string
--- a/entry/traceconfig.go
+++ b/entry/traceconfig.go
@@ -13,9 +13,8 @@
 // configTrace holds what the logs say about the configuration that a request was handled with.
 type configTrace struct {
 	version float64
-	// newerElsewhere is the first line of another daemon that had a newer configuration in force when the request
-	// arrived; newerLocally is the line of the request's own daemon that put a newer one in force. Each is nil if there
-	// is none.
+	// newerElsewhere is the first line of another daemon that had a newer configuration in force when the request arrived;
+	// newerLocally is the line of the request's own daemon that put a newer one in force. Each is nil if there is none.
 	newerElsewhere, newerLocally *logLine
 	arrivedAt                    time.Time
 	storeLines                   []logLine
--- a/fakes/host.go
+++ b/fakes/host.go
@@ -12,8 +12,7 @@
 const (
 	// hostReservationPort is the port that a host listens on while its address is reserved.
 	hostReservationPort = 19_999
-	// hostFirstPort and hostLastPort bound the ports that a host allocates. They lie below the kernel's ephemeral port
-	// range.
+	// hostFirstPort and hostLastPort bound the ports that a host allocates. They lie below the kernel's ephemeral port range.
 	hostFirstPort = 20_000
 	hostLastPort  = 32_000
 	// hostFirstOctet is the first octet of the host addresses, hostSecondOctet the lowest second octet.
@@ -61,8 +60,7 @@
 // Close releases the address.
 func (h *Host) Close() error { return h.reservation.Close() }
 
-// FreePort returns the host's address with a port that it returns only once. It fails with KindUnavailable if no port
-// is free.
+// FreePort returns the host's address with a port that it returns only once. It fails with KindUnavailable if no port is free.
 func (h *Host) FreePort() (netip.AddrPort, error) {
 	for port := h.ports.Add(1); port <= hostLastPort; port = h.ports.Add(1) {
 		address := netip.AddrPortFrom(h.ip, uint16(port))
--- a/fakes/platform.go
+++ b/fakes/platform.go
@@ -17,8 +17,7 @@
 	weightsPerSecond = 20
 	weightBurst      = 5
 	maxBodyBytes     = 8 << 20
-	// HeaderClient identifies the caller to the fake platform, so that a test can make the store unreachable for one
-	// client.
+	// HeaderClient identifies the caller to the fake platform, so that a test can make the store unreachable for one client.
 	HeaderClient = "Emberlead-Client"
 )
 
--- a/fakes/servers.go
+++ b/fakes/servers.go
@@ -42,8 +42,7 @@
 	servers map[string]*Server
 }
 
-// StartTargets starts a fake for every target of a file. With anyPort the addresses in the file are replaced by ones
-// with free ports.
+// StartTargets starts a fake for every target of a file. With anyPort the addresses in the file are replaced by ones with free ports.
 func StartTargets(file *proto.File, seed uint64, anyPort bool) (*Targets, error) {
 	all := &Targets{File: file, Targets: map[string]*Target{}, servers: map[string]*Server{}}
 	for i := range file.Pools {
--- a/fakes/store.go
+++ b/fakes/store.go
@@ -136,8 +136,7 @@
 	return list, nil
 }
 
-// Transact executes a transaction. It fails with KindConflict, with KindUnavailable or, if the response is lost, with
-// KindUnknown.
+// Transact executes a transaction. It fails with KindConflict, with KindUnavailable or, if the response is lost, with KindUnknown.
 func (c *Client) Transact(_ context.Context, tx proto.Transaction) error {
 	s := c.store
 	s.mu.Lock()
--- a/fakes/target.go
+++ b/fakes/target.go
@@ -256,8 +256,7 @@
 	Trail []string `json:"trail,omitempty"`
 }
 
-// GeneratedText returns the text that an engine generates for a nonce for the tokens from (inclusive) to to
-// (exclusive).
+// GeneratedText returns the text that an engine generates for a nonce for the tokens from (inclusive) to to (exclusive).
 func GeneratedText(nonce string, from, to int) string {
 	text := ""
 	for i := from; i < to; i++ {
--- a/fakes/targethttp.go
+++ b/fakes/targethttp.go
@@ -156,8 +156,7 @@
 	return c.JSON(http.StatusOK, proto.ExportAnswer{Handle: t.spec.Name + "/" + attempt})
 }
 
-// ApplyOrder executes an order. A target that checks orders rejects an epoch lower than the highest one seen for the
-// lease.
+// ApplyOrder executes an order. A target that checks orders rejects an epoch lower than the highest one seen for the lease.
 func (t *Target) ApplyOrder(order proto.Order) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/proto/errors.go
+++ b/proto/errors.go
@@ -40,8 +40,7 @@
 // Package identifies the package that an OpError belongs to.
 type Package interface{ Package() string }
 
-// OpError is the error of a failed operation. Each package declares its own instance as Error; P makes the types
-// distinct.
+// OpError is the error of a failed operation. Each package declares its own instance as Error; P makes the types distinct.
 type OpError[P Package] struct {
 	Op   string
 	Kind Kind
--- a/proto/notice.go
+++ b/proto/notice.go
@@ -28,8 +28,7 @@
 	Notices []TargetNotice `cbor:"1,keyasint"`
 }
 
-// PermitAsk asks the daemon that places the requests of a pool for permission to send a request to a target with a
-// limit.
+// PermitAsk asks the daemon that places the requests of a pool for permission to send a request to a target with a limit.
 type PermitAsk struct {
 	Pool string `cbor:"1,keyasint"`
 	// Notice is the newest notice of the target that the sender has.
--- a/proto/peer.go
+++ b/proto/peer.go
@@ -64,8 +64,7 @@
 	Generation  Generation  `cbor:"2,keyasint"`
 	Roster      Epoch       `cbor:"3,keyasint"`
 	Stopping    bool        `cbor:"4,keyasint,omitempty"`
-	// Routing is the version of the routing configuration that the sender has, and Targets the revision of its target
-	// list.
+	// Routing is the version of the routing configuration that the sender has, and Targets the revision of its target list.
 	Routing uint64   `cbor:"5,keyasint,omitempty"`
 	Targets Revision `cbor:"6,keyasint,omitzero"`
 	// DeadDigest is a digest of the daemon runs that the sender considers dead; 0 if there are none.
--- a/proto/relay.go
+++ b/proto/relay.go
@@ -203,13 +203,11 @@
 	Targets       Revision         `cbor:"3,keyasint"`
 	TargetEntries []TargetDocument `cbor:"4,keyasint,omitempty"`
 	HasTargets    bool             `cbor:"5,keyasint,omitempty"`
-	// Full is set if TargetEntries is the complete list; otherwise it holds the changes since the version in the
-	// request.
+	// Full is set if TargetEntries is the complete list; otherwise it holds the changes since the version in the request.
 	Full bool `cbor:"6,keyasint,omitempty"`
 	// InvalidEntries holds all invalid entries that the sender knows of, regardless of the requested versions.
 	InvalidEntries []InvalidEntry `cbor:"7,keyasint,omitempty"`
-	// Evacuations holds the state of each zone that was ever evacuated, if the sender knows a newer one than the
-	// requester.
+	// Evacuations holds the state of each zone that was ever evacuated, if the sender knows a newer one than the requester.
 	Evacuations []Evacuation `cbor:"8,keyasint,omitempty"`
 	// Notices holds the notices of listed targets that the sender knows of.
 	Notices []TargetNotice `cbor:"9,keyasint,omitempty"`
@@ -236,16 +234,14 @@
 	NoWorkDone bool `cbor:"12,keyasint,omitempty"`
 	// Attempt distinguishes the repeated calls that one request makes for the same stage.
 	Attempt int `cbor:"13,keyasint,omitempty"`
-	// AnswerStarted means that the caller has received part of the answer, so giving up the stage would break the
-	// answer off.
+	// AnswerStarted means that the caller has received part of the answer, so giving up the stage would break the answer off.
 	AnswerStarted bool `cbor:"14,keyasint,omitempty"`
 	// LatencyGoal is the time, counted from the caller's request, within which the answer has its full value.
 	LatencyGoal time.Duration `cbor:"15,keyasint,omitempty"`
 	// InputPool is the pool that produced the inputs. It is set only if nothing else in the request reads them, so that
 	// they are freed as soon as they were fetched.
 	InputPool string `cbor:"16,keyasint,omitempty"`
-	// Shard is the part of the pool's targets that does the work, and InputShard the part of InputPool that produced
-	// the inputs.
+	// Shard is the part of the pool's targets that does the work, and InputShard the part of InputPool that produced the inputs.
 	Shard      int `cbor:"17,keyasint,omitempty"`
 	InputShard int `cbor:"18,keyasint,omitempty"`
 	// Digest is the digest of the request.
@@ -292,8 +288,7 @@
 	Detail     string        `cbor:"5,keyasint,omitempty"`
 	// QueueDelay is how long an equal job that arrived now would wait in the queue.
 	QueueDelay time.Duration `cbor:"6,keyasint,omitempty"`
-	// QueuedFor is how long the pieces waited for the call that produced the last of them, and CallTime how long that
-	// call took.
+	// QueuedFor is how long the pieces waited for the call that produced the last of them, and CallTime how long that call took.
 	QueuedFor time.Duration `cbor:"7,keyasint,omitempty"`
 	CallTime  time.Duration `cbor:"8,keyasint,omitempty"`
 	// InputsFreed means that the inputs were freed, as the PiecesAsk allowed.
@@ -325,8 +320,7 @@
 	SharedParts []PromptPart `cbor:"3,keyasint,omitempty"`
 	// OwnTokens is the number of prompt tokens that are not shared with other prompts.
 	OwnTokens int `cbor:"4,keyasint"`
-	// Zone is the zone that holds the request's inputs, or else the zone of the sender. InputBytes is the size of the
-	// inputs.
+	// Zone is the zone that holds the request's inputs, or else the zone of the sender. InputBytes is the size of the inputs.
 	Zone       string `cbor:"5,keyasint"`
 	InputBytes int    `cbor:"6,keyasint,omitempty"`
 	// Excluded lists the targets that the request must not be sent to.
@@ -365,9 +359,8 @@
 	// Refused means that the engines cannot take the request in time; RetryAfter tells when its caller should retry.
 	Refused    bool          `cbor:"1,keyasint,omitempty"`
 	RetryAfter time.Duration `cbor:"2,keyasint,omitempty"`
-	// QueueDelay is the time that the engines need for the prompts they already have, Engines the number of usable
-	// engines, TokenRate the number of tokens started per second, and AdmittedShare the admitted share of the requests
-	// of the same rank.
+	// QueueDelay is the time that the engines need for the prompts they already have, Engines the number of usable engines, TokenRate
+	// the number of tokens started per second, and AdmittedShare the admitted share of the requests of the same rank.
 	QueueDelay    time.Duration `cbor:"3,keyasint,omitempty"`
 	Engines       int           `cbor:"4,keyasint,omitempty"`
 	TokenRate     float64       `cbor:"5,keyasint,omitempty"`
@@ -376,15 +369,13 @@
 	AdmissionRequired bool `cbor:"7,keyasint,omitempty"`
 }
 
-// PlaceAnswer names the target, and the lease under which the load of the request is counted. Target is empty if there
-// is none.
+// PlaceAnswer names the target, and the lease under which the load of the request is counted. Target is empty if there is none.
 type PlaceAnswer struct {
 	Target string `cbor:"1,keyasint,omitempty"`
 	Lease  uint64 `cbor:"2,keyasint,omitempty"`
 	// Times holds what the placing daemon has learned about the pool.
 	Times EngineTimes `cbor:"3,keyasint"`
-	// AtCapacity means that every healthy target already has its maximum number of requests, so the request must not be
-	// sent.
+	// AtCapacity means that every healthy target already has its maximum number of requests, so the request must not be sent.
 	AtCapacity bool `cbor:"4,keyasint,omitempty"`
 	// AdmissionRequired means that requests for the pool must be admitted before they start.
 	AdmissionRequired bool `cbor:"5,keyasint,omitempty"`
@@ -407,8 +398,7 @@
 	Verdict uint8 `cbor:"4,keyasint,omitempty"`
 }
 
-// Confirmed tells the daemons that read the store what the store reported about its tables just now, so that they need
-// not ask.
+// Confirmed tells the daemons that read the store what the store reported about its tables just now, so that they need not ask.
 type Confirmed struct {
 	// Routing and Targets are the versions that the sender has.
 	Routing uint64   `cbor:"1,keyasint,omitempty"`
--- a/proto/snapshot.go
+++ b/proto/snapshot.go
@@ -167,8 +167,7 @@
 	return false
 }
 
-// CheckStop returns the pools that would have no targets left once the VM and all other VMs with a stop plan have
-// stopped.
+// CheckStop returns the pools that would have no targets left once the VM and all other VMs with a stop plan have stopped.
 func (s *Snapshot) CheckStop(plan StopPlan) []string {
 	var empty []string
 	for name, pool := range s.Pools {
--- a/proto/target.go
+++ b/proto/target.go
@@ -93,8 +93,7 @@
 	Handle string `json:"handle"`
 }
 
-// Order tells a target which models and role to use. Targets that check orders reject an epoch lower than one they have
-// seen.
+// Order tells a target which models and role to use. Targets that check orders reject an epoch lower than one they have seen.
 type Order struct {
 	Lease  string   `json:"lease"`
 	Epoch  uint64   `json:"epoch"`
--- a/relay/additivemodel.go
+++ b/relay/additivemodel.go
@@ -1,14 +1,12 @@
 package relay
 
-// additiveModel estimates how much each of several components contributes to a sum, such as the fixed time of a call
-// and the times of its pieces, by observing sums. It is robust: outliers are clamped, and estimates stay within a
-// factor of their priors.
+// additiveModel estimates how much each of several components contributes to a sum, such as the fixed time of a call and the times of
+// its pieces, by observing sums. It is robust: outliers are clamped, and estimates stay within a factor of their priors.
 type additiveModel[K comparable] struct {
 	// prior returns the initial estimate, which must be positive.
 	prior func(K) float64
-	// learningRate is the fraction of the error of an observation that is adopted at once, outlierFactor is the factor
-	// from which an observation is an outlier, and maxDeviation is the factor by which an estimate may differ from its
-	// prior.
+	// learningRate is the fraction of the error of an observation that is adopted at once, outlierFactor is the factor from which an
+	// observation is an outlier, and maxDeviation is the factor by which an estimate may differ from its prior.
 	learningRate, outlierFactor, maxDeviation float64
 
 	values map[K]float64
@@ -31,9 +29,8 @@
 	return sum
 }
 
-// observe updates the estimates with an observed sum. The error is distributed over the components by their
-// contributions, so that a component that is observed in many combinations converges whatever the others are
-// (normalized least mean squares).
+// observe updates the estimates with an observed sum. The error is distributed over the components by their contributions, so that a
+// component that is observed in many combinations converges whatever the others are (normalized least mean squares).
 func (l *additiveModel[K]) observe(amounts map[K]float64, sum float64) {
 	expected, square := 0.0, 0.0
 	for key, amount := range amounts {
--- a/relay/admit.go
+++ b/relay/admit.go
@@ -12,9 +12,8 @@
 const (
 	// defaultMaxPause is the shortest allowed pause between stream events for a pool none of whose routes sets one.
 	defaultMaxPause = 500 * time.Millisecond
-	// queueFraction is the fraction of that pause for which prompts should wait at the engines of a busy pool. With
-	// less, engines run out of prompts at times; with all of it streams are late, because engines read prompts between
-	// their tokens.
+	// queueFraction is the fraction of that pause for which prompts should wait at the engines of a busy pool. With less, engines run
+	// out of prompts at times; with all of it streams are late, because engines read prompts between their tokens.
 	queueFraction = 0.7
 	// maxQueueFactor is the multiple of the intended wait above which every request is refused.
 	maxQueueFactor = 3
@@ -23,9 +22,8 @@
 	rateStep = 0.15
 	// minRateFactor limits how far the admitted rate may drop below the rate at which engines read.
 	minRateFactor = 0.7
-	// Engines count as idle if prompts wait for less than idleFraction of the intended wait. They are given at least
-	// idleStep times the rate at which they read now, and at least idleRate of the rate at which they could read
-	// without streams.
+	// Engines count as idle if prompts wait for less than idleFraction of the intended wait. They are given at least idleStep times
+	// the rate at which they read now, and at least idleRate of the rate at which they could read without streams.
 	idleFraction, idleStep, idleRate = 0.25, 1.4, 0.5
 	// floorFraction is the fraction of the admitted rate that is reserved for all ranks, whatever the demand of higher
 	// ones: urgent requests go first, but the least urgent are not refused for as long as more urgent ones arrive.
@@ -36,14 +34,12 @@
 	// Admission control starts when prompts wait for busyFraction of the intended wait, and lasts for busyDuration
 	// after each such observation. At a lower load no daemon is asked and nothing is counted.
 	busyFraction, busyDuration = 0.6, 2 * time.Second
-	// lostFraction is the fraction of the recently usable engines below which a pool counts as having lost many.
-	// Admission control then starts at once, before prompts on their way delay the remaining engines, and lasts for
-	// lostDuration.
+	// lostFraction is the fraction of the recently usable engines below which a pool counts as having lost many. Admission control
+	// then starts at once, before prompts on their way delay the remaining engines, and lasts for lostDuration.
 	lostFraction, lostDuration = 0.75, 5 * time.Second
 	// usualHalfLife is the half-life with which the usual number of engines follows a decrease.
 	usualHalfLife = 5 * time.Second
-	// rateHalfLife is the half-life of the sums of requested and of read tokens, and perHalfLife converts them to rates
-	// per second.
+	// rateHalfLife is the half-life of the sums of requested and of read tokens, and perHalfLife converts them to rates per second.
 	rateHalfLife = time.Second
 	perHalfLife  = math.Ln2
 	// refusalTTL is how long a refused request is remembered. Callers come back within a third of their time.
@@ -143,9 +139,8 @@
 	return r.missing.Value(now, promptHalfLife) / n
 }
 
-// admissionController decides which requests for a pool of engines are admitted while the engines are busy: about as
-// many tokens per second as the engines read, adjusted by the length of their queues, and urgent ranks first. Its user
-// must hold a lock.
+// admissionController decides which requests for a pool of engines are admitted while the engines are busy: about as many tokens per
+// second as the engines read, adjusted by the length of their queues, and urgent ranks first. Its user must hold a lock.
 type admissionController struct {
 	// demand is the number of requested tokens by rank.
 	demand []state.DecayingSum
--- a/relay/answertimes.go
+++ b/relay/answertimes.go
@@ -7,8 +7,7 @@
 	"emberlead/proto"
 )
 
-// answerTimes remembers when requests were last answered, for a limited number of requests. When it is full it drops
-// the older half.
+// answerTimes remembers when requests were last answered, for a limited number of requests. When it is full it drops the older half.
 type answerTimes struct {
 	mu            sync.Mutex
 	recent, older map[proto.RequestDigest]time.Time
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -28,8 +28,7 @@
 	silenceFactor = 2.2
 	// minSilenceStarts is the minimum of that silence, as a multiple of the upper bound of the time to the first event.
 	minSilenceStarts = 3
-	// maxAttempts limits the attempts of one request, refused ones included, and maxConcurrentAttempts those in
-	// progress.
+	// maxAttempts limits the attempts of one request, refused ones included, and maxConcurrentAttempts those in progress.
 	maxAttempts           = 6
 	maxConcurrentAttempts = 2
 	// maxResponseBytes limits a response that is buffered until complete.
--- a/relay/batch.go
+++ b/relay/batch.go
@@ -11,10 +11,9 @@
 	// maxFailedCalls is the number of failed calls after which the pieces of a stage are given up: three targets that
 	// fail one after the other have a common cause, and the request's deadline has passed by then.
 	maxFailedCalls = 3
-	// separateAfterFailures is the number of failed calls after which a job's pieces get a call of their own. A piece
-	// that crashes its target then fails alone, and the jobs that shared its calls succeed on their third one. After
-	// the first failure pieces are still batched with others: most targets fail for reasons of their own, and calls
-	// with few pieces take as long as full ones.
+	// separateAfterFailures is the number of failed calls after which a job's pieces get a call of their own. A piece that crashes its
+	// target then fails alone, and the jobs that shared its calls succeed on their third one. After the first failure pieces are still
+	// batched with others: most targets fail for reasons of their own, and calls with few pieces take as long as full ones.
 	separateAfterFailures = maxFailedCalls - 1
 	// zoneWaitCalls is for how many full calls a job waits for a target in the zone of its inputs: one becomes idle
 	// within one call, and traffic between zones costs money.
@@ -75,8 +74,7 @@
 	limit    float64
 	hasLimit bool
 	bucket   tokenBucket
-	// usedBytes are the bytes of results that are kept or being made, and unknownBytes those of other results found at
-	// unknownSince.
+	// usedBytes are the bytes of results that are kept or being made, and unknownBytes those of other results found at unknownSince.
 	usedBytes    int64
 	unknownBytes int64
 	unknownSince time.Time
--- a/relay/batchfill.go
+++ b/relay/batchfill.go
@@ -54,8 +54,7 @@
 	return j.Params.Rank > 0 && j.Due.Sub(now) >= time.Duration(minSpareCalls*j.callTime)
 }
 
-// chooseTarget returns an idle target for a job: one in the zone of its inputs, or any once the job has waited long
-// enough.
+// chooseTarget returns an idle target for a job: one in the zone of its inputs, or any once the job has waited long enough.
 func (b *Batcher) chooseTarget(now time.Time, j *Job) *batchTarget {
 	var best *batchTarget
 	lowestCost := math.Inf(1)
--- a/relay/batchlimits.go
+++ b/relay/batchlimits.go
@@ -2,8 +2,7 @@
 
 import "time"
 
-// setTargetLimits sets the rate limits and backoffs that targets asked for, and the fraction of the limits for this
-// batcher.
+// setTargetLimits sets the rate limits and backoffs that targets asked for, and the fraction of the limits for this batcher.
 func (b *Batcher) setTargetLimits(limits []targetLimits, liveShare float64) {
 	b.liveShare = liveShare
 	for _, t := range b.targets {
--- a/relay/batchoverdue.go
+++ b/relay/batchoverdue.go
@@ -13,8 +13,7 @@
 	overdueWait overdueAction = iota
 	// overdueRepeat is for a call with pieces that no other target can make now.
 	overdueRepeat
-	// overdueAbandon is for a call whose pieces were all made elsewhere, are no longer needed, or will be requested
-	// again.
+	// overdueAbandon is for a call whose pieces were all made elsewhere, are no longer needed, or will be requested again.
 	overdueAbandon
 )
 
--- a/relay/batchqueue.go
+++ b/relay/batchqueue.go
@@ -18,9 +18,8 @@
 	return max(work, b.meanHoldTime*float64(bytes)/float64(b.spec.MaxResultBytes))
 }
 
-// EstimateWait estimates the time until a job at a position in the queue would start, from the work ahead of it and the
-// targets in service. Targets in backoff count from its end: a pool whose targets each refused one call is not out of
-// service.
+// EstimateWait estimates the time until a job at a position in the queue would start, from the work ahead of it and the targets in
+// service. Targets in backoff count from its end: a pool whose targets each refused one call is not out of service.
 func (b *Batcher) EstimateWait(now, position time.Time) time.Duration {
 	free := b.availability(now)
 	if len(free) == 0 {
--- a/relay/batchresult.go
+++ b/relay/batchresult.go
@@ -41,8 +41,7 @@
 	return finished, unused
 }
 
-// handleMissing queues a piece again that the target failed to make or had no room for, or ends its job if that is not
-// possible.
+// handleMissing queues a piece again that the target failed to make or had no room for, or ends its job if that is not possible.
 func (b *Batcher) handleMissing(now time.Time, t *batchTarget, c *Call, item CallItem, outcome proto.PieceOutcome) []FinishedJob {
 	j := item.Job
 	if j.inputsFreed {
--- a/relay/budget.go
+++ b/relay/budget.go
@@ -61,8 +61,7 @@
 	Spent   int
 }
 
-// Spend takes one further attempt, or returns false if none is left. share is this daemon's part of the slack, from 0
-// to 1.
+// Spend takes one further attempt, or returns false if none is left. share is this daemon's part of the slack, from 0 to 1.
 func (b *RetryBudget) Spend(now time.Time, share float64) (RetryBudgetState, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/relay/callmodel.go
+++ b/relay/callmodel.go
@@ -9,10 +9,9 @@
 
 // Parameters of the model of call times.
 const (
-	// callLearningRate is the fraction of a call's prediction error that its two or three estimates adopt at once. With
-	// a fifth, an estimate that the configuration states at half its value is off by less than a tenth after twenty
-	// calls, which a busy pool makes within two seconds, and a call that took twice its expected time moves the next
-	// prediction by a fifth.
+	// callLearningRate is the fraction of a call's prediction error that its two or three estimates adopt at once. With a fifth, an
+	// estimate that the configuration states at half its value is off by less than a tenth after twenty calls, which a busy pool makes
+	// within two seconds, and a call that took twice its expected time moves the next prediction by a fifth.
 	callLearningRate = 0.2
 	// maxCallDeviation is the factor by which an estimate may differ from the configured value, either way. Targets of
 	// a pool that is off by more fail their calls, and are then skipped for a while.
@@ -23,8 +22,7 @@
 	// callSlowdownWeight is the weight of the latest call in a target's slowdown: one that is five times as slow as the
 	// others shows as three times as slow after two calls.
 	callSlowdownWeight = 0.3
-	// minCallSlowdown and maxCallSlowdown bound a target's slowdown relative to its pool, so that no call excludes it
-	// for long.
+	// minCallSlowdown and maxCallSlowdown bound a target's slowdown relative to its pool, so that no call excludes it for long.
 	minCallSlowdown, maxCallSlowdown = 0.3, 8
 )
 
--- a/relay/choice.go
+++ b/relay/choice.go
@@ -231,8 +231,7 @@
 	return atCapacity
 }
 
-// preferredTarget picks a target for a prompt part by rendezvous hashing, so that all daemons agree without
-// communication.
+// preferredTarget picks a target for a prompt part by rendezvous hashing, so that all daemons agree without communication.
 func (p *targetPool) preferredTarget(now time.Time, w TargetCriteria) *Target {
 	if len(w.SharedParts) == 0 {
 		return nil
@@ -383,8 +382,7 @@
 	return t != nil && f.AcceptsWork(t) && f.Spec(t).StartedAt.Equal(spec.StartedAt)
 }
 
-// ExcludedTargets returns the targets of a pool that this daemon does not use: they fail, may have left, or asked it to
-// back off.
+// ExcludedTargets returns the targets of a pool that this daemon does not use: they fail, may have left, or asked it to back off.
 func (f *Fleet) ExcludedTargets(now time.Time, pool string) []string {
 	p := f.pool(pool)
 	if p == nil {
--- a/relay/coldsends.go
+++ b/relay/coldsends.go
@@ -8,12 +8,10 @@
 )
 
 const (
-	// coldTaskPrefix is the prefix of the tasks of sending requests to a cold target, which only one daemon has at a
-	// time.
+	// coldTaskPrefix is the prefix of the tasks of sending requests to a cold target, which only one daemon has at a time.
 	coldTaskPrefix = "cold/"
-	// coldHandoverDelay is how long this daemon waits after another daemon may have sent requests to a cold target.
-	// What that daemon sent has arrived by then, since connections to targets are made within some hundred milliseconds
-	// or not at all.
+	// coldHandoverDelay is how long this daemon waits after another daemon may have sent requests to a cold target. What that daemon
+	// sent has arrived by then, since connections to targets are made within some hundred milliseconds or not at all.
 	coldHandoverDelay = 2 * time.Second
 	// coldReserve is the fraction of a cold target's quota that is reserved for the most urgent requests.
 	coldReserve = 1.0 / 3
--- a/relay/crashdetector.go
+++ b/relay/crashdetector.go
@@ -18,8 +18,7 @@
 	// openAttemptTTL is how long a failed attempt is remembered in case its target has ended: the entry of one that
 	// falls silent is removed after about four seconds, and that is known here a second or two later.
 	openAttemptTTL = 6 * time.Second
-	// endedRunTTL is how long the end of a run is remembered. Its last attempts fail within the scheduling delay of a
-	// busy daemon.
+	// endedRunTTL is how long the end of a run is remembered. Its last attempts fail within the scheduling delay of a busy daemon.
 	endedRunTTL = 30 * time.Second
 	// maxProbes is how often a target that closed an attempt's connection is probed, at intervals of probePause: a
 	// process that ends may close its connections somewhat before its listener.
--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -21,12 +21,11 @@
 	// it is refused. An end counts against every request that the target ran, although at most one caused it. With a
 	// lower limit many innocent requests are refused when targets end in waves for other reasons.
 	crashLimit = 3
-	// answerValidity is how long an answer from any target counts in favor of a request, and popularCrashLimit is the
-	// number of targets that may end after it before the request is refused nevertheless. A request that callers send
-	// all the time, such as a page that everyone reads, runs at most targets at any moment, and so at all that end
-	// together; but it is also answered all the time, while one that crashes its targets never is. Without this rule,
-	// requests that all callers send alike were refused for an hour when all three targets of a pool ended within a
-	// second.
+	// answerValidity is how long an answer from any target counts in favor of a request, and popularCrashLimit is the number of
+	// targets that may end after it before the request is refused nevertheless. A request that callers send all the time, such as a
+	// page that everyone reads, runs at most targets at any moment, and so at all that end together; but it is also answered all the
+	// time, while one that crashes its targets never is. Without this rule, requests that all callers send alike were refused for an
+	// hour when all three targets of a pool ended within a second.
 	answerValidity    = time.Minute
 	popularCrashLimit = 4 * crashLimit
 	// maxAnswers limits the number of remembered answered requests, at about 50 bytes each: those of the last seconds
@@ -65,8 +64,7 @@
 	blocked, suspected atomic.Int64
 }
 
-// EndListener is called, without a lock held, with newly learned ends and the daemon that sent them: this one if it
-// observed them.
+// EndListener is called, without a lock held, with newly learned ends and the daemon that sent them: this one if it observed them.
 type EndListener func(m proto.TargetEnds, from proto.VM)
 
 // crashRecord holds the ends of targets that were running one request.
@@ -196,8 +194,7 @@
 	}
 }
 
-// endsSince returns how many targets ended while running a request after a moment, including those that no longer
-// count.
+// endsSince returns how many targets ended while running a request after a moment, including those that no longer count.
 func (c *CrashTracker) endsSince(request proto.RequestDigest, at time.Time) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -210,8 +207,7 @@
 	return n
 }
 
-// mergeEnd adds an end. It returns the requests for which it is new, and those that are refused from now on. The lock
-// must be held.
+// mergeEnd adds an end. It returns the requests for which it is new, and those that are refused from now on. The lock must be held.
 func (c *CrashTracker) mergeEnd(now time.Time, end proto.TargetEnd) (added, blocked []proto.RequestDigest) {
 	if end.Age > crashTTL {
 		return nil, nil
--- a/relay/crashreport.go
+++ b/relay/crashreport.go
@@ -54,8 +54,7 @@
 	Answered bool `json:"answered,omitempty"`
 }
 
-// logMerged logs newly learned ends. It writes one line for all ends that arrived together, because a wave brings
-// hundreds of them.
+// logMerged logs newly learned ends. It writes one line for all ends that arrived together, because a wave brings hundreds of them.
 func (c *CrashTracker) logMerged(newEnds proto.TargetEnds, blocked []proto.RequestDigest, from proto.VM) {
 	var entries []mergedEnd
 	for _, end := range newEnds.Ends[:min(maxLoggedEnds, len(newEnds.Ends))] {
--- a/relay/durationestimate.go
+++ b/relay/durationestimate.go
@@ -9,8 +9,7 @@
 	// estimateWeight is the weight of the newest observation. About twenty observations count, which a route with ten
 	// requests per second yields in two seconds.
 	estimateWeight = 0.1
-	// estimateDeviations is how many mean deviations the upper bound is above the mean. About 19 of 20 observations are
-	// below it.
+	// estimateDeviations is how many mean deviations the upper bound is above the mean. About 19 of 20 observations are below it.
 	estimateDeviations = 2
 	// maxOutlierFactor limits an observation to this multiple of the upper bound.
 	maxOutlierFactor = 3
--- a/relay/enginemodel.go
+++ b/relay/enginemodel.go
@@ -9,9 +9,8 @@
 
 // Parameters of the model of engines.
 const (
-	// engineLearningRate is the fraction of a prediction error that the estimates adopt at once. The time to a first
-	// event varies by half with the other load, so about forty requests are averaged, which a pool of a dozen engines
-	// gets within two seconds.
+	// engineLearningRate is the fraction of a prediction error that the estimates adopt at once. The time to a first event varies by
+	// half with the other load, so about forty requests are averaged, which a pool of a dozen engines gets within two seconds.
 	engineLearningRate = 0.05
 	// engineOutlierFactor is the factor from which an observation is an outlier, such as an engine that stalled.
 	engineOutlierFactor = 3
@@ -36,8 +35,7 @@
 type engineWork uint8
 
 const (
-	// workPerRequest is the fixed time of a request: the transfer to the engine, the fetching of its inputs, and the
-	// first steps.
+	// workPerRequest is the fixed time of a request: the transfer to the engine, the fetching of its inputs, and the first steps.
 	workPerRequest engineWork = iota
 	// workPerToken is a prompt token to process, including those of prompts ahead of it.
 	workPerToken
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -112,8 +112,7 @@
 	return response.Status/100 == http.StatusOK/100 && (!info.Stamped || info.ContentEncoded || info.RequestID != x.requestID)
 }
 
-// readStream sends the complete events of a stream as they arrive, and records in the final update how the stream
-// ended.
+// readStream sends the complete events of a stream as they arrive, and records in the final update how the stream ended.
 func (x *exchange) readStream(final *attemptUpdate) {
 	var buffered []byte
 	buffer := make([]byte, readSize)
--- a/relay/fetchtimes.go
+++ b/relay/fetchtimes.go
@@ -15,9 +15,8 @@
 	// for longer than the other.
 	minKeepTime = 40 * time.Millisecond
 	maxKeepTime = 4 * time.Second
-	// keepTimeDecay is the factor applied to the time after a target had its inputs, and keepTimeGrowth the one applied
-	// when they were released too early, which makes the request repeat its stages. At most one request in about 70
-	// does.
+	// keepTimeDecay is the factor applied to the time after a target had its inputs, and keepTimeGrowth the one applied when they were
+	// released too early, which makes the request repeat its stages. At most one request in about 70 does.
 	keepTimeDecay  = 0.99
 	keepTimeGrowth = 2
 )
--- a/relay/fleet.go
+++ b/relay/fleet.go
@@ -21,8 +21,7 @@
 	health health
 	// active counts this daemon's attempts in progress.
 	active int
-	// unreadTokens is the sum of prompt tokens of attempts without a response yet, and unreadPrompts holds these
-	// prompts.
+	// unreadTokens is the sum of prompt tokens of attempts without a response yet, and unreadPrompts holds these prompts.
 	unreadTokens  int
 	unreadPrompts []unreadPrompt
 	cache         promptCache
@@ -131,12 +130,10 @@
 	// revalidated those that reappeared with a restored copy of the store and count again, since their entries stayed.
 	invalid     map[string]invalidEntry
 	revalidated map[string]proto.Revision
-	// departed holds the targets that left recently, and restoredAsOf is the revision of the first list read in the
-	// store's era.
+	// departed holds the targets that left recently, and restoredAsOf is the revision of the first list read in the store's era.
 	departed     map[string]departedTarget
 	restoredAsOf proto.Revision
-	// evacuations holds the zones that are or were evacuated, and evacuationsVersion is the revision of the newest
-	// change.
+	// evacuations holds the zones that are or were evacuated, and evacuationsVersion is the revision of the newest change.
 	evacuations        map[string]proto.Evacuation
 	evacuationsVersion proto.Revision
 	// evacuationRowVersions holds the versions of the rows that last evacuated zones, and heldSince is since when
@@ -370,9 +367,8 @@
 	return FleetEvent{Target: c.Target, Outcome: outcomeAdded}
 }
 
-// restart replaces a target by its next run, or by its entry in another pool, keeping only that the previous run ended.
-// The pool of the previous run is locked. All state about a target is in its Target, so it is dropped here at once, and
-// work in progress ends.
+// restart replaces a target by its next run, or by its entry in another pool, keeping only that the previous run ended. The pool of
+// the previous run is locked. All state about a target is in its Target, so it is dropped here at once, and work in progress ends.
 func (f *Fleet) restart(now time.Time, t *Target, c FleetChange) []FleetEvent {
 	ended := f.unlist(t)
 	ended.Outcome, ended.Version = OutcomeEnded, c.Version
--- a/relay/fleetcold.go
+++ b/relay/fleetcold.go
@@ -67,9 +67,8 @@
 	return p.coldLimit > 0 && now.Before(t.coldUntil)
 }
 
-// atCapacity reports whether a target was picked so often within the last second that it would get too many requests if
-// it were cold. A target may become cold at any moment, and that is known only when it has rewritten its entry, one or
-// two seconds later.
+// atCapacity reports whether a target was picked so often within the last second that it would get too many requests if it were cold.
+// A target may become cold at any moment, and that is known only when it has rewritten its entry, one or two seconds later.
 func (p *targetPool) atCapacity(now time.Time, t *Target) bool {
 	if p.coldLimit == 0 {
 		return false
@@ -127,8 +126,7 @@
 	return in, cold
 }
 
-// OpenCount returns the number of a pool's targets in the allowed regions that are not closed, regardless of their
-// health.
+// OpenCount returns the number of a pool's targets in the allowed regions that are not closed, regardless of their health.
 func (f *Fleet) OpenCount(pool string, regions proto.AllowedRegions) int {
 	p := f.pool(pool)
 	if p == nil {
--- a/relay/fleetlapse.go
+++ b/relay/fleetlapse.go
@@ -75,8 +75,7 @@
 	return events
 }
 
-// Sweep removes lapsed entries that did not come back, and detects targets that have become warm; it is called several
-// times a second.
+// Sweep removes lapsed entries that did not come back, and detects targets that have become warm; it is called several times a second.
 func (f *Fleet) Sweep(now time.Time) []FleetEvent {
 	f.mu.Lock()
 	own := !f.mayHaveLapsed(now)
--- a/relay/fleetnotices.go
+++ b/relay/fleetnotices.go
@@ -43,8 +43,7 @@
 	return updates
 }
 
-// updatedBy reports whether a notice is newer than the known signals. Of two limits of the same version, the lower one
-// wins.
+// updatedBy reports whether a notice is newer than the known signals. Of two limits of the same version, the lower one wins.
 func (s *targetSignals) updatedBy(n proto.TargetNotice) bool {
 	newerLimit := n.LimitVersion > s.change || n.LimitVersion == s.change && n.HasLimit && (s.limit == noLimit || n.Limit < s.limit)
 	return n.Leaving && !s.leaving || newerLimit
--- a/relay/freequeue.go
+++ b/relay/freequeue.go
@@ -18,8 +18,7 @@
 	pending map[netip.AddrPort]*freeBatch
 }
 
-// freeBatch is the next batch of results to free at one target. The worker counts their storage until the target has
-// freed them.
+// freeBatch is the next batch of results to free at one target. The worker counts their storage until the target has freed them.
 type freeBatch struct {
 	worker  *worker
 	handles []string
--- a/relay/health.go
+++ b/relay/health.go
@@ -48,8 +48,7 @@
 	h.ejectedUntil = now.Add(ejection)
 }
 
-// afterRestart returns the health of the target's next run. Failures of the previous run do not count, but its end
-// does.
+// afterRestart returns the health of the target's next run. Failures of the previous run do not count, but its end does.
 func (h *health) afterRestart(now time.Time) health {
 	next := health{restarts: h.restarts}
 	next.restarts.Add(now, restartHalfLife, 1)
--- a/relay/limits.go
+++ b/relay/limits.go
@@ -20,12 +20,10 @@
 	minLimitRate = 0.2
 	// limitBurst is for how long unused requests accumulate, of which at least one always does.
 	limitBurst = 250 * time.Millisecond
-	// liveShareFactor is how many times its proportional share of a limit a group of daemons may use that does not hear
-	// from the others. Missing daemons are most often dead; the groups of a partitioned fleet use up to this factor of
-	// the limit together.
+	// liveShareFactor is how many times its proportional share of a limit a group of daemons may use that does not hear from the
+	// others. Missing daemons are most often dead; the groups of a partitioned fleet use up to this factor of the limit together.
 	liveShareFactor = 1.25
-	// permitRetryDelay is when to ask again if the daemon that grants permits did not answer: another may have taken
-	// over by then.
+	// permitRetryDelay is when to ask again if the daemon that grants permits did not answer: another may have taken over by then.
 	permitRetryDelay = 100 * time.Millisecond
 	// maxLimitPicks is how often a target is picked again if other requests used up its limit.
 	maxLimitPicks = 3
@@ -123,8 +121,7 @@
 	return owner, owner == "" || owner == p.self
 }
 
-// usableLimited returns the targets of a pool that report a limit, and whether that may have room left, as far as this
-// daemon knows.
+// usableLimited returns the targets of a pool that report a limit, and whether that may have room left, as far as this daemon knows.
 func (p *Placer) usableLimited(now time.Time, pool string) map[string]bool {
 	limited := p.fleet.limited(pool)
 	if len(limited) == 0 {
@@ -137,8 +134,7 @@
 	return usable
 }
 
-// permitWaits returns how long it takes until a permit may be available for each of some targets of a pool; 0 if one
-// may be now.
+// permitWaits returns how long it takes until a permit may be available for each of some targets of a pool; 0 if one may be now.
 func (p *Placer) permitWaits(now time.Time, pool string, targets []proto.TargetNotice) []time.Duration {
 	_, own := p.permitOwner(pool)
 	share := p.peers.Share()
@@ -236,8 +232,7 @@
 	}
 }
 
-// limitWait returns how long it takes until a target of a pool with a limit may get a request, and false if none has
-// one.
+// limitWait returns how long it takes until a target of a pool with a limit may get a request, and false if none has one.
 func (p *Placer) limitWait(pool string) (wait time.Duration, limited bool) {
 	targets := p.fleet.limited(pool)
 	if len(targets) == 0 {
--- a/relay/notices.go
+++ b/relay/notices.go
@@ -44,8 +44,7 @@
 		if !known {
 			return
 		}
-		// Calls without a target are not part of the work, and their responses may lack headers that other responses
-		// have.
+		// Calls without a target are not part of the work, and their responses may lack headers that other responses have.
 		h.target, h.partial = target, true
 	}
 	if len(h.Unreadable) > 0 {
--- a/relay/piececall.go
+++ b/relay/piececall.go
@@ -24,10 +24,9 @@
 	err     error
 }
 
-// call sends a call and waits for its results. An overdue call is abandoned once other calls have made its pieces;
-// until then its target may still be working on it. If no other target can make them, the call is repeated over another
-// connection, since the first one may have failed silently. A target that is working on the first call refuses the
-// second.
+// call sends a call and waits for its results. An overdue call is abandoned once other calls have made its pieces; until then its
+// target may still be working on it. If no other target can make them, the call is repeated over another connection, since the first
+// one may have failed silently. A target that is working on the first call refuses the second.
 func (w *worker) call(c *Call) ([]ItemResult, error) {
 	p := w.pieces
 	ctx, cancel := context.WithCancel(context.Background())
--- a/relay/piecescheduler.go
+++ b/relay/piecescheduler.go
@@ -18,8 +18,7 @@
 const (
 	// silenceCheckInterval is how often a daemon that waits for another's answer checks that the other is alive.
 	silenceCheckInterval = 150 * time.Millisecond
-	// freeInterval is how long results to free are collected: one call for each would cost more than the storage that
-	// it releases.
+	// freeInterval is how long results to free are collected: one call for each would cost more than the storage that it releases.
 	freeInterval = 20 * time.Millisecond
 	// limitedFreeInterval is the same for targets with a rate limit, which calls that free results must not use up.
 	limitedFreeInterval = time.Second
--- a/relay/place.go
+++ b/relay/place.go
@@ -15,8 +15,7 @@
 )
 
 const (
-	// placementTimeout bounds a call to the owner: a round trip takes a millisecond, and without an answer the daemon
-	// chooses alone.
+	// placementTimeout bounds a call to the owner: a round trip takes a millisecond, and without an answer the daemon chooses alone.
 	placementTimeout = 60 * time.Millisecond
 	// lateAnswerTimeout is how long a late answer is awaited in order to release its lease.
 	lateAnswerTimeout = 2 * time.Second
--- a/relay/ports.go
+++ b/relay/ports.go
@@ -28,8 +28,7 @@
 	PromptTokens, MaxTokens int
 	// After is the id of the last stream event that the caller has received; 0 for a new stream.
 	After int
-	// PieceKey identifies the input of the stages. Pieces is the number of pieces of each stage of the route, 0 to skip
-	// it.
+	// PieceKey identifies the input of the stages. Pieces is the number of pieces of each stage of the route, 0 to skip it.
 	PieceKey string
 	Pieces   []int
 }
@@ -66,8 +65,7 @@
 type Notice struct {
 	// Leaving is set if the target is about to stop.
 	Leaving bool
-	// Limit is the rate, in requests per second, that the target accepts from all daemons together; Limited is set if
-	// it states one.
+	// Limit is the rate, in requests per second, that the target accepts from all daemons together; Limited is set if it states one.
 	Limit    float64
 	HasLimit bool
 	// Backoff is how long a target that rejected a request wants none from this daemon; 0 if unstated.
@@ -105,8 +103,7 @@
 	Method, URI, Host string
 	Header            http.Header
 	Body              []byte
-	// NonIdempotent marks a request that must run at most once. It is only sent on a connection that is certainly
-	// usable.
+	// NonIdempotent marks a request that must run at most once. It is only sent on a connection that is certainly usable.
 	NonIdempotent bool
 	// Matches reports whether the headers of a response belong to this request.
 	Matches func(h http.Header) bool
--- a/relay/promptcache.go
+++ b/relay/promptcache.go
@@ -7,15 +7,13 @@
 )
 
 const (
-	// cacheShare is the fraction of the memory of an engine that holds cached prompt parts; running requests use
-	// the rest.
+	// cacheShare is the fraction of the memory of an engine that holds cached prompt parts; running requests use the rest.
 	cacheShare = 0.6
 	// defaultCacheTokens is the assumed memory of an engine, in tokens, until the configuration states it.
 	defaultCacheTokens = 200_000
 )
 
-// promptCache estimates which parts of the prompts sent to an engine it still caches, with least-recently-used
-// eviction.
+// promptCache estimates which parts of the prompts sent to an engine it still caches, with least-recently-used eviction.
 type promptCache struct {
 	parts  map[string]*cachedPart
 	tokens int
--- a/relay/race.go
+++ b/relay/race.go
@@ -16,8 +16,7 @@
 // Everything except the reading of responses is done by the goroutine of the request.
 type race struct {
 	flow *flow
-	// ctx is the context of all attempts. It ends when the caller leaves, at the deadline of the request, and with the
-	// race.
+	// ctx is the context of all attempts. It ends when the caller leaves, at the deadline of the request, and with the race.
 	ctx           context.Context
 	cancel        context.CancelCauseFunc
 	deadlineTimer clockwork.Timer
@@ -144,8 +143,7 @@
 	return runs
 }
 
-// mayRunElsewhere reports whether the route allows another target to run the request concurrently, or an earlier one to
-// run it again.
+// mayRunElsewhere reports whether the route allows another target to run the request concurrently, or an earlier one to run it again.
 func (r *race) mayRunElsewhere() bool {
 	return r.possibleRuns() < r.flow.maxRuns() || len(r.flow.superseded) > 0
 }
@@ -369,8 +367,7 @@
 	return ""
 }
 
-// rebuildInputs runs the stages again for another target while the current attempts continue, or returns why it does
-// not.
+// rebuildInputs runs the stages again for another target while the current attempts continue, or returns why it does not.
 func (r *race) rebuildInputs() (blocked string) {
 	f := r.flow
 	if !f.mayRebuild() {
--- a/relay/server.go
+++ b/relay/server.go
@@ -27,9 +27,8 @@
 	startupWait = 100 * time.Millisecond
 	// fullRetryAfter is the Retry-After of a daemon at its limit of open requests.
 	fullRetryAfter = time.Second
-	// streamAcceptTime is how long streams are accepted after the daemon was told to stop. The load balancer checks
-	// every second and sends no new callers after two failed checks; those with open connections find another daemon
-	// once they are refused.
+	// streamAcceptTime is how long streams are accepted after the daemon was told to stop. The load balancer checks every second and
+	// sends no new callers after two failed checks; those with open connections find another daemon once they are refused.
 	streamAcceptTime = 2500 * time.Millisecond
 	// minStreamTime and minRequestTime are the durations that streams and other requests are given at least before a
 	// stopping daemon exits, even if those of the route have been shorter: one that is cut off costs its caller the
@@ -69,9 +68,8 @@
 	crashTracker  *CrashTracker
 	crashDetector *CrashDetector
 
-	// firstEventTimes are the times to the first event of streams, by route and without the stages. responseTimes are
-	// those to complete responses and callTimes those of calls for pieces, by pool. requestTimes are those of whole
-	// requests, by route.
+	// firstEventTimes are the times to the first event of streams, by route and without the stages. responseTimes are those to
+	// complete responses and callTimes those of calls for pieces, by pool. requestTimes are those of whole requests, by route.
 	firstEventTimes, responseTimes, callTimes, requestTimes durationEstimates[string]
 	fetchTimes                                              fetchTimes
 
@@ -141,10 +139,9 @@
 // OpenRequests returns the number of requests in progress.
 func (s *Server) OpenRequests() int64 { return s.open.Load() }
 
-// Stop makes every response from now on close its connection, so that callers move to other daemons. Callers that keep
-// one may send requests for a while. Those that might not finish before the last moment are refused as not run: at
-// once, or shortly before that moment if their stages take longer than expected. Those that a target still runs at that
-// moment are answered as possibly run.
+// Stop makes every response from now on close its connection, so that callers move to other daemons. Callers that keep one may send
+// requests for a while. Those that might not finish before the last moment are refused as not run: at once, or shortly before that
+// moment if their stages take longer than expected. Those that a target still runs at that moment are answered as possibly run.
 func (s *Server) Stop(startedAt, lastMoment time.Time) {
 	s.stopping.Store(&stopPlan{startedAt: startedAt, lastMoment: lastMoment})
 	s.clock.AfterFunc(lastMoment.Sub(startedAt)-stopMargin, s.cancelStages)
@@ -343,8 +340,7 @@
 	return ""
 }
 
-// notRunFailure returns the refusal of a request that no target will run. If one may have run it already, the status
-// says so.
+// notRunFailure returns the refusal of a request that no target will run. If one may have run it already, the status says so.
 func (f *flow) notRunFailure(wait time.Duration, reason string) *failure {
 	if f.runs > 0 {
 		return &failure{status: http.StatusBadGateway, reason: reason}
@@ -403,8 +399,7 @@
 	return to.Sub(from)
 }
 
-// onTime reports whether a response was delivered by its latency goal, and a stream without a pause longer than its
-// route allows.
+// onTime reports whether a response was delivered by its latency goal, and a stream without a pause longer than its route allows.
 func (f *flow) onTime(now time.Time) bool {
 	return !f.answeredAt(now).After(f.due) && (f.route.MaxPause == 0 || f.longestPause <= f.route.MaxPause)
 }
--- a/relay/shards.go
+++ b/relay/shards.go
@@ -7,10 +7,9 @@
 	"emberlead/state"
 )
 
-// shardTargets is the number of targets of a pool of stages that one daemon batches for. It receives a message for each
-// stage of each request, some hundred per second, and with a larger pool exceeds a fifth of a core when all daemons
-// come back at once. With fewer targets calls are filled less: six daemons that batch separately for five targets earn
-// half.
+// shardTargets is the number of targets of a pool of stages that one daemon batches for. It receives a message for each stage of each
+// request, some hundred per second, and with a larger pool exceeds a fifth of a core when all daemons come back at once. With fewer
+// targets calls are filled less: six daemons that batch separately for five targets earn half.
 const shardTargets = 24
 
 // shard is a part of a pool's targets for which one daemon fills the calls.
@@ -61,8 +60,7 @@
 	return own
 }
 
-// chooseShard chooses the shard for a stage of a request: of two candidates, the one whose queue was last reported to
-// be shorter.
+// chooseShard chooses the shard for a stage of a request: of two candidates, the one whose queue was last reported to be shorter.
 func (p *PieceScheduler) chooseShard(pool, request string, rank int) int {
 	shards := shardCount(p.fleet.Size(pool))
 	if shards == 1 {
--- a/relay/stages.go
+++ b/relay/stages.go
@@ -46,8 +46,7 @@
 	Stage   int    `json:"stage"`
 	Pool    string `json:"pool"`
 	Outcome string `json:"fate"`
-	// QueuedFor and CallTime are reported by the daemon that batches for the pool. Took is the total time until its
-	// answer.
+	// QueuedFor and CallTime are reported by the daemon that batches for the pool. Took is the total time until its answer.
 	QueuedFor string `json:"queued"`
 	CallTime  string `json:"made"`
 	Took      string `json:"took"`
--- a/relay/targetlimits.go
+++ b/relay/targetlimits.go
@@ -38,8 +38,7 @@
 // backsOff reports whether the target accepts no requests from this daemon for now.
 func (t *Target) backsOff(now time.Time) bool { return now.Before(t.backoffUntil) }
 
-// backoffRemaining returns how long it takes until a target of a pool in backoff may get work, and false if none is in
-// backoff.
+// backoffRemaining returns how long it takes until a target of a pool in backoff may get work, and false if none is in backoff.
 func (f *Fleet) backoffRemaining(now time.Time, pool string) (left time.Duration, backsOff bool) {
 	p := f.pool(pool)
 	if p == nil {
@@ -58,8 +57,7 @@
 	return left, backsOff
 }
 
-// blockedTarget is a target that may get no request for a while: for left if it asked for backoff, and within its
-// limit.
+// blockedTarget is a target that may get no request for a while: for left if it asked for backoff, and within its limit.
 type blockedTarget struct {
 	notice proto.TargetNotice
 	left   time.Duration
--- a/relay/targetsignals.go
+++ b/relay/targetsignals.go
@@ -15,8 +15,7 @@
 const (
 	// maxBackoff bounds a backoff, since a target may recover sooner than it expected.
 	maxBackoff = 5 * time.Minute
-	// maxCredibleBackoff is the longest backoff that is believed. A target that asks for more, such as a year, is not
-	// excluded at all.
+	// maxCredibleBackoff is the longest backoff that is believed. A target that asks for more, such as a year, is not excluded at all.
 	maxCredibleBackoff = time.Hour
 )
 
@@ -26,8 +25,7 @@
 	target proto.RelayTarget
 	// sent is when the request of that response was sent.
 	sent time.Time
-	// partial is set if the response may lack headers that still apply, so that a missing limit does not lift the known
-	// one.
+	// partial is set if the response may lack headers that still apply, so that a missing limit does not lift the known one.
 	partial bool
 }
 
@@ -175,8 +173,7 @@
 	return change, true
 }
 
-// applySignals applies the signals of a run to its target, and returns the pool, or "" if the run is not listed; the
-// fleet is locked.
+// applySignals applies the signals of a run to its target, and returns the pool, or "" if the run is not listed; the fleet is locked.
 func (f *Fleet) applySignals(run proto.RunName, s *targetSignals) (pool string) {
 	t := f.byID[s.target]
 	if t == nil {
--- a/serve/relay.go
+++ b/serve/relay.go
@@ -98,8 +98,7 @@
 	// eraChanged receives a value when the store is in a newer era, for the loop that maintains this daemon's row.
 	eraChanged   chan struct{}
 	targetsKnown atomic.Bool
-	// rowsRead is set once the store's list of daemons was read, from which the daemon knows which daemon owns which
-	// task.
+	// rowsRead is set once the store's list of daemons was read, from which the daemon knows which daemon owns which task.
 	rowsRead atomic.Bool
 	started  chan struct{}
 	// bootstrapped is closed once the other daemons were asked for the contents of the store.
@@ -252,9 +251,8 @@
 	return proto.Done{}
 }
 
-// startWhenReady admits requests once the daemon knows the configuration, the targets and the other daemons. A daemon
-// that the store refuses gets the first two from other daemons, and waits for the list of daemons only for a short
-// time.
+// startWhenReady admits requests once the daemon knows the configuration, the targets and the other daemons. A daemon that the store
+// refuses gets the first two from other daemons, and waits for the list of daemons only for a short time.
 func (d *Relay) startWhenReady() {
 	switch {
 	case !d.hasTables():
@@ -296,8 +294,7 @@
 	}
 }
 
-// Run serves until the context ends, which is when the platform asks the process to stop, and then shuts down
-// gracefully.
+// Run serves until the context ends, which is when the platform asks the process to stop, and then shuts down gracefully.
 func (d *Relay) Run(ctx context.Context) error {
 	debug.SetMemoryLimit(int64(memoryFraction * float64(d.settings.MemoryBytes)))
 	debug.SetGCPercent(gcPercent)
--- a/serve/relaybootstrap.go
+++ b/serve/relaybootstrap.go
@@ -7,9 +7,8 @@
 	"emberlead/proto"
 )
 
-// bootstrapTimeout limits how long a starting daemon waits for other daemons to send it the contents of the store,
-// before it reads the store itself. They answer within some milliseconds, and a daemon without a configuration serves
-// nobody.
+// bootstrapTimeout limits how long a starting daemon waits for other daemons to send it the contents of the store, before it reads the
+// store itself. They answer within some milliseconds, and a daemon without a configuration serves nobody.
 const bootstrapTimeout = 100 * time.Millisecond
 
 // bootstrap asks the daemons in the settings for the configuration and the targets. A list of 3,000 targets is 0.08 MB
--- a/serve/relaydocuments.go
+++ b/serve/relaydocuments.go
@@ -11,8 +11,7 @@
 	"emberlead/relay"
 )
 
-// documentCache keeps the configuration and targets in force in the platform's format, for daemons that the store does
-// not answer.
+// documentCache keeps the configuration and targets in force in the platform's format, for daemons that the store does not answer.
 type documentCache struct {
 	mu      sync.Mutex
 	routing []byte
@@ -231,8 +230,7 @@
 	}
 }
 
-// answerRoutingAsk returns to another daemon what it lacks: the changes since its version, or the whole list if they
-// are not known.
+// answerRoutingAsk returns to another daemon what it lacks: the changes since its version, or the whole list if they are not known.
 func (d *Relay) answerRoutingAsk(ask proto.RoutingAsk) proto.RoutingAnswer {
 	d.documents.mu.Lock()
 	defer d.documents.mu.Unlock()
@@ -258,8 +256,7 @@
 	return answer
 }
 
-// pullFrom asks another daemon for its newer state, one daemon at a time, since a list may be large and the bandwidth
-// of a link small.
+// pullFrom asks another daemon for its newer state, one daemon at a time, since a list may be large and the bandwidth of a link small.
 func (d *Relay) pullFrom(from proto.VM) {
 	if !d.pulling.CompareAndSwap(false, true) {
 		return
--- a/serve/relayendgossip.go
+++ b/serve/relayendgossip.go
@@ -46,8 +46,7 @@
 	return &endGossip{clock: clock, send: send, digests: newDigestTracker()}
 }
 
-// add queues ends that were new here, whatever their source. Receivers do not send them back, since for the sender they
-// are not new.
+// add queues ends that were new here, whatever their source. Receivers do not send them back, since for the sender they are not new.
 func (e *endGossip) add(m proto.TargetEnds) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/serve/relayendrowsync.go
+++ b/serve/relayendrowsync.go
@@ -10,12 +10,10 @@
 )
 
 const (
-	// endRowInterval is how often a daemon that cannot reach all others checks whether its row of ends has to be
-	// written.
+	// endRowInterval is how often a daemon that cannot reach all others checks whether its row of ends has to be written.
 	endRowInterval = 250 * time.Millisecond
-	// endRowWriteSpacing is the time between two writes of one daemon per daemon in the deployment. When many targets
-	// end at once, all daemons together make some three hundred writes a second, of the several hundred that the store
-	// accepts.
+	// endRowWriteSpacing is the time between two writes of one daemon per daemon in the deployment. When many targets end at once, all
+	// daemons together make some three hundred writes a second, of the several hundred that the store accepts.
 	endRowWriteSpacing = 3 * time.Millisecond
 	// endRowTTL is how long a row is kept that its daemon has not rewritten; its ends no longer count by then.
 	endRowTTL = 2 * time.Hour
@@ -29,9 +27,8 @@
 	maxEndRowRequests = 2000
 )
 
-// endRowSync exchanges ends of targets through the store, with daemons that this one cannot reach. A daemon that sees
-// ends counts as in touch even if it reaches only the store. While all daemons reach each other, nothing is written or
-// read.
+// endRowSync exchanges ends of targets through the store, with daemons that this one cannot reach. A daemon that sees ends counts as
+// in touch even if it reaches only the store. While all daemons reach each other, nothing is written or read.
 type endRowSync struct {
 	daemon *Relay
 	table  platform.Table
@@ -41,8 +38,7 @@
 	ownEnds []pendingEnd
 	// dirty is set while the row lacks some of them.
 	dirty bool
-	// partitioned is set if not all daemons were reachable at the last check; the row is not written again before
-	// nextWrite.
+	// partitioned is set if not all daemons were reachable at the last check; the row is not written again before nextWrite.
 	partitioned bool
 	nextWrite   time.Time
 }
@@ -72,9 +68,8 @@
 	return ends
 }
 
-// partitioned reports whether this daemon cannot reach one that may be serving: one that the store lists, and that
-// either died so recently that it is still counted, or is cut off from this one. It also returns how many daemons there
-// may be.
+// partitioned reports whether this daemon cannot reach one that may be serving: one that the store lists, and that either died so
+// recently that it is still counted, or is cut off from this one. It also returns how many daemons there may be.
 func (d *Relay) partitioned() (partitioned bool, daemons int) {
 	counts := d.peers.members.Counts()
 	daemons = d.shareTracker.Share(d.clock.Now()).VMCount
--- a/serve/relayevacuations.go
+++ b/serve/relayevacuations.go
@@ -30,8 +30,7 @@
 	return evacuations
 }
 
-// expireEvacuations ends the evacuations that the store lost in a restore and that the operator has not requested
-// again.
+// expireEvacuations ends the evacuations that the store lost in a restore and that the operator has not requested again.
 func (d *Relay) expireEvacuations(now time.Time) {
 	if ends := d.fleet.ExpiredEvacuations(now); len(ends) > 0 {
 		d.applyEvacuations(ends, "time")
--- a/serve/relayfreshness.go
+++ b/serve/relayfreshness.go
@@ -18,8 +18,7 @@
 // changes up to then.
 type tableFreshness struct {
 	mu sync.Mutex
-	// confirmed is the latest moment for which the store told this daemon the contents of the table; zero if it never
-	// did.
+	// confirmed is the latest moment for which the store told this daemon the contents of the table; zero if it never did.
 	confirmed time.Time
 	// confirmedByPeer is the same, as reported by another daemon that had no newer state than this one.
 	confirmedByPeer time.Time
@@ -61,9 +60,8 @@
 	return now.Sub(at), !at.IsZero()
 }
 
-// ownAge returns the age that other daemons may rely on: how long ago the store told this daemon itself. Confirmations
-// by peers do not count, so that no daemon is confirmed by what it said earlier. It is at least a nanosecond, and 0 if
-// the store never answered.
+// ownAge returns the age that other daemons may rely on: how long ago the store told this daemon itself. Confirmations by peers do not
+// count, so that no daemon is confirmed by what it said earlier. It is at least a nanosecond, and 0 if the store never answered.
 func (v *tableFreshness) ownAge(now time.Time) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -108,8 +106,7 @@
 	}
 }
 
-// applyPeerConfirmation takes over the confirmation of another daemon for the tables of which this daemon has no older
-// state.
+// applyPeerConfirmation takes over the confirmation of another daemon for the tables of which this daemon has no older state.
 func (d *Relay) applyPeerConfirmation(now time.Time, m proto.Confirmed) {
 	if m.RoutingAge > 0 && m.Routing <= d.tables.Version() && !m.Evacuations.After(d.fleet.EvacuationsVersion()) {
 		d.routingFreshness.confirmByPeer(now.Add(-m.RoutingAge))
--- a/serve/relaylinkauth.go
+++ b/serve/relaylinkauth.go
@@ -46,8 +46,7 @@
 	}
 }
 
-// reloadCredentials applies changed certificates. All links are reconnected, so that a revoked daemon loses those that
-// it has.
+// reloadCredentials applies changed certificates. All links are reconnected, so that a revoked daemon loses those that it has.
 func (d *Relay) reloadCredentials(cause string) {
 	if d.credentials == nil {
 		return
--- a/serve/relaynoticegossip.go
+++ b/serve/relaynoticegossip.go
@@ -9,12 +9,10 @@
 	"emberlead/proto"
 )
 
-// noticeBatchDelay is how long notices of targets are collected before the other daemons are told; it is the delay of
-// each hop.
+// noticeBatchDelay is how long notices of targets are collected before the other daemons are told; it is the delay of each hop.
 const noticeBatchDelay = 50 * time.Millisecond
 
-// noticeGossip forwards what targets say about themselves, if it is new here, and finds linked daemons that know
-// something else.
+// noticeGossip forwards what targets say about themselves, if it is new here, and finds linked daemons that know something else.
 type noticeGossip struct {
 	clock clockwork.Clock
 	send  func(proto.TargetNotices)
--- a/serve/relaypeers.go
+++ b/serve/relaypeers.go
@@ -106,8 +106,7 @@
 	}
 }
 
-// announcement returns this daemon's entry about itself, with its first sequence number so that later entries replace
-// it.
+// announcement returns this daemon's entry about itself, with its first sequence number so that later entries replace it.
 func (p *relayPeers) announcement() proto.Alive {
 	alive, _ := p.members.Lookup(p.self.VM)
 	return alive
@@ -139,8 +138,7 @@
 	return true
 }
 
-// shouldAskInvalid reports, by comparing digests, whether to ask another daemon now for the invalid entries that it
-// knows of.
+// shouldAskInvalid reports, by comparing digests, whether to ask another daemon now for the invalid entries that it knows of.
 func (p *relayPeers) shouldAskInvalid(now time.Time, from proto.VM, ownDigest, theirDigest uint64) bool {
 	if theirDigest == 0 || theirDigest == ownDigest {
 		return false
--- a/serve/relayrestore.go
+++ b/serve/relayrestore.go
@@ -17,8 +17,7 @@
 	}
 }
 
-// reapplyExpired applies entries again that were considered left over from before their targets left, and that are
-// still listed.
+// reapplyExpired applies entries again that were considered left over from before their targets left, and that are still listed.
 func (d *Relay) reapplyExpired(ids []string) {
 	if len(ids) == 0 {
 		return
--- a/serve/relayrows.go
+++ b/serve/relayrows.go
@@ -16,9 +16,8 @@
 	// rowReadInterval is how often the table of the daemons is read, to find daemons that no other daemon knows. All
 	// daemons do so, which for some hundred daemons means several calls a second.
 	rowReadInterval = time.Minute
-	// maxRowRetryWait is the longest time that the table is not read after a failed call, unless another call to the
-	// store succeeds: without it, daemons that all start during an outage would each call in vain several times a
-	// second.
+	// maxRowRetryWait is the longest time that the table is not read after a failed call, unless another call to the store succeeds:
+	// without it, daemons that all start during an outage would each call in vain several times a second.
 	maxRowRetryWait = 3 * time.Second
 	// rowLease is how long a daemon may use its share of common limits after writing its row, and about how long others
 	// still count a VM that is gone for good. Until then the share of each is smaller, by one in the number of VMs.
@@ -29,8 +28,7 @@
 	// shareDelay is how much longer than the window of the retry budget a started daemon waits before it uses a share,
 	// to cover attempts of its previous run that are still on their way.
 	shareDelay = time.Second
-	// maxReadAge is how old the last read of the daemons' rows may be: two read intervals, and an outage of the store
-	// of 5 s.
+	// maxReadAge is how old the last read of the daemons' rows may be: two read intervals, and an outage of the store of 5 s.
 	maxReadAge = 2*rowReadInterval + 5*time.Second
 	// taskRemoveOldRows names the task of removing the rows of VMs that are gone.
 	taskRemoveOldRows = "remove old rows"
@@ -183,8 +181,7 @@
 	return true
 }
 
-// handleRow learns of a daemon from its row. This daemon's row may still be that of its previous run, whose incarnation
-// must be lower.
+// handleRow learns of a daemon from its row. This daemon's row may still be that of its previous run, whose incarnation must be lower.
 func (d *Relay) handleRow(now time.Time, entry platform.Row) (daemonRow, bool) {
 	var row daemonRow
 	if err := json.Unmarshal(entry.Body, &row); err != nil {
--- a/serve/relayservers.go
+++ b/serve/relayservers.go
@@ -108,8 +108,7 @@
 	LinkAuth linkAuth `json:"linkAuth"`
 	// Crashes counts the remembered ends of targets under requests, and the requests affected.
 	Crashes relay.CrashStats `json:"crashes"`
-	// Cold counts what this daemon sent to cold targets, and how often others had taken the rest of a target's
-	// capacity.
+	// Cold counts what this daemon sent to cold targets, and how often others had taken the rest of a target's capacity.
 	Cold relay.ColdStats `json:"cold"`
 	// Notices counts the targets whose responses say that they are leaving, name a limit or ask for a backoff.
 	Notices relay.NoticeStats `json:"notices"`
--- a/serve/relaywatcher.go
+++ b/serve/relaywatcher.go
@@ -17,8 +17,7 @@
 	// watchHold is how long the store holds a watch without changes. Each call counts against the store's rate limit. A
 	// watch that hangs is detected by checks long before it ends.
 	watchHold = 10 * time.Second
-	// watchGrace is how much later than watchHold an answer may come; the store may be slowed down by a factor of some
-	// tens.
+	// watchGrace is how much later than watchHold an answer may come; the store may be slowed down by a factor of some tens.
 	watchGrace = 1500 * time.Millisecond
 	// writeTimeout limits a write.
 	writeTimeout = 1500 * time.Millisecond
@@ -33,12 +32,11 @@
 	// one be answered, well within the three seconds after which daemons count as reachable again: 1 s and a pause of
 	// up to 1.2 s. An answer takes some milliseconds, and hundreds of milliseconds if the store is slow.
 	probeTimeout = time.Second
-	// checkAfter is how old a daemon's copy of a table may become before the daemon checks it during its watch.
-	// checkJitter is the maximum random time added to it for each check, so that one daemon checks and tells the
-	// others, instead of all daemons checking. A change that a hanging watch holds back is known after 1.3 s and one
-	// answer, which leaves 0.7 s of two seconds for the way to other daemons (0.25 s) and for work that was already
-	// assigned. All readers together make one to one and a half calls a second per table, according to their own
-	// counters in idle deployments of 6 to 74 daemons.
+	// checkAfter is how old a daemon's copy of a table may become before the daemon checks it during its watch. checkJitter is the
+	// maximum random time added to it for each check, so that one daemon checks and tells the others, instead of all daemons checking.
+	// A change that a hanging watch holds back is known after 1.3 s and one answer, which leaves 0.7 s of two seconds for the way to
+	// other daemons (0.25 s) and for work that was already assigned. All readers together make one to one and a half calls a second
+	// per table, according to their own counters in idle deployments of 6 to 74 daemons.
 	checkAfter  = time.Second
 	checkJitter = 300 * time.Millisecond
 	// minWatchInterval is the minimum time between two watches of the targets, so that many small changes arrive
@@ -56,8 +54,7 @@
 	readersPerZone = 2
 	// taskReadStore names the task by which the readers of each zone are chosen.
 	taskReadStore = "read the store"
-	// lapsedQueryRounds is how often peers are asked how a lapsed entry was removed; in the first round, some may not
-	// know of it yet.
+	// lapsedQueryRounds is how often peers are asked how a lapsed entry was removed; in the first round, some may not know of it yet.
 	lapsedQueryRounds = 2
 )
 
--- a/serve/settings.go
+++ b/serve/settings.go
@@ -135,8 +135,7 @@
 	}
 }
 
-// ReadSettings decodes settings over the defaults and validates them; it fails with KindInvalid, listing each problem
-// with its path.
+// ReadSettings decodes settings over the defaults and validates them; it fails with KindInvalid, listing each problem with its path.
 func ReadSettings(data []byte) (Settings, error) {
 	s := DefaultSettings()
 	decoder := json.NewDecoder(bytes.NewReader(data))
--- a/state/clock.go
+++ b/state/clock.go
@@ -26,8 +26,7 @@
 	// drift returns how far the wall clock has gained on the monotonic clock since a fixed moment.
 	drift func() time.Duration
 
-	// wallStart is the wall clock time at the clock's start, without a monotonic reading, and monoStart is the
-	// monotonic reading.
+	// wallStart is the wall clock time at the clock's start, without a monotonic reading, and monoStart is the monotonic reading.
 	wallStart, monoStart time.Time
 	uptimeAtStart        time.Duration
 	driftAtStart         time.Duration
@@ -96,8 +95,7 @@
 	return c.wallStart.Add(c.Clock.Now().Sub(c.monoStart) + c.suspended)
 }
 
-// checkSuspension determines whether the VM was suspended since the last check, and reports whether it was; c.mu must
-// be held.
+// checkSuspension determines whether the VM was suspended since the last check, and reports whether it was; c.mu must be held.
 func (c *Clock) checkSuspension() bool {
 	drift := c.drift()
 	if (drift - c.lastDrift).Abs() < minDrift {
--- a/trial/bound.go
+++ b/trial/bound.go
@@ -19,8 +19,7 @@
 	return sum
 }
 
-// capacity returns the rate, in requests per second of an even mix of services, that the tightest pool sustains without
-// cache hits.
+// capacity returns the rate, in requests per second of an even mix of services, that the tightest pool sustains without cache hits.
 func capacity(file *proto.File) float64 {
 	lowest := 0.0
 	for i := range file.Pools {
@@ -41,9 +40,8 @@
 	return lowest
 }
 
-// deliveryBound returns an upper bound on the number of requests that any scheduler could have delivered. It considers
-// each pool by itself and assumes a scheduler that knows all arrivals, has every prefix cached, and serves the cheapest
-// requests of a pool first.
+// deliveryBound returns an upper bound on the number of requests that any scheduler could have delivered. It considers each pool by
+// itself and assumes a scheduler that knows all arrivals, has every prefix cached, and serves the cheapest requests of a pool first.
 func deliveryBound(file *proto.File, requests map[string]int, duration time.Duration) int {
 	total := 0
 	for _, n := range requests {
--- a/trial/cases.go
+++ b/trial/cases.go
@@ -83,14 +83,12 @@
 	return rate * (1 + extra)
 }
 
-// workspaceShare returns the fraction of the requests that the i-th of n workspaces sends; the first ones send the
-// most.
+// workspaceShare returns the fraction of the requests that the i-th of n workspaces sends; the first ones send the most.
 func workspaceShare(n, i int) float64 {
 	return float64(2*(n-i)-1) / float64(n*n)
 }
 
-// pickRequest picks a service and a workspace at random. A burst or flood adds to the traffic of the others and
-// displaces none of it.
+// pickRequest picks a service and a workspace at random. A burst or flood adds to the traffic of the others and displaces none of it.
 func (c *Case) pickRequest(s *sim, random *rand.Rand, elapsed time.Duration) (*proto.Service, string) {
 	services, workspaces := s.file.Services, s.file.Workspaces
 	service := &services[random.IntN(len(services))]
--- a/trial/result.go
+++ b/trial/result.go
@@ -50,8 +50,7 @@
 	}
 }
 
-// Attainment returns the lowest attainment of any workspace, that of all requests together, and the number of requests
-// sent.
+// Attainment returns the lowest attainment of any workspace, that of all requests together, and the number of requests sent.
 func (r *Result) Attainment() (worst, mean float64, requests int) {
 	worst = 1
 	onTime := 0
--- a/trial/target.go
+++ b/trial/target.go
@@ -62,8 +62,7 @@
 	hit       bool
 }
 
-// target models a target with slots, a queue ordered by priority, slowdown by concurrent jobs, a prefix cache, and
-// faults.
+// target models a target with slots, a queue ordered by priority, slowdown by concurrent jobs, a prefix cache, and faults.
 type target struct {
 	spec    proto.Target
 	pool    string
--- a/wire/authority.go
+++ b/wire/authority.go
@@ -14,8 +14,7 @@
 )
 
 const (
-	// serialBits is the length of a certificate's serial number. Serial numbers are random, so no record of the issued
-	// ones is needed.
+	// serialBits is the length of a certificate's serial number. Serial numbers are random, so no record of the issued ones is needed.
 	serialBits = 120
 	// clockSlack backdates new certificates, so that they are valid on a VM whose clock is up to this much behind.
 	clockSlack = time.Hour
@@ -54,8 +53,7 @@
 	})
 }
 
-// Revoke adds a certificate issued by this authority to its revocation list, which may be empty, and returns the new
-// list.
+// Revoke adds a certificate issued by this authority to its revocation list, which may be empty, and returns the new list.
 func (a KeyPair) Revoke(list, certificate []byte, now time.Time, validity time.Duration) ([]byte, error) {
 	issuer, signer, err := a.parse()
 	if err != nil {
--- a/wire/credentials.go
+++ b/wire/credentials.go
@@ -38,14 +38,12 @@
 	revoked map[revokedCert]bool
 }
 
-// revokedCert identifies a revoked certificate; the issuer is needed since each authority assigns its own serial
-// numbers.
+// revokedCert identifies a revoked certificate; the issuer is needed since each authority assigns its own serial numbers.
 type revokedCert struct {
 	issuer, serial string
 }
 
-// LoadCredentials reads the files; it fails with KindInvalid, or with KindDenied if no authority signed a revocation
-// list.
+// LoadCredentials reads the files; it fails with KindInvalid, or with KindDenied if no authority signed a revocation list.
 func LoadCredentials(files CredentialFiles) (*Credentials, error) {
 	c := &Credentials{files: files}
 	if _, err := c.Reload(); err != nil {
--- a/wire/driver.go
+++ b/wire/driver.go
@@ -41,8 +41,7 @@
 	target proto.Target
 }
 
-// NewDriver returns a driver; maxBuffered bounds the bytes buffered for one slow caller, and beforeEvent runs before
-// each event.
+// NewDriver returns a driver; maxBuffered bounds the bytes buffered for one slow caller, and beforeEvent runs before each event.
 func NewDriver(engine *core.Engine, clock clockwork.Clock, targets *TargetClient, claims Claims, log hclog.Logger, maxBuffered int, beforeEvent func()) *Driver {
 	if beforeEvent == nil {
 		beforeEvent = func() {}
--- a/wire/frontend.go
+++ b/wire/frontend.go
@@ -66,8 +66,7 @@
 	rng *rand.Rand
 }
 
-// NewFrontend returns the HTTP frontend of a daemon; seed makes its request identifiers differ from those of other
-// daemons.
+// NewFrontend returns the HTTP frontend of a daemon; seed makes its request identifiers differ from those of other daemons.
 func NewFrontend(driver *Driver, engine *core.Engine, clock clockwork.Clock, log hclog.Logger, limits FrontendLimits, readiness ReadinessChecker, seed uint64) *Frontend {
 	return &Frontend{
 		driver: driver, engine: engine, clock: clock, log: log, limits: limits, readiness: readiness,
@@ -283,8 +282,7 @@
 	})
 }
 
-// setGeneration tells the caller the configuration generation that its request ran under; it has no effect once the
-// header is sent.
+// setGeneration tells the caller the configuration generation that its request ran under; it has no effect once the header is sent.
 func setGeneration(c echo.Context, g proto.Generation) {
 	c.Response().Header().Set(proto.HeaderGeneration, strconv.FormatUint(uint64(g), 10))
 }
--- a/wire/operator.go
+++ b/wire/operator.go
@@ -192,8 +192,7 @@
 	vars   = map[string]func() any{}
 )
 
-// PublishVars publishes a daemon's metrics under its name; a later daemon of the same name in the process replaces
-// them.
+// PublishVars publishes a daemon's metrics under its name; a later daemon of the same name in the process replaces them.
 func PublishVars(name string, fn func() any) {
 	varsMu.Lock()
 	defer varsMu.Unlock()
--- a/wire/targettransport.go
+++ b/wire/targettransport.go
@@ -34,8 +34,7 @@
 	// nonIdempotentMaxIdle is how long a connection may have been idle to be used for a non-idempotent request: if the
 	// target closed it at that moment, it would be unknown whether the request ran.
 	nonIdempotentMaxIdle = 300 * time.Millisecond
-	// maxIdlePerAddress bounds the idle connections kept to one target; targets accept a few hundred from all daemons
-	// together.
+	// maxIdlePerAddress bounds the idle connections kept to one target; targets accept a few hundred from all daemons together.
 	maxIdlePerAddress = 8
 	// maxInlineBody is the largest body that is written before the response is read. Larger ones are written
 	// concurrently, since a target may respond before it has read them.
@@ -146,8 +145,7 @@
 	return defaultMaxIdle
 }
 
-// CloseIdle closes the idle connections to an address whose target has ended, since the target may not have closed
-// them.
+// CloseIdle closes the idle connections to an address whose target has ended, since the target may not have closed them.
 func (t *TargetTransport) CloseIdle(to netip.AddrPort) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -314,8 +312,7 @@
 	return nil
 }
 
-// bodyWritten reports whether the whole request was written; after an early response, part of the body may still be
-// unsent.
+// bodyWritten reports whether the whole request was written; after an early response, part of the body may still be unsent.
 func (r *responseBody) bodyWritten() bool {
 	if !r.concurrentWrite {
 		return true
--- a/wire/trace.go
+++ b/wire/trace.go
@@ -28,8 +28,7 @@
 
 var propagator = propagation.TraceContext{}
 
-// NewTracerProvider returns a tracer provider for an exporter; its Shutdown sends the remaining spans. It fails with
-// KindInvalid.
+// NewTracerProvider returns a tracer provider for an exporter; its Shutdown sends the remaining spans. It fails with KindInvalid.
 func NewTracerProvider(ctx context.Context, exporter Exporter, endpoint string, fraction float64) (*sdktrace.TracerProvider, error) {
 	sampler := sdktrace.ParentBased(sdktrace.TraceIDRatioBased(fraction))
 	switch exporter {
